--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -163,10 +163,10 @@
 
 def whole(engines, tables):
     """Octets of all endpoints, as a proxy that holds nothing is sent them."""
-    from wickvane.control import fleet as fl
-    from wickvane.control.placement import Placement
-    from wickvane.control.resources import Make
     from wickvane.id_registry import IdRegistry
+    from wickvane.xds import fleet as fl
+    from wickvane.xds.placement import Placement
+    from wickvane.xds.resources import Make
 
     registry, make = IdRegistry(SETTINGS), Make()
     placement = Placement(
@@ -213,10 +213,10 @@
     """Service and breaches by rule of one day, through dispatchers and through proxies that only follow."""
     from collections import Counter
 
-    from wickvane.control.follower import Follower
     from wickvane.rehearsal import script as scripts
     from wickvane.rehearsal.world import play
     from wickvane.scheduler import Scheduler
+    from wickvane.xds.follower import Follower
 
     found = {}
     for name, made in (("dispatchers", Scheduler), ("proxies", Follower)):
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -103,7 +103,7 @@
         path, began = os.path.join(folder, "m.json"), memory()
         put(path, text_of(rows))
         made = service(path, os.path.join(folder, "state"))
-        gateway, index = made.decider.gateway, made.registry.engines.of
+        scheduler, index = made.decider.scheduler, made.registry.engines.of
         until(lambda: len(index) >= count)
         took, cpu, told = [], [], []
         chance = Random(1)
@@ -116,7 +116,7 @@
             before, spent = made.counters.shown()["members-entries-told"], time.process_time()
             began_at = time.perf_counter()
             put(path, text)
-            known = until(lambda e=index[row[0]], want=want: gateway.engines.cores[e] == want)
+            known = until(lambda e=index[row[0]], want=want: scheduler.engines.cores[e] == want)
             took.append((known - began_at) * 1000)
             cpu.append((time.process_time() - spent) * 1000)
             told.append(made.counters.shown()["members-entries-told"] - before)
@@ -133,8 +133,8 @@
 
 def decided(count, changes=300):
     """Milliseconds of CPU that one engine's change costs from the Roster on, journal and all; no file."""
-    from wickvane.members import checks, membership
-    from wickvane.members import roster as ro
+    from wickvane.endpoints import checks, membership
+    from wickvane.endpoints import roster as ro
 
     facts = checks.Facts({"old": 8}, None, (("lookup", None, None),), 0.3, 150_000)
     roster = ro.whole(0, [ro.Member(f"e{n}", ("10.0.0.1", n + 1), None, "old") for n in range(count)])
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -19,9 +19,9 @@
 
 from benchmarks import conclude
 from benchmarks.threads import LENGTHS, Running, together
-from wickvane.peers.membership import SECOND
 from wickvane.rehearsal.peers import Fleet
 from wickvane.rehearsal.relay import udp_ports
+from wickvane.units import TICKS_PER_SECOND
 
 WANTED = {
     "detection_p99_s_1000": 8.0,
@@ -43,18 +43,18 @@
 def killed(size, seed, kills, loss=0.0):
     """Calm for a while, then some are killed one after the other."""
     f = Fleet(size, seed, loss=loss, settled=True)
-    f.run(SECOND)
+    f.run(TICKS_PER_SECOND)
     before, began = [m.octets for m in f.members], f.now
-    f.run(f.now + 3 * SECOND)
-    octets = [(m.octets - b) / ((f.now - began) / SECOND) for m, b in zip(f.members, before)]
+    f.run(f.now + 3 * TICKS_PER_SECOND)
+    octets = [(m.octets - b) / ((f.now - began) / TICKS_PER_SECOND) for m, b in zip(f.members, before)]
     first, last, all_of = [], [], []
     for n in f.chance.sample(range(size), kills):
-        f.run(f.now + f.chance.randrange(SECOND))
+        f.run(f.now + f.chance.randrange(TICKS_PER_SECOND))
         f.killed(n)
         at, name, since = f.now, f.members[n].name, len(f.events)
-        f.run(f.now + 9 * SECOND)
+        f.run(f.now + 9 * TICKS_PER_SECOND)
         times = [
-            (when - at) / SECOND
+            (when - at) / TICKS_PER_SECOND
             for when, _, event, fields in f.events[since:]
             if event == "peers-failed" and fields["name"] == name
         ]
@@ -68,7 +68,7 @@
 
 def lossy(size, seed, loss, seconds):
     f = Fleet(size, seed, loss=loss, settled=True)
-    f.run(seconds * SECOND)
+    f.run(seconds * TICKS_PER_SECOND)
     octets = [m.octets / seconds for m in f.members]
     return {"wrong": len(f.false_failures()), "octets": octets}
 
@@ -77,13 +77,13 @@
     f = Fleet(size, seed, settled=True)
 
     def again(n):
-        f.stand_still(n, STILL_S * SECOND)
-        f.at(f.now + EVERY_S * SECOND, again, n)
+        f.stand_still(n, STILL_S * TICKS_PER_SECOND)
+        f.at(f.now + EVERY_S * TICKS_PER_SECOND, again, n)
 
     who = f.chance.sample(range(size), round(STILL_PART * size))
     for n in who:
-        f.at(f.chance.randrange(EVERY_S * SECOND), again, n)
-    f.run(seconds * SECOND)
+        f.at(f.chance.randrange(EVERY_S * TICKS_PER_SECOND), again, n)
+    f.run(seconds * TICKS_PER_SECOND)
     names = {f.members[n].name for n in who}
     wrong = f.false_failures()
     return {"wrong": len(wrong), "by_still": sum(by in names for _, by, _ in wrong)}
@@ -92,11 +92,11 @@
 def cut(size, seed):
     """Seconds from the healing of a cut in two to one view of all, once both sides have judged."""
     f = Fleet(size, seed, settled=True)
-    f.run(SECOND)
+    f.run(TICKS_PER_SECOND)
     f.cut = lambda a, b: (a < size * 4 // 9) != (b < size * 4 // 9)
-    f.run(f.now + 30 * SECOND)
+    f.run(f.now + 30 * TICKS_PER_SECOND)
     f.cut, healed = None, f.now
-    equal = f.until_equal(f.now + 60 * SECOND)
+    equal = f.until_equal(f.now + 60 * TICKS_PER_SECOND)
     return {"equal": equal, "wrong": len(f.false_failures(healed))}
 
 
@@ -160,8 +160,8 @@
 
 def sharing(peer):
     """Rides on a peer as the part `shares` does: three engines with work, and what it did for one tenant."""
-    from wickvane.peers.shell import now
-    from wickvane.shares.spread import Offer, Spread
+    from wickvane.cluster.shell import now
+    from wickvane.quotas.spread import Offer, Spread
 
     peer.node.rider = Spread(
         now(),
@@ -181,11 +181,11 @@
 
 def others(folder, listens, pipe, shares):
     """A process: peers beside the measured dispatcher, by the same part, until it is told to stop."""
+    from wickvane.cluster.shell import Peers
     from wickvane.net.clock import Clock
     from wickvane.net.counters import Counters
     from wickvane.net.log import Log
     from wickvane.parts import read
-    from wickvane.peers.shell import Peers
 
     log = Log(os.open(os.devnull, os.O_WRONLY), Clock())
     threading.Thread(target=log.run, daemon=True).start()
--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -122,11 +122,11 @@
     PostgreSQL). A line of the dispatcher's counts its writer's thread too."""
     fields = dict(
         txn="9b1f03aa5c7e2d41",
-        rg="lookup",
+        resource_group="lookup",
         answer="finished",
         submissions=1,
         engine="e17",
-        coord=17,
+        table_group=17,
         cost=12.5,
         took=13.7,
         limit=1500.0,
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -14,7 +14,8 @@
 
 from benchmarks import conclude
 from wickvane.rehearsal import script as scripts
-from wickvane.rehearsal.world import SECOND, play
+from wickvane.rehearsal.world import play
+from wickvane.units import TICKS_PER_SECOND
 
 WANTED = {"recovery_s_worst": 20.0, "false_alarms": 0, "goodput_part_at_10x": 0.9}
 SLOW_AT, SLOW_FOR, LENGTH = 15, 30, 90
@@ -72,7 +73,7 @@
     """Work finished of what the cores could do, with so many times their capacity asked for."""
     outcome = play(scripts.read_text(day(clients, size, load=times, length=20)), seed, False)
     done = sum(process.worked for process in outcome.world.processes)
-    return done / (SIZES[size][1] * 4 * (20 * SECOND / 10)), len(outcome.breaches)
+    return done / (SIZES[size][1] * 4 * (20 * TICKS_PER_SECOND / 10)), len(outcome.breaches)
 
 
 def alarms(size, seed, more):
--- a/benchmarks/storm_sockets.py
+++ b/benchmarks/storm_sockets.py
@@ -22,8 +22,8 @@
 from wickvane.rehearsal.host import ENDINGS
 from wickvane.rehearsal.load import Load
 from wickvane.rehearsal.rules import Seen
-from wickvane.rehearsal.script import SECOND
 from wickvane.rehearsal.sockets import Connection, Serving
+from wickvane.units import TICKS_PER_SECOND
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 BEFORE = "657321d"  # the last landing before retry storms were looked for or told of
@@ -74,9 +74,9 @@
 class Noting(Connection):
     """A connection of the modelled engines that notes each ending."""
 
-    def hears(self, query, submission, process, ending, work, rg):
+    def hears(self, query, submission, process, ending, work, resource_group):
         self.serving.note(self, query.id, ENDINGS[ending])
-        super().hears(query, submission, process, ending, work, rg)
+        super().hears(query, submission, process, ending, work, resource_group)
 
 
 def serve(serving, pipe):
@@ -105,7 +105,7 @@
         self.noted = []
 
     def sending(self, order, group, left):
-        self.noted.append(["taken", time.time(), order.txn, min(left, group.timeout / SECOND)])
+        self.noted.append(["taken", time.time(), order.txn, min(left, group.timeout / TICKS_PER_SECOND)])
 
     def answered(self, order, at, group, work, answer, away=0):
         self.noted.append(["answered", time.time(), order.txn, answer])
@@ -129,16 +129,18 @@
             with self.more:
                 now = self.now()
                 if order.call is None:
-                    order.call = self.policy.call(now / SECOND, self.script.groups[order.clients.group].name)
+                    order.call = self.policy.call(
+                        now / TICKS_PER_SECOND, self.script.groups[order.clients.group].name
+                    )
                 try:
-                    todo = order.call.next(now / SECOND)
+                    todo = order.call.next(now / TICKS_PER_SECOND)
                 except self.said.Error:
                     todo = None
                 if isinstance(todo, self.said.Try):
                     return due
                 self.open -= 1
                 if todo is not None:
-                    self.at(int(todo.until * SECOND) + 1, order)
+                    self.at(int(todo.until * TICKS_PER_SECOND) + 1, order)
                 self.more.notify()
         return None
 
@@ -150,7 +152,7 @@
             "killed": self.said.KILLED,
         }.get(answer, self.said.LOST)
         with self.more:
-            order.call.ended(self.now() / SECOND, outcome, away / SECOND)
+            order.call.ended(self.now() / TICKS_PER_SECOND, outcome, away / TICKS_PER_SECOND)
             if outcome != self.said.FINISHED:
                 self.at(self.now(), order)
 
--- a/tests/bench_free.py
+++ b/tests/bench_free.py
@@ -10,30 +10,41 @@
 from queue import Queue
 from threading import Lock, Thread
 
-from wickvane import interface as i
+from wickvane.events import (
+    AttemptEnded,
+    Deployment,
+    Effect,
+    Ending,
+    EngineState,
+    EngineUpdated,
+    KeyScope,
+    QueryArrived,
+    ResourceGroup,
+    TimerFired,
+)
 from wickvane.net.service import Service
+from wickvane.quotas.fleet import join
 from wickvane.scheduler import Scheduler
-from wickvane.shares.fleet import join
 
 
 def group(**changes):
     usual = dict(
-        effect=i.READ_ONLY,
-        drops_repeats=i.ANY_ENGINE,
-        repeat_window=120_000,
-        promise=15_000,
-        stretch=2.0,
+        effect=Effect.READ_ONLY,
+        key_scope=KeyScope.ANY_ENGINE,
+        idempotency_window=120_000,
+        latency_objective=15_000,
+        objective_stretch=2.0,
         timeout=75_000,
-        value=1.0,
-        late_value=0.0,
+        priority_weight=1.0,
+        late_priority_weight=0.0,
         ordered=False,
         zones=None,
         kinds=None,
         threads=1,
-        loads=False,
-        stands_behind_loads=False,
+        is_bulk_load=False,
+        yields_to_bulk_loads=False,
     )
-    return i.ResourceGroup(**usual | changes)
+    return ResourceGroup(**usual | changes)
 
 
 def site(groups, tenants=1, **changes):
@@ -42,82 +53,82 @@
         tenants=[(1 / tenants, 10.0)] * tenants,
         cores=[8, 4],
         memory=[16384.0, 8192.0],
-        gateways=1,
+        dispatcher_count=1,
         zone=0,
-        crossing=0.0,
-        most_submissions=5,
-        may_cancel=True,
-        grants=False,
+        cross_zone_cost=0.0,
+        max_attempts=5,
+        can_cancel=True,
+        memory_grants=False,
         priorities=True,
-        most_grant=0.4,
-        note_period=0,
-        asks_for_list=False,
-        ask_within=0,
-        key_rest=3000,
-        extra_free=3.0,
-        extra_share=0.1,
-        extra_window=0,
-        cold_from=0.3,
-        cold_time=150_000,
-        fall_multiple=2.5,
-        fall_time=30_000,
-        longest_advice=0,
+        max_memory_grant=0.4,
+        progress_interval=0,
+        subscribes_to_endpoints=False,
+        poll_deadline=0,
+        key_quarantine=3000,
+        retry_budget_minimum=3.0,
+        retry_budget_ratio=0.1,
+        retry_budget_window=0,
+        slow_start_fraction=0.3,
+        slow_start_duration=150_000,
+        collapse_multiple=2.5,
+        collapse_window=30_000,
+        max_retry_after=0,
         reports=[],
     )
-    return i.Deployment(**usual | changes)
+    return Deployment(**usual | changes)
 
 
 class Gateways:
-    """One gateway and all that it wrote. in_fleet: it hears of other dispatchers."""
+    """One gateway and all that it wrote. in_fleet: it hears of other dispatcher_count."""
 
     def __init__(self, deployment, seed=1, in_fleet=False):
-        self.gateway, self.now, self.site = Scheduler(seed, deployment), 1_000_000, deployment
+        self.scheduler, self.now, self.site = Scheduler(seed, deployment), 1_000_000, deployment
         self.sent, self.out, self.final, self.cancelled, self.log = {}, {}, {}, [], []
         self.count, self.next_q, self.alarms, self.answered = {}, 0, [], {}
         if in_fleet:
-            join(self.gateway)
+            join(self.scheduler)
 
     def round(self, *events, after=0):
         self.now += after
-        self.gateway.round(self.now, list(events), self)
+        self.scheduler.round(self.now, list(events), self)
 
     def engines(self, n, **changes):
         for e in range(n):
             self.engine(e, **changes)
 
-    def engine(self, e, state=i.READY, zone=0, kind=0, cell=0, started=0, name=None):
+    def engine(self, e, state=EngineState.READY, zone=0, kind=0, cell=0, started=0, name=None):
         rank = f"engine-{e if name is None else name}".encode()
-        self.round(i.EngineListed(e, rank, state, zone, kind, cell, started, 1.0))
+        self.round(EngineUpdated(e, rank, state, zone, kind, cell, started, 1.0))
 
-    def take(self, rg=0, tenant=0, cost=1000, coord=1, key=None, left=70_000):
+    def take(self, resource_group=0, tenant=0, cost=1000, table_group=1, key=None, left=70_000):
         q, self.next_q = self.next_q, self.next_q + 1
         self.sent[q], self.count[q] = [], 0
-        self.round(i.Taken(q, rg, tenant, cost, 10, coord, key, left))
+        self.round(QueryArrived(q, resource_group, tenant, cost, 10, table_group, key, left))
         return q
 
-    def end(self, q, ending=i.FINISHED, elapsed=1000, work=0, after=0):
+    def end(self, q, ending=Ending.FINISHED, elapsed=1000, work=0, after=0):
         e = self.out.pop(q)
-        done = ending == i.FINISHED or q in self.final
-        self.round(i.Ended(q, self.count[q] - 1, e, ending, elapsed, done, work, 0, None), after=after)
+        done = ending == Ending.FINISHED or q in self.final
+        self.round(AttemptEnded(q, self.count[q] - 1, e, ending, elapsed, done, work, 0, None), after=after)
 
-    def submit(self, q, engine, wait, start_by):
+    def start_attempt(self, q, engine, wait, start_by):
         self.sent[q].append((self.now, engine))
         self.out[q] = engine
         self.count[q] += 1
 
-    def defer(self, q, stay_away):
+    def reject(self, q, stay_away):
         self.final[q], self.answered[q] = "deferred", self.now
 
-    def kill(self, q):
+    def fail(self, q):
         self.final[q], self.answered[q] = "killed", self.now
 
-    def cancel(self, q, submission):
+    def cancel_attempt(self, q, submission):
         self.cancelled.append(q)
 
-    def terms(self, q, priority, grant):
+    def set_terms(self, q, priority, grant):
         self.log.append((q, priority, grant))
 
-    def alarm(self, token, at):
+    def set_timer(self, token, at):
         assert at > self.now
         self.alarms.append(at)
 
@@ -126,12 +137,12 @@
         while self.alarms and min(self.alarms) <= until:
             self.now = min(self.alarms)
             self.alarms = [at for at in self.alarms if at > self.now]
-            self.round(i.Due(1))
+            self.round(TimerFired(1))
 
-    def watch_list(self, on):
+    def watch_endpoints(self, on):
         self.log.append(on)
 
-    def note(self, text):
+    def log_note(self, text):
         self.log.append(text)
 
 
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -14,8 +14,8 @@
 
 from fleet.rig import KEY, ROOT, SEEDS, Fleet, between, fleet
 from wickvane import parts
+from wickvane.cluster import shell
 from wickvane.net.counters import Counters
-from wickvane.peers import shell
 from wickvane.rehearsal.relay import udp_ports
 
 seeds = pytest.mark.parametrize("seed", SEEDS)
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickvane import interface as i
+from wickvane.events import EngineState
 from wickvane.flows import accounts as a
 
 LOCAL = bytes([127, 0, 0, 1])
@@ -29,14 +29,14 @@
 
 def test_a_flow_that_spans_a_drain_keeps_its_id_and_tells_the_state_at_both_ends():
     accounts = a.Accounts(1, 100, 1000, 100_000)
-    accounts.engine_state("e0", i.READY)
+    accounts.engine_state("e0", EngineState.READY)
     connection = opened(accounts, engine="e0")
     accounts.count(connection, (0, 0), 100, a.FORWARD, 50, 1, a.FIRST)
     first = drained(accounts, 1100)
-    accounts.engine_state("e0", i.DRAINING)
+    accounts.engine_state("e0", EngineState.DRAINING)
     accounts.count(connection, (0, 0), 1200, a.REVERSE, 70, 1)
     second = drained(accounts, 2300)
-    accounts.engine_state("e0", i.GONE)
+    accounts.engine_state("e0", EngineState.GONE)
     accounts.closed(connection, 2400)
     last = drained(accounts, 2500)
     (one,), (two,), (three,) = first, second, last
@@ -57,11 +57,11 @@
 
 def test_an_address_taken_over_by_a_new_engine_is_no_matter_of_the_old_ones_flow():
     accounts = a.Accounts(1, 100, 100_000, 100_000)
-    accounts.engine_state("old", i.READY)
+    accounts.engine_state("old", EngineState.READY)
     old = opened(accounts, engine="old")
     accounts.count(old, (0, 0), 1, a.FORWARD, 10, 1)
-    accounts.engine_state("old", i.GONE)
-    accounts.engine_state("new", i.READY)
+    accounts.engine_state("old", EngineState.GONE)
+    accounts.engine_state("new", EngineState.READY)
     new = opened(accounts, engine="new")
     accounts.count(new, (0, 0), 2, a.FORWARD, 20, 1)
     accounts.count(old, (0, 0), 3, a.REVERSE, 5, 1)
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -11,7 +11,7 @@
 from test_tds import Dispatcher as TdsDispatcher
 from test_tds import TdsEngine
 
-from wickvane import interface as i
+from wickvane.events import AttemptEnded, Ending, EngineState, EngineUpdated, QueryArrived
 from wickvane.net.tds import errors
 from wickvane.rehearsal import script as scripts
 from wickvane.rehearsal import world
@@ -22,7 +22,7 @@
 
 def gateway(advice=50_000):
     deployment = world.deployment(scripts.read_text(SMALL.format(more="")))
-    return Scheduler(3, deployment._replace(longest_advice=advice))
+    return Scheduler(3, deployment._replace(max_retry_after=advice))
 
 
 class Away:
@@ -31,7 +31,7 @@
     def __init__(self):
         self.told = []
 
-    def defer(self, q, stay_away):
+    def reject(self, q, stay_away):
         self.told.append(stay_away)
 
     def __getattr__(self, name):
@@ -41,7 +41,7 @@
 def deferred(made, now, out, count, cost=1000):
     """So many queries that no engine can take: nothing is listed, and their time is nearly over."""
     for n in range(count):
-        made.round(now, [i.Taken(n, 0, 0, cost, 10, 0, None, 300)], out)
+        made.round(now, [QueryArrived(n, 0, 0, cost, 10, 0, None, 300)], out)
     for later in range(now, now + 400, 100):
         made.round(later, [], out)
 
@@ -74,13 +74,13 @@
 def test_a_pace_is_the_work_finished_lately_as_a_plain_reckoning_has_it():
     chance = random.Random(2)
     made, out, now, plain = gateway(), Away(), 0, 0.0
-    made.round(0, [i.EngineListed(0, b"e", i.READY, 0, 0, 0, 0, 1.0)], out)
+    made.round(0, [EngineUpdated(0, b"e", EngineState.READY, 0, 0, 0, 0, 1.0)], out)
     before = 0
     for q in range(200):
         now += chance.randrange(1, 2000)
         work = chance.randrange(1, 5000)
-        made.round(now, [i.Taken(q, 0, 0, 100, 10, 0, None, 30_000)], out)
-        made.round(now, [i.Ended(q, 0, 0, i.FINISHED, 5, True, work, 0, None)], out)
+        made.round(now, [QueryArrived(q, 0, 0, 100, 10, 0, None, 30_000)], out)
+        made.round(now, [AttemptEnded(q, 0, 0, Ending.FINISHED, 5, True, work, 0, None)], out)
         plain = plain * max(0.0, 1 - (now - before) / PACE_OVER) + work
         before = now
         assert made.done == pytest.approx(plain)
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -8,9 +8,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickvane.policy import agreement, lease
-from wickvane.policy.agreement import APPEND, LEADER, POLICY, VOTERS, Voter
-from wickvane.policy.lease import Holder, Lender
+from wickvane.config_log import agreement, lease
+from wickvane.config_log.agreement import APPEND, LEADER, POLICY, VOTERS, Voter
+from wickvane.config_log.lease import Holder, Lender
+from wickvane.units import TICKS_PER_SECOND
 
 MARKS = ("a", "b", "c")
 
@@ -80,7 +81,7 @@
     def seeks(self, mark):
         # Silence is long enough for all: that is the clock's matter, and may always be so.
         for voter in self.voters.values():
-            voter.now, voter.leader_at = voter.now + 10 * agreement.SECOND, voter.leader_at
+            voter.now, voter.leader_at = voter.now + 10 * TICKS_PER_SECOND, voter.leader_at
         self.does(mark, self.module.Voter.seek)
 
     def arrives(self, n, keep):
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -11,8 +11,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickvane.shares import broker
-from wickvane.shares.broker import ASK, BACK, GRANT, KEPT, TERM, UNITS, Broker
+from wickvane.quotas import broker
+from wickvane.quotas.broker import ASK, BACK, GRANT, KEPT, TERM, UNITS, Broker
 
 TICK, WINDOW = 500, 10_000
 EPSILON = 1e-6
--- a/tests/test_cold_fleets.py
+++ b/tests/test_cold_fleets.py
@@ -6,8 +6,9 @@
 from random import Random
 
 import pytest
-from bench_free import Gateways, collapse_budget, group, i, site
+from bench_free import Gateways, collapse_budget, group, site
 
+from wickvane.events import TimerFired
 from wickvane.scheduler import Scheduler
 
 BUSY, CORES, STEP = 0.85, 8, 500  # the share of cores that is an engine's capacity; a step in tenths of a ms
@@ -29,12 +30,12 @@
         # Light ones, and ones of which one dispatcher's part of a cold engine holds less than one.
         self.work = self.chance.choice([1500, 8000, 30_000])
         self.site = site(
-            [group(timeout=200_000, promise=150_000)],
-            gateways=self.size,
-            fall_time=FALL_TIME,
-            fall_multiple=FALL_MULTIPLE,
-            cold_from=COLD_FROM,
-            cold_time=COLD_TIME,
+            [group(timeout=200_000, latency_objective=150_000)],
+            dispatcher_count=self.size,
+            collapse_window=FALL_TIME,
+            collapse_multiple=FALL_MULTIPLE,
+            slow_start_fraction=COLD_FROM,
+            slow_start_duration=COLD_TIME,
         )
         self.made, self.sent = 0, {}
         self.dispatchers = [self.dispatcher() for _ in range(self.size)]
@@ -47,13 +48,13 @@
     def dispatcher(self):
         self.made += 1
         one = Gateways(self.site, self.made * 1000 + self.chance.randrange(1000))
-        submit = one.submit
+        start_attempt = one.start_attempt
 
         def counted(q, engine, wait, start_by):
             self.sent.setdefault(engine, []).append(one.now)
-            submit(q, engine, wait, start_by)
+            start_attempt(q, engine, wait, start_by)
 
-        one.submit = counted
+        one.start_attempt = counted
         return one
 
     def start_engine(self, engine):
@@ -72,9 +73,9 @@
         self.now += STEP
         for one, rate in zip(self.dispatchers, self.traffic):
             one.now = self.now
-            one.round(i.Due(1))
+            one.round(TimerFired(1))
             while self.chance.random() < min(0.95, rate * burst):
-                one.take(cost=self.work, coord=self.chance.randrange(8), left=150_000)
+                one.take(cost=self.work, table_group=self.chance.randrange(8), left=150_000)
             for q in [q for q in one.out if self.chance.random() < STEP / max(STEP, self.work)]:
                 one.end(q, elapsed=self.work, work=self.work)
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -10,20 +10,20 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, invariant, rule
 
-from wickvane import interface as i
-from wickvane.control import fleet as fl
-from wickvane.control import store
-from wickvane.control.catalog import CDS, EDS, LDS, RDS, read_version
-from wickvane.control.hub import Hub, Nodes, Refused
-from wickvane.control.placement import FIRST_MOST, LATER, WARM_STEPS, Placement
-from wickvane.control.session import ASKS_MOST, DELTA, SOTW, Broken
+from wickvane.events import EngineState, EngineUpdated
 from wickvane.scheduler import FIRST_ENGINES, Scheduler
+from wickvane.units import TICKS_PER_SECOND
+from wickvane.xds import fleet as fl
+from wickvane.xds import store
+from wickvane.xds.catalog import CDS, EDS, LDS, RDS, read_version
+from wickvane.xds.hub import Hub, Nodes, Refused
+from wickvane.xds.placement import FIRST_MOST, LATER, WARM_STEPS, Placement
+from wickvane.xds.session import ASKS_MOST, DELTA, SOTW, Broken
 
-SECOND = 10_000
 TABLES = (1, 2, 3)
 
 
-def entry(name, state=i.READY, started=0, kind="old", zone="dc", port=None):
+def entry(name, state=EngineState.READY, started=0, kind="old", zone="dc", port=None):
     return name, ("127.0.0.1", port or 1000 + int(name[1:])), state, zone, kind, 0, started, 1.0
 
 
@@ -51,7 +51,7 @@
 
 
 def hub(**more):
-    return Hub(placed(), Plain(), 2 * SECOND, **more)
+    return Hub(placed(), Plain(), 2 * TICKS_PER_SECOND, **more)
 
 
 # The list
@@ -59,15 +59,15 @@
 
 def test_what_drained_never_comes_back_but_as_a_later_process():
     found, _ = fl.changed(fl.Fleet(), 0, 1, True, [entry("e1"), entry("e2")], fl.Floor())
-    found, _ = fl.changed(found, 5, 2, False, [entry("e1", i.DRAINING)], fl.Floor())
+    found, _ = fl.changed(found, 5, 2, False, [entry("e1", EngineState.DRAINING)], fl.Floor())
     assert found.engines["e1"].told == 5 and [e.name for e in found.ready()] == ["e2"]
-    for index, again in ((3, [entry("e1")]), (4, [entry("e1", i.GONE)]), (5, [entry("e1")])):
+    for index, again in ((3, [entry("e1")]), (4, [entry("e1", EngineState.GONE)]), (5, [entry("e1")])):
         found, notes = fl.changed(found, 9, index, False, again, fl.Floor())
         assert [e.name for e in found.ready()] == ["e2"]
     assert notes == [("engine-not-taken-back", {"engine": "e1", "index": 5})]
     found, _ = fl.changed(found, 9, 6, False, [entry("e1", started=7)], fl.Floor())
     assert sorted(e.name for e in found.ready()) == ["e1", "e2"]
-    old, notes = fl.changed(found, 9, 6, False, [entry("e2", i.GONE)], fl.Floor())
+    old, notes = fl.changed(found, 9, 6, False, [entry("e2", EngineState.GONE)], fl.Floor())
     assert old is found and notes[0][0] == "list-older"
 
 
@@ -84,7 +84,7 @@
     assert counts[-1] == 1 and (what != fl.STEPS or counts[:5] == [8, 6, 4, 2, 1])
     # Named as draining it is taken at its word, however many.
     found, _ = fl.changed(fl.Fleet(), 0, 1, True, [entry(f"e{n}") for n in range(10)], floor)
-    found, _ = fl.changed(found, 0, 2, False, [entry(f"e{n}", i.DRAINING) for n in range(9)], floor)
+    found, _ = fl.changed(found, 0, 2, False, [entry(f"e{n}", EngineState.DRAINING) for n in range(9)], floor)
     assert len(found.ready()) == 1
 
 
@@ -100,7 +100,9 @@
 def test_a_snapshot_cut_or_spoilt_at_any_octet_is_told_and_a_whole_one_comes_back(tmp_path):
     floor = fl.Floor()
     found, _ = fl.changed(fl.Fleet(), 0, 1, True, [entry(f"e{n}") for n in range(4)], floor)
-    found, _ = fl.changed(found, 7, 2, False, [entry("e1", i.DRAINING), entry("e2", i.GONE)], floor)
+    found, _ = fl.changed(
+        found, 7, 2, False, [entry("e1", EngineState.DRAINING), entry("e2", EngineState.GONE)], floor
+    )
     store.save(tmp_path, found)
     back = store.load(tmp_path)
     assert back == found._replace(old=True)
@@ -139,7 +141,11 @@
 @settings(max_examples=60, deadline=None)
 @given(
     st.lists(
-        st.tuples(st.integers(0, 60), st.sampled_from([i.READY] * 3 + [i.DRAINING, i.GONE]), st.booleans()),
+        st.tuples(
+            st.integers(0, 60),
+            st.sampled_from([EngineState.READY] * 3 + [EngineState.DRAINING, EngineState.GONE]),
+            st.booleans(),
+        ),
         min_size=1,
         max_size=120,
     ),
@@ -157,7 +163,7 @@
         for table in TABLES:
             places = made.cache.get(f"g0/{table}", ())
             assert [(p.name, p.priority) for p in places if p.weight] == plain_places(fleet, table)
-            assert all(fleet.engines[p.name].state != i.READY for p in places if not p.weight)
+            assert all(fleet.engines[p.name].state != EngineState.READY for p in places if not p.weight)
 
 
 def test_the_order_is_the_dispatcher_s_own():
@@ -166,9 +172,9 @@
     fleet, _ = fl.changed(fl.Fleet(), 0, 1, True, [entry(name) for name in names], fl.Floor())
     made.list(0, fleet)
     for n, name in enumerate(names):
-        gateway.round(i.EngineListed(n, name.encode(), i.READY, 0, 0, 0, 0, 1.0))
+        gateway.round(EngineUpdated(n, name.encode(), EngineState.READY, 0, 0, 0, 0, 1.0))
     for table in TABLES:
-        order = [names[e] for e in gateway.gateway.order_of(table)]
+        order = [names[e] for e in gateway.scheduler.order_of(table)]
         assert [p.name for p in made.cache[f"g0/{table}"]] == order[: FIRST_ENGINES + LATER]
     assert Scheduler.order_of  # the same text decides
 
@@ -186,11 +192,16 @@
         assert {int(p.name[1:]) % 2 for p in made.cache[f"a/{table}"]} == {0, 1}
 
 
-@given(st.integers(1, 20), st.integers(0, 20 * SECOND), st.integers(0, 10 * SECOND), st.integers(0, 5))
+@given(
+    st.integers(1, 20),
+    st.integers(0, 20 * TICKS_PER_SECOND),
+    st.integers(0, 10 * TICKS_PER_SECOND),
+    st.integers(0, 5),
+)
 @settings(max_examples=100, deadline=None)
 def test_no_weight_is_above_what_an_engine_has_of_its_cores_by_the_slowest_proxy(count, age, late, seed):
     made, chance = placed(), random.Random(seed)
-    now = 100 * SECOND
+    now = 100 * TICKS_PER_SECOND
     rows = [entry(f"e{n}", started=(now - age) / 10 if n % 3 == 0 else 0) for n in range(count)]
     fleet, _ = fl.changed(fl.Fleet(), 0, 1, True, rows, fl.Floor())
     made.lateness, before, updates = late, {}, 0
@@ -310,7 +321,7 @@
 
     def __init__(self):
         super().__init__()
-        self.now, self.events, self.next_engine = SECOND, [], 6
+        self.now, self.events, self.next_engine = TICKS_PER_SECOND, [], 6
         self.hubs, self.heard, self.drained, self.all = [hub(), hub()], [0, 0], {}, []
         self.tell([entry(f"e{n}") for n in range(6)], True)
         self.hear(0, 1)
@@ -318,7 +329,7 @@
     def tell(self, rows, whole=False):
         self.events.append((len(self.events) + 1, whole, rows))
         for row in rows:
-            if row[2] != i.READY:
+            if row[2] != EngineState.READY:
                 self.drained.setdefault(row[0], len(self.events))
 
     def hear(self, which, count):
@@ -333,7 +344,7 @@
         proxy.connect(self.hubs[which], self.now)
         return proxy
 
-    @rule(n=st.integers(0, 30), state=st.sampled_from([i.DRAINING, i.GONE]))
+    @rule(n=st.integers(0, 30), state=st.sampled_from([EngineState.DRAINING, EngineState.GONE]))
     def leaves(self, n, state):
         names = [f"e{k}" for k in range(self.next_engine)]
         self.tell([entry(names[n % len(names)], state)])
@@ -353,7 +364,7 @@
     def reaches(self, which, count):
         self.hear(which, count)
 
-    @rule(time=st.sampled_from([1, 100, 700, SECOND, 5 * SECOND]))
+    @rule(time=st.sampled_from([1, 100, 700, TICKS_PER_SECOND, 5 * TICKS_PER_SECOND]))
     def passes(self, time):
         self.now += time
         for one in self.hubs:
@@ -404,7 +415,7 @@
         """In the end everything arrives, and every proxy holds the newest."""
         for which in (0, 1):
             self.hear(which, len(self.events))
-        self.now += 60 * SECOND
+        self.now += 60 * TICKS_PER_SECOND
         for one in self.hubs:
             one.tick(self.now)
         # Versions count on what a hub was told: an event more ends what was refused.
@@ -446,7 +457,7 @@
     first = made.next(proxy.number, now)
     assert first.kind == EDS and not first.drain  # and it is not acknowledged
     gone = proxy.sends_to().pop()
-    made.listed(now, 3, False, [entry(gone, i.DRAINING)])
+    made.listed(now, 3, False, [entry(gone, EngineState.DRAINING)])
     found = made.next(proxy.number, now)
     assert found.drain and found.kind == EDS and made.next(proxy.number, now) is None
     session, events = made.sessions[proxy.number], []
@@ -459,7 +470,7 @@
         events += [event for event, _ in made.told()]
         assert again is None or again.drain and set(found.names) <= set(again.names)
     assert session.counts["told-again"] == 2 and session.counts["late"] == 1
-    assert events == ["drain-unacknowledged"] and now < 30 * 600 + 2 * SECOND
+    assert events == ["drain-unacknowledged"] and now < 30 * 600 + 2 * TICKS_PER_SECOND
     # Its word comes at last.
     if variant == SOTW:
         session.asked_sotw(now, EDS, "", again.nonce, [f"g0/{t}" for t in (0, *TABLES)], None)
@@ -512,7 +523,7 @@
 
 def test_a_proxy_that_comes_from_a_newer_list_is_sent_nothing_older():
     newer, older, proxy = hub(), hub(), Proxy(DELTA, "p")
-    events = [(1, True, [entry(f"e{n}") for n in range(8)]), (2, False, [entry("e3", i.DRAINING)])]
+    events = [(1, True, [entry(f"e{n}") for n in range(8)]), (2, False, [entry("e3", EngineState.DRAINING)])]
     for event in events:
         newer.listed(0, *event)
     older.listed(0, *events[0])
@@ -541,16 +552,16 @@
 
 
 def test_endpoints_with_a_time_to_live_are_named_again_ahead_of_its_end():
-    made, proxy = hub(ttl=3 * SECOND), Proxy(DELTA, "p")
+    made, proxy = hub(ttl=3 * TICKS_PER_SECOND), Proxy(DELTA, "p")
     made.listed(0, 1, True, [entry("e1")])
     proxy.connect(made, 0)
     now = settled(proxy, 0)
     beats, last = [], now
-    while now < 30 * SECOND:
-        now = made.sessions[proxy.number].next_at(now) or now + SECOND
+    while now < 30 * TICKS_PER_SECOND:
+        now = made.sessions[proxy.number].next_at(now) or now + TICKS_PER_SECOND
         response = made.next(proxy.number, now)
         if response is not None:
-            assert response.heartbeat and now - last <= 3 * SECOND // 2
+            assert response.heartbeat and now - last <= 3 * TICKS_PER_SECOND // 2
             beats.append(response)
             last = now
     assert 20 < len(beats) < 40 and all(len(b.names) == 1 + len(TABLES) for b in beats)
@@ -586,7 +597,7 @@
 
 def test_who_may_have_what_and_how_many_streams():
     rules = Nodes((("edge-*", ("g0",)), ("ops", None)), streams_most=3, a_node_most=1)
-    made = Hub(placed([group(), group(kinds=frozenset([1]))]), Plain(), 2 * SECOND, rules)
+    made = Hub(placed([group(), group(kinds=frozenset([1]))]), Plain(), 2 * TICKS_PER_SECOND, rules)
     made.listed(0, 1, True, [entry(f"e{n}", kind=("old", "new")[n % 2]) for n in range(8)])
     edge, ops = Proxy(DELTA, "edge-7"), Proxy(DELTA, "ops")
     for proxy in (edge, ops):
--- a/tests/test_control_sockets.py
+++ b/tests/test_control_sockets.py
@@ -19,8 +19,8 @@
 from test_rehearsal import ROOT
 
 from wickvane import parts
-from wickvane.control import store, tool
-from wickvane.control.server import Server
+from wickvane.xds import store, tool
+from wickvane.xds.server import Server
 
 COLD = SETTINGS | {
     "obligations": SETTINGS["obligations"]
@@ -281,7 +281,7 @@
 
 
 def test_hostile_streams_cost_their_own_and_a_first_word_is_waited_for_in_time(loop, monkeypatch):
-    monkeypatch.setattr("wickvane.control.server.FIRST_S", 0.3)
+    monkeypatch.setattr("wickvane.xds.server.FIRST_S", 0.3)
     control = Control(more=MORE + "streams 20\n streams-a-node 2")
     good = loop.start(Proxy("good"), control.port)
     until(lambda: good.sends_to())
--- a/tests/test_damping.py
+++ b/tests/test_damping.py
@@ -15,14 +15,15 @@
 from test_rehearsal import ROOT, SMALL, Served
 from test_storm import DAY, begun, told
 
-from wickvane import interface as i
+from wickvane.events import QueryArrived
 from wickvane.net import storms
 from wickvane.net.tds import errors
 from wickvane.net.tds import tokens as t
-from wickvane.pace import EASE, LEAST, SECOND, STEP, Pace
+from wickvane.pace import EASE, LEAST, STEP, Pace
 from wickvane.rehearsal import script as scripts
 from wickvane.rehearsal import tds, world
 from wickvane.storm import STORM
+from wickvane.units import TICKS_PER_SECOND
 
 # First tries
 
@@ -32,7 +33,7 @@
     for again, cost in ((True, 950), (False, 3000), (True, 700), (False, 1000)):
         q, made.next_q = made.next_q, made.next_q + 1
         made.sent[q], made.count[q] = [], 0
-        made.round(i.Taken(q, 0, 0, cost, 10, 1, None, 70_000, again))
+        made.round(QueryArrived(q, 0, 0, cost, 10, 1, None, 70_000, again))
         came.append(q)
     assert not made.out  # nothing is listed to send to
     made.engines(1)
@@ -67,8 +68,8 @@
             elif not got:
                 assert 0 < pace.stay_away(at) <= 20_000
         if rate is not None:
-            credit = (credit or 0.0) + rate * STEP / SECOND
-            assert let <= credit + max(1.0, rate * STEP / SECOND)
+            credit = (credit or 0.0) + rate * STEP / TICKS_PER_SECOND
+            assert let <= credit + max(1.0, rate * STEP / TICKS_PER_SECOND)
         else:
             credit, let = None, 0
         now, cpu = now + STEP, cpu + used
@@ -81,7 +82,7 @@
             if rate is not None and pace.rate is None
             else []
         )
-        strained = lag > pace.late or used > 0.9 * STEP / SECOND
+        strained = lag > pace.late or used > 0.9 * STEP / TICKS_PER_SECOND
         if rate is not None and pace.rate is not None:
             assert pace.rate == pytest.approx(max(LEAST, 0.85 * rate) if strained else rate + 1)
 
@@ -99,7 +100,7 @@
     pace = held()
     away = [pace.stay_away(STEP) for _ in range(20)]
     gaps = [b - a for a, b in zip(away, away[1:])]
-    assert all(gap == pytest.approx(SECOND / pace.rate, abs=1) for gap in gaps)
+    assert all(gap == pytest.approx(TICKS_PER_SECOND / pace.rate, abs=1) for gap in gaps)
     far = [pace.stay_away(STEP) for _ in range(800)]
     assert max(far) <= 40_000 and len(set(far[-100:])) > 50
     quiet = Pace(0, 5_000, 1.0, 0, 1)
@@ -293,7 +294,9 @@
     text = CROWD.format(crowd=crowd, more="", retries=0, gateways=gateways)
     outcome = world.play(scripts.read_text(text), 1, False)
     asked = sum(
-        query.rg == 2 and not query.tries for host in outcome.world.hosts for query in host.queries.values()
+        query.resource_group == 2 and not query.tries
+        for host in outcome.world.hosts
+        for query in host.queries.values()
     )
     in_time = sum(latency <= 8_000 for latency in outcome.world.latencies[2])
     assert outcome.breaches == [] and asked > 300 and in_time > 0.93 * asked
--- a/tests/test_escrow.py
+++ b/tests/test_escrow.py
@@ -11,8 +11,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickvane.shares import escrow
-from wickvane.shares.escrow import Escrow
+from wickvane.quotas import escrow
+from wickvane.quotas.escrow import Escrow
 
 OWN, KEPT, TERM, WINDOW = 2, 1, 3, 1
 HORIZON, WIRE_MOST, STATES_MOST = 9, 3, 400_000
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -15,8 +15,17 @@
 from scipy.stats import ttest_1samp
 from test_rehearsal import ROOT, SMALL, offer
 
-from wickvane import interface as i
 from wickvane import parts
+from wickvane.events import (
+    FOREVER,
+    AttemptEnded,
+    ClientGone,
+    Effect,
+    Ending,
+    EngineState,
+    EngineUpdated,
+    QueryArrived,
+)
 from wickvane.rehearsal import baselines, cells, experiment, model, plots, world
 from wickvane.rehearsal import script as scripts
 
@@ -162,11 +171,11 @@
             words, 0 if words[3] == "abc:wickvane/choice.py" else 128, text.encode()
         ),
     )
-    cells.module_text.cache_clear()
+    cells.earlier.cache_clear()
     script = scripts.read_text(QUICK.format(more=""))
     outcome = world.play(script, 1, False, cells.gateway_of("commit:abc"))
     assert outcome.counts["deferred"] > 50 and outcome.counts["finished"] == 0
-    cells.module_text.cache_clear()
+    cells.earlier.cache_clear()
     cells.gateway_of.cache_clear()
 
 
@@ -179,17 +188,17 @@
     def __init__(self):
         self.sent, self.deferred, self.killed, self.cancelled = {}, [], [], []
 
-    def submit(self, q, engine, wait, start_by):
+    def start_attempt(self, q, engine, wait, start_by):
         assert q not in self.sent
         self.sent[q] = engine
 
-    def defer(self, q, stay_away):
+    def reject(self, q, stay_away):
         self.deferred.append(q)
 
-    def kill(self, q):
+    def fail(self, q):
         self.killed.append(q)
 
-    def cancel(self, q, submission):
+    def cancel_attempt(self, q, submission):
         self.cancelled.append(q)
 
 
@@ -199,13 +208,15 @@
 def test_a_baseline_sends_once_to_what_is_ready_and_answers_what_failed(name, steps):
     deployment = world.deployment(scripts.read_text(SMALL.format(more="")))
     gateway, out = baselines.BASELINES[name](1, deployment), Writer()
-    gateway.round(0, [i.EngineListed(e, b"e%d" % e, i.READY, 0, 0, 0, 0, 1.0) for e in range(4)], out)
+    gateway.round(
+        0, [EngineUpdated(e, b"e%d" % e, EngineState.READY, 0, 0, 0, 0, 1.0) for e in range(4)], out
+    )
     ready, running, q, answered = {0, 1, 2, 3}, {}, 0, set()
     for what, n in steps:
         if what == "taken":
             q += 1
             before = {e: sum(x == e for x in running.values()) for e in ready}
-            gateway.round(q, [i.Taken(q, n % 2, 0, 10, 10, 0, None, 1000)], out)
+            gateway.round(q, [QueryArrived(q, n % 2, 0, 10, 10, 0, None, 1000)], out)
             if not ready:
                 assert out.deferred[-1] == q
                 continue
@@ -215,18 +226,18 @@
             running[q] = out.sent[q]
         elif what == "drain":
             ready.discard(n % 4)
-            gateway.round(q, [i.EngineListed(n % 4, b"e", i.DRAINING, 0, 0, 0, 0, 1.0)], out)
+            gateway.round(q, [EngineUpdated(n % 4, b"e", EngineState.DRAINING, 0, 0, 0, 0, 1.0)], out)
         elif running:
             one = sorted(running)[n % len(running)]
             if what == "left":
-                gateway.round(q, [i.Left(one)], out)
+                gateway.round(q, [ClientGone(one)], out)
                 assert (out.cancelled[-1:] == [one]) or one in answered
                 answered.add(one)
             else:
                 ending, group = n, gateway.open.get(one)
-                gateway.round(q, [i.Ended(one, 0, running.pop(one), ending, 5, False, 0, 0, None)], out)
-                if group is not None and ending != i.FINISHED:
-                    proven = ending >= i.TURNED_AWAY or group.effect == i.READ_ONLY
+                gateway.round(q, [AttemptEnded(one, 0, running.pop(one), ending, 5, False, 0, 0, None)], out)
+                if group is not None and ending != Ending.FINISHED:
+                    proven = ending >= Ending.REJECTED or group.effect == Effect.READ_ONLY
                     assert (out.deferred if proven else out.killed)[-1] == one
     assert [gateway.out[e] for e in range(4)] == [sum(x == e for x in running.values()) for e in range(4)]
 
@@ -328,12 +339,12 @@
 
     def round(self, now, events, out):
         for event in events:
-            if isinstance(event, i.Taken):
-                out.submit(event.query, 0, 0, i.FOREVER)
-            elif isinstance(event, i.Ended):
+            if isinstance(event, QueryArrived):
+                out.start_attempt(event.query, 0, 0, FOREVER)
+            elif isinstance(event, AttemptEnded):
                 self.heard.append((event.query, event.ending))
                 if not event.complete:
-                    out.kill(event.query)
+                    out.fail(event.query)
 
 
 def test_an_end_a_cancel_a_death_and_the_time_s_end_in_one_tick_are_one_ending():
@@ -350,7 +361,7 @@
         played = world.World(scripts.read_text(text), 1, False, Sender)
         host, process = played.hosts[0], played.processes[0]
         doing = [
-            lambda p=played, h=host: h.cancel(1, 0),
+            lambda p=played, h=host: h.cancel_attempt(1, 0),
             lambda p=played, e=process: p.ends(e),
             lambda p=played, e=process: e.look(e.model.version),
             lambda p=played, h=host, e=process: h.expires(h.queries[1], 0, e),
@@ -358,23 +369,23 @@
         for n in order:
             played.at(1011, doing[n])  # a round, and its work
         outcome = played.play()
-        assert len(host.gateway.heard) == 1, order
+        assert len(host.scheduler.heard) == 1, order
         assert [b for b in outcome.breaches if b[0] in (1, 2)] == []
-        ending = host.gateway.heard[0][1]
+        ending = host.scheduler.heard[0][1]
         told = [n for n in order if n in (1, 2)]
         # Cancelled first, it has left the engine: neither an end nor a death is heard of it any more.
         left = 0 in order and order.index(0) < min(map(order.index, told), default=9)
         assert ending == (
-            i.NO_ANSWER
+            Ending.NO_ANSWER
             if 3 in order
-            else i.CANCELLED
+            else Ending.CANCELLED
             if left or not told
-            else i.RESET
+            else Ending.RESET
             if told[0] == 1
-            else i.FINISHED
+            else Ending.FINISHED
         ), order
         seen.add(ending)
-    assert seen == {i.FINISHED, i.RESET, i.CANCELLED, i.NO_ANSWER}
+    assert seen == {Ending.FINISHED, Ending.RESET, Ending.CANCELLED, Ending.NO_ANSWER}
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -8,19 +8,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickvane import interface as i
-from wickvane.members import checks, document, membership
-from wickvane.members import roster as ro
-from wickvane.members.findings import CODES, HOLD, NOTE, REFUSE, STEPS, Unfit
-from wickvane.members.gather import Gathered
+from wickvane.endpoints import checks, document, membership
+from wickvane.endpoints import roster as ro
+from wickvane.endpoints.findings import CODES, HOLD, NOTE, REFUSE, STEPS, Unfit
+from wickvane.endpoints.gather import Gathered
+from wickvane.events import EngineState
+from wickvane.units import TICKS_PER_SECOND
 
-SECOND = 10_000
 FACTS = checks.Facts(
     {"old": 8, "new": 4},
     frozenset(("a", "b")),
     (("lookup", None, None), ("load", None, frozenset(("new",)))),
     0.3,
-    15 * SECOND,
+    15 * TICKS_PER_SECOND,
 )
 GOOD = """members generation=7 {
     engine "e1" address="10.0.0.1:5001" zone="a" type="old" weight=1.0 group=2 since-ms=5
@@ -30,7 +30,7 @@
 """
 
 
-def member(n, weight=1.0, kind="old", state=i.READY, zone="a", started=0, address=None):
+def member(n, weight=1.0, kind="old", state=EngineState.READY, zone="a", started=0, address=None):
     return ro.Member(
         f"e{n}",
         ("10.0.0.1", address or 1000 + n),
@@ -39,7 +39,7 @@
         0,
         started,
         weight,
-        i.DRAINING if weight == 0 else state,
+        EngineState.DRAINING if weight == 0 else state,
     )
 
 
@@ -81,9 +81,9 @@
                     self.told.clear()
                 for name, address, state, *_, started, weight in entries:
                     was = self.told.get(name)
-                    if was is not None and was[0] != i.READY and state == i.READY:
+                    if was is not None and was[0] != EngineState.READY and state == EngineState.READY:
                         assert name in back
-                    if state == i.GONE:
+                    if state == EngineState.GONE:
                         del self.told[name]
                     else:
                         self.told[name] = state, weight, address, started
@@ -119,7 +119,7 @@
         )
 
     def ready(self):
-        return {name for name, (state, *_) in self.told.items() if state == i.READY}
+        return {name for name, (state, *_) in self.told.items() if state == EngineState.READY}
 
     def codes(self, event):
         return [tuple(fields["codes"]) for name, fields in self.log if name == event]
@@ -132,7 +132,7 @@
     part = document.read(document.seal(GOOD.encode()), "m.kdl", sealed=True)
     one, two, three = part.members
     assert (part.generation, one) == (7, ro.Member("e1", ("10.0.0.1", 5001), "a", "old", 2, 5, 1.0))
-    assert two.state == i.DRAINING and three.state == i.DRAINING and three.weight == 0.5
+    assert two.state == EngineState.DRAINING and three.state == EngineState.DRAINING and three.weight == 0.5
     assert part.lines == {"e1": 2, "e2": 3, "e3": 4}
     same = {
         "generation": 7,
@@ -317,35 +317,39 @@
 def test_weight_zero_drains_and_a_number_above_brings_it_back():
     members = Members().offer(fleet(4), 1)
     members.offer(fleet(3) + [member(3, weight=0.0)], 2)
-    assert members.told["e3"][0] == i.DRAINING and members.ready() == {"e0", "e1", "e2"}
-    members.after(600 * SECOND)
-    assert members.told["e3"][0] == i.DRAINING  # listed, and drained for as long as the file says so
+    assert members.told["e3"][0] == EngineState.DRAINING and members.ready() == {"e0", "e1", "e2"}
+    members.after(600 * TICKS_PER_SECOND)
+    assert (
+        members.told["e3"][0] == EngineState.DRAINING
+    )  # listed, and drained for as long as the file says so
     again = members.restart()
-    assert again.told["e3"][0] == i.DRAINING
+    assert again.told["e3"][0] == EngineState.DRAINING
     again.offer(fleet(4), 1)
-    assert again.told["e3"][0] == i.DRAINING and again.codes("members-refused") == [("generation-back",)]
+    assert again.told["e3"][0] == EngineState.DRAINING and again.codes("members-refused") == [
+        ("generation-back",)
+    ]
     again.offer(fleet(4), 2)
     assert again.codes("members-refused")[-1] == ("generation-same",)
     assert again.offer(fleet(4), 3).ready() == {"e0", "e1", "e2", "e3"}
 
 
 def test_one_that_is_taken_off_drains_until_nothing_runs_there_or_its_time_is_over():
-    members, running = Members(linger=30 * SECOND).offer(fleet(4)), {"e3"}
+    members, running = Members(linger=30 * TICKS_PER_SECOND).offer(fleet(4)), {"e3"}
     members.offer(fleet(3))
-    assert members.told["e3"][:2] == (i.DRAINING, 0.0)
-    members.after(5 * SECOND, busy=lambda name: name in running)
+    assert members.told["e3"][:2] == (EngineState.DRAINING, 0.0)
+    members.after(5 * TICKS_PER_SECOND, busy=lambda name: name in running)
     assert "e3" in members.told
     running.clear()
     members.it.tick(members.now, lambda name: name in running)
     members.carry()
     assert "e3" not in members.told
     members.offer(fleet(4)).offer(fleet(3))
-    members.after(31 * SECOND, busy=lambda name: True)
+    members.after(31 * TICKS_PER_SECOND, busy=lambda name: True)
     assert "e3" not in members.told
     # Listed again, it is no longer the process that was known: it counts as started now.
     started = members.now // 10
     members.offer(fleet(4))
-    assert members.told["e3"][0] == i.READY and members.told["e3"][3] == started
+    assert members.told["e3"][0] == EngineState.READY and members.told["e3"][3] == started
 
 
 def test_nine_tenths_are_held_confirmed_once_and_a_restart_keeps_the_number():
@@ -363,7 +367,7 @@
 
 
 def test_a_hold_lapses_and_another_document_replaces_it():
-    members = Members(hold=10 * SECOND).offer(fleet(20))
+    members = Members(hold=10 * TICKS_PER_SECOND).offer(fleet(20))
     members.offer(fleet(2))
     first = members.it.held.roster.generation
     members.offer(fleet(3))
@@ -371,32 +375,32 @@
     members.offer(fleet(20))
     assert members.it.held is None  # it went back to what is at work
     members.offer(fleet(2))
-    members.after(11 * SECOND)
+    members.after(11 * TICKS_PER_SECOND)
     assert members.it.held is None and len(members.ready()) == 20
 
 
 def test_steps_take_a_share_at_a_time_stop_go_on_and_turn_back_midway():
-    members = Members(share=0.25, share_past=STEPS, step=SECOND).offer(fleet(20))
+    members = Members(share=0.25, share_past=STEPS, step=TICKS_PER_SECOND).offer(fleet(20))
     members.offer(fleet(8))
     seen = [len(members.ready())]
     while members.it.stepping:
-        members.after(SECOND)
+        members.after(TICKS_PER_SECOND)
         seen.append(len(members.ready()))
     assert seen[:5] == [15, 12, 9, 8, 8][: len(seen[:5])] and seen[-1] == 8
     members.offer(fleet(20)).offer(fleet(8))
-    members.after(SECOND)
+    members.after(TICKS_PER_SECOND)
     midway = len(members.ready())
     assert 8 < midway < 20 and members.do("stop")
-    members.after(20 * SECOND)
+    members.after(20 * TICKS_PER_SECOND)
     assert len(members.ready()) == midway
     again = members.restart()
-    again.after(20 * SECOND)
+    again.after(20 * TICKS_PER_SECOND)
     assert len(again.ready()) == midway and again.it.stopped  # a restart does not go on by itself
     assert again.do("confirm", again.it.generation)
-    again.after(20 * SECOND)
+    again.after(20 * TICKS_PER_SECOND)
     assert len(again.ready()) == 8
     again.offer(fleet(20)).offer(fleet(8))
-    again.after(SECOND)
+    again.after(TICKS_PER_SECOND)
     full = next(g for g in again.it.history if len(again.it.history[g].roster.members) == 20)
     assert len(again.ready()) < 20 and again.do("rollback", full)
     assert len(again.ready()) == 20 and again.it.of == full
@@ -407,27 +411,27 @@
 
 
 def test_weights_rise_in_steps_and_at_once_where_nothing_says_so():
-    members = Members(factor=2.0, factor_past=STEPS, step=SECOND).offer(
+    members = Members(factor=2.0, factor_past=STEPS, step=TICKS_PER_SECOND).offer(
         [member(n, weight=0.1 if n == 1 else 1.0) for n in range(4)]
     )
     members.offer(fleet(4))
     seen = []
     while members.it.stepping:
         seen.append(members.told["e1"][1])
-        members.after(SECOND)
+        members.after(TICKS_PER_SECOND)
     assert seen == [0.2, 0.4, 0.8] and members.told["e1"][1] == 1.0
     calm = Members(factor_past=NOTE).offer([member(n, weight=0.1) for n in range(4)]).offer(fleet(4))
     assert calm.told["e1"][1] == 1.0
 
 
 def test_the_weight_of_a_cold_engine_is_never_told_at_one_jump():
-    members = Members(factor_past=NOTE, step=SECOND).offer(fleet(4))
+    members = Members(factor_past=NOTE, step=TICKS_PER_SECOND).offer(fleet(4))
     members.offer(fleet(4) + [member(4, weight=0.1)])
     members.offer(fleet(5))
     assert members.told["e4"][1] == 0.2 and members.told["e4"][3] > 0
-    members.after(SECOND)
+    members.after(TICKS_PER_SECOND)
     assert members.told["e4"][1] == 0.4
-    members.after(20 * SECOND)
+    members.after(20 * TICKS_PER_SECOND)
     assert members.told["e4"][1] == 1.0
 
 
@@ -460,25 +464,33 @@
             given=frozenset({"weight": "weight"}.get(name, name) for name in stated if name != "state"),
         )
 
-    stream(1, *((n, i.READY) for n in range(6)), whole=True)
+    stream(1, *((n, EngineState.READY) for n in range(6)), whole=True)
     members.offer(
-        [override(1, weight=0.25), override(2, weight=0.0, state=i.DRAINING), override(9, weight=0.5)]
+        [
+            override(1, weight=0.25),
+            override(2, weight=0.0, state=EngineState.DRAINING),
+            override(9, weight=0.5),
+        ]
+    )
+    assert (
+        members.told["e1"][:2] == (EngineState.READY, 0.25) and members.told["e2"][0] == EngineState.DRAINING
     )
-    assert members.told["e1"][:2] == (i.READY, 0.25) and members.told["e2"][0] == i.DRAINING
     assert ("not-listed",) in members.codes("members-taken")
     kept = len(members.journal)
-    stream(2, (1, i.DRAINING))
+    stream(2, (1, EngineState.DRAINING))
     assert len(members.journal) == kept  # the stream tells it again after a restart
-    assert members.told["e1"][0] == i.DRAINING
+    assert members.told["e1"][0] == EngineState.DRAINING
     members.offer([override(1, weight=1.0)])
-    assert members.told["e1"][0] == i.DRAINING and members.told["e2"][0] == i.READY  # taken out of the file
-    stream(3, (9, i.READY), (1, i.GONE))
+    assert (
+        members.told["e1"][0] == EngineState.DRAINING and members.told["e2"][0] == EngineState.READY
+    )  # taken out of the file
+    stream(3, (9, EngineState.READY), (1, EngineState.GONE))
     assert "e1" not in members.told and members.told["e9"][1] == 1.0
     again = members.restart()
     assert again.told == {}  # the stream says who is there
-    again.it.streamed(again.now, 3, True, [("e1", ("10.0.0.1", 1), i.READY, "a", "old", 0, 0, 0.5)])
+    again.it.streamed(again.now, 3, True, [("e1", ("10.0.0.1", 1), EngineState.READY, "a", "old", 0, 0, 0.5)])
     again.carry()
-    assert again.told["e1"][:2] == (i.READY, 1.0)
+    assert again.told["e1"][:2] == (EngineState.READY, 1.0)
 
 
 # Beside a plain model
@@ -492,7 +504,7 @@
         self.held_as = None
 
     def ready(self, doc):
-        return {name for name, e in doc.items() if e.state == i.READY}
+        return {name for name, e in doc.items() if e.state == EngineState.READY}
 
     def offer(self, doc, generation):
         if doc == self.file and (generation is None or generation <= self.generation):
@@ -513,8 +525,8 @@
         if not after:
             return "refused"
         if before:
-            new = {name for name, e in self.work.items() if e.state == i.READY and e.kind == "new"}
-            kept = {name for name, e in doc.items() if e.state == i.READY and e.kind == "new"}
+            new = {name for name, e in self.work.items() if e.state == EngineState.READY and e.kind == "new"}
+            kept = {name for name, e in doc.items() if e.state == EngineState.READY and e.kind == "new"}
             if new and not kept:
                 return "refused"
             if len(before - after) > max(1, int(0.34 * len(before))):
@@ -535,7 +547,7 @@
 @given(st.integers(0, 1 << 40))
 def test_beside_a_plain_model_of_edits_faults_and_restarts(seed):
     chance, plain = Random(seed), Plain()
-    members = Members(linger=5 * SECOND, factor_past=NOTE, step=SECOND)
+    members = Members(linger=5 * TICKS_PER_SECOND, factor_past=NOTE, step=TICKS_PER_SECOND)
     drained, number = set(), 0
     for _ in range(40):
         step = chance.random()
@@ -562,7 +574,7 @@
             members = members.restart()
             plain.held = None
         elif step < 0.8:
-            members.after(chance.choice([SECOND, 10 * SECOND]))
+            members.after(chance.choice([TICKS_PER_SECOND, 10 * TICKS_PER_SECOND]))
         elif step < 0.9 and plain.held:
             doc, number = plain.held
             assert members.do("confirm", number)
@@ -571,8 +583,8 @@
             number = chance.choice(list(plain.docs))
             doc = plain.docs[number]
             before, after = plain.ready(plain.work), plain.ready(doc)
-            new = {name for name, e in plain.work.items() if e.state == i.READY and e.kind == "new"}
-            kept = {name for name, e in doc.items() if e.state == i.READY and e.kind == "new"}
+            new = {name for name, e in plain.work.items() if e.state == EngineState.READY and e.kind == "new"}
+            kept = {name for name, e in doc.items() if e.state == EngineState.READY and e.kind == "new"}
             good = bool(after) and not (new and not kept)
             assert members.do("rollback", number) == good
             if good:
@@ -581,19 +593,22 @@
         assert members.ready() == plain.ready(plain.work)
         assert members.it.generation == plain.generation
         assert {n: e for n, e in members.it.target.members.items()} == plain.work
-        drained = {name for name, (state, *_) in members.told.items() if state != i.READY}
+        drained = {name for name, (state, *_) in members.told.items() if state != EngineState.READY}
         assert not drained & plain.ready(plain.work)
-        assert {n for n, e in plain.work.items() if e.state != i.READY} <= drained
-    members.after(30 * SECOND)
+        assert {n for n, e in plain.work.items() if e.state != EngineState.READY} <= drained
+    members.after(30 * TICKS_PER_SECOND)
     assert set(members.told) == set(plain.work)
 
 
 def test_a_record_of_all_is_as_good_as_the_records_before_it():
-    chance, members = Random(5), Members(share=0.25, share_past=STEPS, factor_past=STEPS, step=SECOND)
+    chance, members = (
+        Random(5),
+        Members(share=0.25, share_past=STEPS, factor_past=STEPS, step=TICKS_PER_SECOND),
+    )
     for n in range(60):
         count = chance.randrange(3, 20)
         members.offer([member(k, weight=chance.choice([0.1, 1.0])) for k in chance.sample(range(20), count)])
-        members.after(chance.choice([0, SECOND, 5 * SECOND]))
+        members.after(chance.choice([0, TICKS_PER_SECOND, 5 * TICKS_PER_SECOND]))
         if n % 7 == 3 and members.it.history:
             members.do("rollback", chance.choice(list(members.it.history)))
         whole = Members(members.facts, [members.it.whole(members.now)], members.now + 50)
@@ -623,7 +638,7 @@
 
 @pytest.mark.parametrize("severity", [NOTE, STEPS, HOLD, REFUSE])
 def test_what_follows_past_a_limit_is_what_the_document_says(severity):
-    members = Members(share_past=severity, step=SECOND).offer(fleet(10)).offer(fleet(5))
+    members = Members(share_past=severity, step=TICKS_PER_SECOND).offer(fleet(10)).offer(fleet(5))
     assert len(members.ready()) == {NOTE: 5, STEPS: 7, HOLD: 10, REFUSE: 10}[severity]
 
 
@@ -654,14 +669,14 @@
 
 
 def test_a_clock_that_steps_between_runs_ends_no_drain_early_and_holds_none_for_ever():
-    members = Members(linger=30 * SECOND, share_past=NOTE)
+    members = Members(linger=30 * TICKS_PER_SECOND, share_past=NOTE)
     members.offer(fleet(5)).offer([*fleet(3), member(4, weight=0.0)])
-    assert members.told["e3"][0] == members.told["e4"][0] == i.DRAINING
-    for step in (-3600 * SECOND, 3600 * SECOND):
+    assert members.told["e3"][0] == members.told["e4"][0] == EngineState.DRAINING
+    for step in (-3600 * TICKS_PER_SECOND, 3600 * TICKS_PER_SECOND):
         members.now += step
         again = members.restart()
-        assert again.told["e3"][0] == again.told["e4"][0] == i.DRAINING and len(again.ready()) == 3
-        again.after(29 * SECOND)
-        assert again.told["e3"][0] == i.DRAINING
-        again.after(2 * SECOND)
-        assert "e3" not in again.told and again.told["e4"][0] == i.DRAINING
+        assert again.told["e3"][0] == again.told["e4"][0] == EngineState.DRAINING and len(again.ready()) == 3
+        again.after(29 * TICKS_PER_SECOND)
+        assert again.told["e3"][0] == EngineState.DRAINING
+        again.after(2 * TICKS_PER_SECOND)
+        assert "e3" not in again.told and again.told["e4"][0] == EngineState.DRAINING
--- a/tests/test_members_files.py
+++ b/tests/test_members_files.py
@@ -30,18 +30,18 @@
 from test_members import FACTS, Members, fleet, kdl, member
 from test_rehearsal import ROOT
 
-from wickvane import interface as i
 from wickvane import parts
-from wickvane.control import fleet as fl
-from wickvane.control import tool
-from wickvane.control.catalog import Catalog
+from wickvane.endpoints import document, journal, watch
+from wickvane.endpoints.membership import Membership, Terms
+from wickvane.endpoints.source import Source
 from wickvane.errors import ConfigError
-from wickvane.members import document, journal, watch
-from wickvane.members.membership import Membership, Terms
-from wickvane.members.source import Source
+from wickvane.events import EngineState
 from wickvane.net.clock import Clock
 from wickvane.net.counters import Counters
 from wickvane.net.service import Service
+from wickvane.xds import fleet as fl
+from wickvane.xds import tool
+from wickvane.xds.catalog import Catalog
 
 
 class Following:
@@ -62,13 +62,13 @@
         if whole:
             self.told.clear()
         for name, _, state, *_ in entries:
-            if state == i.GONE:
+            if state == EngineState.GONE:
                 self.told.pop(name, None)
             else:
                 self.told[name] = state
 
     def ready(self):
-        return {name for name, state in list(self.told.items()) if state == i.READY}
+        return {name for name, state in list(self.told.items()) if state == EngineState.READY}
 
     def unfit(self, code):
         return self.counters.shown().get(f"members-unfit-{code}", 0)
@@ -192,7 +192,7 @@
     until(lambda: following.log.of("members-refused")[-1]["codes"] == ("address-twice",))
     os.unlink(folder / "c.kdl")
     (folder / "a.kdl").write_text(kdl(fleet(2)))
-    until(lambda: following.told.get("e2") == i.DRAINING and following.ready() == names(6) - {"e2"})
+    until(lambda: following.told.get("e2") == EngineState.DRAINING and following.ready() == names(6) - {"e2"})
     os.unlink(folder / "a.kdl")
     until(lambda: following.log.of("members-refused")[-1]["codes"] or True)
     following.stop()
@@ -346,7 +346,7 @@
 
 
 def document_of(n):
-    from wickvane.members import roster as ro
+    from wickvane.endpoints import roster as ro
 
     return ro.whole(0, fleet(6 + n % 3))
 
@@ -356,18 +356,23 @@
     swap(path, fleet(4), 1)
     following = Following(path, state)
     swap(path, [*fleet(3), member(3, weight=0.0)], 2)
-    until(lambda: following.told.get("e3") == i.DRAINING)
+    until(lambda: following.told.get("e3") == EngineState.DRAINING)
     with pytest.raises(ConfigError, match="another process"):
         Following(path, state)
     following.stop()
     for spoil in (lambda: os.unlink(path), lambda: swap(path, fleet(4), 1)):
         spoil()
         again = Following(path, state)
-        assert again.told == {"e0": i.READY, "e1": i.READY, "e2": i.READY, "e3": i.DRAINING}
+        assert again.told == {
+            "e0": EngineState.READY,
+            "e1": EngineState.READY,
+            "e2": EngineState.READY,
+            "e3": EngineState.DRAINING,
+        }
         said = again.log.of("members-from-journal")[-1]
         assert said["generation"] == 2 and again.source.status()["old"]
         until(lambda again=again: again.log.of("members-refused"))
-        assert again.told["e3"] == i.DRAINING
+        assert again.told["e3"] == EngineState.DRAINING
         again.stop()
     swap(path, fleet(4), 3)
     last = Following(path, state)
@@ -388,7 +393,7 @@
 
     following.source.journal.disk = Full()
     swap(path, fleet(3))
-    until(lambda: following.told.get("e3") == i.DRAINING)
+    until(lambda: following.told.get("e3") == EngineState.DRAINING)
     assert following.log.of("members-journal-failed")
     following.source.journal.disk = disk
     swap(path, fleet(5))
@@ -523,8 +528,8 @@
     until(
         lambda: (
             state_in(serving, f"e{gone}") is not None
-            and state_in(serving, f"e{gone}").state == i.DRAINING
-            and state_in(serving, f"e{drained}").state == i.DRAINING
+            and state_in(serving, f"e{gone}").state == EngineState.DRAINING
+            and state_in(serving, f"e{drained}").state == EngineState.DRAINING
         )
     )
     before = {n: engines[n].came.qsize() for n in engines}
@@ -540,9 +545,9 @@
         answer = client.until_ready()
         assert rows(answer) and sqlstate(answer) is None
     until(lambda: state_in(serving, f"e{gone}") is None)
-    assert state_in(serving, f"e{drained}").state == i.DRAINING
+    assert state_in(serving, f"e{drained}").state == EngineState.DRAINING
     write(path, {n: e for n, e in engines.items() if n != gone})
-    until(lambda: state_in(serving, f"e{drained}").state == i.READY)
+    until(lambda: state_in(serving, f"e{drained}").state == EngineState.READY)
     assert rows(Client(serving).ask(statement(n=900)))
 
 
@@ -570,17 +575,20 @@
         {"index": 1, "updates": [event(1, *entries, snapshot=True)]},
         engines.values(),
     )
-    assert state_in(serving, "e0").state == i.DRAINING and state_in(serving, "e1").state == i.READY
+    assert (
+        state_in(serving, "e0").state == EngineState.DRAINING
+        and state_in(serving, "e1").state == EngineState.READY
+    )
     from bench_free import sse
 
     coordinator.next("connected")
     coordinator.send.put(sse(2, event(2, entries[1] | {"status": "Terminating"})))
-    until(lambda: state_in(serving, "e1").state == i.DRAINING)
+    until(lambda: state_in(serving, "e1").state == EngineState.DRAINING)
     coordinator.send.put(None)
     with open(path, "w") as file:
         file.write('members { engine "e0" weight=1; engine "e1" weight=1 }')
-    until(lambda: state_in(serving, "e0").state == i.READY)
-    assert state_in(serving, "e1").state == i.DRAINING  # of two words the graver
+    until(lambda: state_in(serving, "e0").state == EngineState.READY)
+    assert state_in(serving, "e1").state == EngineState.DRAINING  # of two words the graver
     assert rows(Client(serving).ask(statement(n=1)))
 
 
@@ -640,13 +648,13 @@
 
 
 def test_back_lets_a_name_that_was_drained_by_hand_return_and_nothing_else_does():
-    row = ("e1", ("127.0.0.1", 1), i.READY, "dc", "old", 0, 0, 1.0)
+    row = ("e1", ("127.0.0.1", 1), EngineState.READY, "dc", "old", 0, 0, 1.0)
     fleet_, _ = fl.changed(fl.Fleet(), 0, 1, True, [row], fl.FLOOR)
-    fleet_, _ = fl.changed(fleet_, 1, 2, False, [(*row[:2], i.DRAINING, *row[3:])], fl.FLOOR)
+    fleet_, _ = fl.changed(fleet_, 1, 2, False, [(*row[:2], EngineState.DRAINING, *row[3:])], fl.FLOOR)
     still, notes = fl.changed(fleet_, 2, 3, False, [row], fl.FLOOR)
-    assert still.engines["e1"].state == i.DRAINING and notes
+    assert still.engines["e1"].state == EngineState.DRAINING and notes
     again, notes = fl.changed(fleet_, 2, 3, False, [row], fl.FLOOR, {"e1"})
-    assert again.engines["e1"].state == i.READY and not notes
+    assert again.engines["e1"].state == EngineState.READY and not notes
 
 
 def test_of_two_sources_an_instance_is_behind_by_either():
@@ -665,7 +673,7 @@
     from standins.xds_proxy import Proxy
     from test_control_sockets import Loop
 
-    from wickvane.control.server import Server
+    from wickvane.xds.server import Server
 
     text = (
         "members {\n"
--- a/tests/test_opinions.py
+++ b/tests/test_opinions.py
@@ -1,15 +1,14 @@
 """Opinions on engines: more than one is believed, none for long; what the decision module makes of them."""
 
 import pytest
-from bench_free import Gateways, group, i, site
+from bench_free import Gateways, group, site
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickvane.rehearsal import script as scripts
-from wickvane.rehearsal.shared import ALL, Shared
-from wickvane.shares import wire
-from wickvane.shares.charges import ASKED, TOLD_MOST, Charges
-from wickvane.shares.opinions import (
+from wickvane.events import Budget, EngineJudged, LeaseChanged, TenantsCharged
+from wickvane.quotas import wire
+from wickvane.quotas.charges import ASKED, TOLD_MOST, Charges
+from wickvane.quotas.opinions import (
     FADES,
     FAILING,
     FIGURE_MOST,
@@ -17,13 +16,15 @@
     LASTS,
     MOST_DOUBTED,
     QUORUM,
-    SECOND,
     SLOW_LEAST,
     SPEAKERS,
     Evidence,
     Opinions,
     merge,
 )
+from wickvane.rehearsal import script as scripts
+from wickvane.rehearsal.shared import ALL, Shared
+from wickvane.units import TICKS_PER_SECOND
 
 ENGINES = [f"e{n}" for n in range(8)]
 
@@ -206,23 +207,26 @@
 def test_what_several_doubt_gets_nothing_until_word_is_old_or_it_was_met_here():
     g = Gateways(site([group()]), in_fleet=True)
     g.engines(3)
-    first = g.gateway.order_of(1)[0]
-    g.now += SECOND
-    g.round(i.Judged(first, True, 0.0, 100))
+    first = g.scheduler.order_of(1)[0]
+    g.now += TICKS_PER_SECOND
+    g.round(EngineJudged(first, True, 0.0, 100))
     assert g.out[g.take()] != first
-    g.now += SECOND + 1
+    g.now += TICKS_PER_SECOND + 1
     assert any(g.out[g.take()] == first for _ in range(3))
     g.end(next(q for q, e in g.out.items() if e == first))
-    g.round(i.Judged(first, True, 0.0, 100))  # older than the answer that came here
+    g.round(EngineJudged(first, True, 0.0, 100))  # older than the answer that came here
     assert any(g.out[g.take()] == first for _ in range(3))
 
 
 def test_what_is_lent_is_used_until_its_end_and_what_a_round_after_it_decides_goes_by_its_own():
     """Also one that stood still past the end, and hears of nothing else first."""
-    g = Gateways(site([group()], gateways=4, cold_time=9_000_000, fall_time=20_000), in_fleet=True)
+    g = Gateways(
+        site([group()], dispatcher_count=4, slow_start_duration=9_000_000, collapse_window=20_000),
+        in_fleet=True,
+    )
     g.engine(0, started=g.now - 10)
-    g.round(i.Leased(i.COLD, 3.0, g.now + 5_000, 1.0))
-    cost = int(g.gateway.fall_work * 8 * 0.3 / 2)  # two of its own part, six of what it has
+    g.round(LeaseChanged(Budget.SLOW_START, 3.0, g.now + 5_000, 1.0))
+    cost = int(g.scheduler.fall_work * 8 * 0.3 / 2)  # two of its own part, six of what it has
 
     def sent():
         for q in [g.take(cost=cost) for _ in range(9)]:
@@ -233,7 +237,7 @@
     assert sent() == 6
     g.now += 20_001  # past its end and the window
     assert sent() - 6 == 2
-    g.round(i.Leased(i.COLD, 0.0, 1 << 62, 0.0))
+    g.round(LeaseChanged(Budget.SLOW_START, 0.0, 1 << 62, 0.0))
     g.now += 20_001
     assert sent() - 8 == 0
 
@@ -243,10 +247,10 @@
     g = Gateways(site([group()], tenants=2), in_fleet=True)  # no engine: all wait
     for _ in range(12):
         g.take(tenant=0, cost=1000), g.take(tenant=1, cost=1000)
-    before = list(g.gateway.deficit)
-    g.round(i.Charged([50_000, 10_000]))
-    fall = [b - a for a, b in zip(g.gateway.deficit, before, strict=True)]
-    assert fall[1] == 0 < fall[0] and g.gateway.deficit[0] >= -4.0 * g.gateway.quantum(0)
+    before = list(g.scheduler.deficit)
+    g.round(TenantsCharged([50_000, 10_000]))
+    fall = [b - a for a, b in zip(g.scheduler.deficit, before, strict=True)]
+    assert fall[1] == 0 < fall[0] and g.scheduler.deficit[0] >= -4.0 * g.scheduler.quantum(0)
 
 
 # Fleets in virtual time
@@ -276,7 +280,7 @@
 @pytest.mark.parametrize("seed", range(2))
 def test_a_liar_and_two_that_cannot_reach_an_engine_set_it_aside_for_nobody(seed):
     world = Shared(scripts.read_text(DAY), seed, liars=[3], blocked=[(5, "e2"), (6, "e2")])
-    found = [doubts(world, at * SECOND) for at in (4, 8, 12)]
+    found = [doubts(world, at * TICKS_PER_SECOND) for at in (4, 8, 12)]
     assert not world.play().breaches
     assert all(held == set() for look in found for held in look.values())
 
@@ -288,11 +292,14 @@
         world = Shared(
             scripts.read_text(DAY), seed, keep_log=True, heeds=heeds, blocked=[(n, "e2") for n in range(12)]
         )
-        bad, good = [doubts(world, at * SECOND // 2) for at in range(4, 14)], doubts(world, 15 * SECOND)
-        world.at(7 * SECOND, lambda world=world: setattr(world, "blocked", frozenset()))
+        bad, good = (
+            [doubts(world, at * TICKS_PER_SECOND // 2) for at in range(4, 14)],
+            doubts(world, 15 * TICKS_PER_SECOND),
+        )
+        world.at(7 * TICKS_PER_SECOND, lambda world=world: setattr(world, "blocked", frozenset()))
         assert not world.play().breaches
         tried[heeds] = sum(
-            events == "submitted" and fields["engine"] == "e2" and at < 7 * SECOND
+            events == "submitted" and fields["engine"] == "e2" and at < 7 * TICKS_PER_SECOND
             for at, events, fields in world.lines
         )
         # All come to the same opinion, and to none but that.
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -142,7 +142,7 @@
 from wickvane.net.service import Service, configuration
 Service(configuration(sys.argv[1]))
 print([name for name in sys.modules if name.startswith((
-    "ckdl", "msgspec", "wickvane.flows", "wickvane.parts", "wickvane.peers", "wickvane.members", "ssl"))])
+    "ckdl", "msgspec", "wickvane.flows", "wickvane.parts", "wickvane.cluster", "wickvane.endpoints", "ssl"))])
 """
     words = [sys.executable, "-c", code, str(configuration)]
     told = subprocess.run(words, cwd=ROOT, capture_output=True)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,31 +7,31 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickvane.files import FileError
-from wickvane.peers import standing as sd
-from wickvane.peers import wire
-from wickvane.peers.detector import LEAST, MOST, Detector
-from wickvane.peers.membership import (
+from wickvane.cluster import standing as sd
+from wickvane.cluster import wire
+from wickvane.cluster.detector import LEAST, MOST, Detector
+from wickvane.cluster.membership import (
     ALIVE,
     BUCKETS,
     FAILED,
     JOINING,
     LEFT,
     LIVES_MOST,
-    SECOND,
     SUM,
     SUSPECT,
     Table,
     mark,
 )
-from wickvane.peers.protocol import DATAGRAM, SENT_BURST, SENT_RATE, Node
+from wickvane.cluster.protocol import DATAGRAM, SENT_BURST, SENT_RATE, Node
+from wickvane.files import FileError
 from wickvane.rehearsal.peers import Fleet, fill
+from wickvane.units import TICKS_PER_SECOND
 
 NAMES, ADDRESSES = ["me", "a", "b", "c"], ["1.0.0.1:1", "1.0.0.2:1", "1.0.0.3:1"]
 MINE = 50
 
 
-def table(most=64, remember=1000 * SECOND):
+def table(most=64, remember=1000 * TICKS_PER_SECOND):
     return Table(0, "me", MINE, "1.0.0.9:1", most, remember, lambda event, fields: None)
 
 
@@ -76,7 +76,7 @@
     made, plain, now = table(), Plain(), 0
     for name, epoch, incarnation, state, by in said:
         # So late that a verdict of others is believed: a suspicion here is old, and nothing was heard since.
-        now += 10 * SECOND
+        now += 10 * TICKS_PER_SECOND
         row = made.rows.get((name, epoch))
         believed = state != FAILED or row is None or made.state[row] in (SUSPECT, FAILED, LEFT)
         made.hears(now, name, epoch, address(name, epoch), incarnation, state, by)
@@ -117,7 +117,7 @@
     chance.shuffle(again)
     for made, order in ((one, said), (other, again)):
         for name, epoch, incarnation, state, by in order:
-            made.hears(SECOND, name, epoch, address(name, epoch), incarnation, state, by)
+            made.hears(TICKS_PER_SECOND, name, epoch, address(name, epoch), incarnation, state, by)
     assert one.digest == other.digest and one.sums == other.sums
     assert {life: (one.incarnation[row], one.state[row]) for life, row in one.rows.items()} == {
         life: (other.incarnation[row], other.state[row]) for life, row in other.rows.items()
@@ -127,12 +127,13 @@
 @settings(max_examples=300, deadline=None)
 @given(
     st.lists(
-        st.tuples(words, st.sampled_from(ADDRESSES), st.booleans(), st.integers(0, 30 * SECOND)), max_size=60
+        st.tuples(words, st.sampled_from(ADDRESSES), st.booleans(), st.integers(0, 30 * TICKS_PER_SECOND)),
+        max_size=60,
     )
 )
 def test_a_life_once_ended_never_comes_back_without_a_higher_incarnation(said):
     """With lives that replace each other, are forgotten, are heard of at first hand; all stays bounded."""
-    made, now, over = table(most=12, remember=60 * SECOND), 0, {}
+    made, now, over = table(most=12, remember=60 * TICKS_PER_SECOND), 0, {}
     for (name, epoch, incarnation, state, by), where, direct, wait in said:
         now += wait
         made.age(now)
@@ -174,12 +175,12 @@
     made.hears(2, "a", 9, "y:1", 0, ALIVE, "")
     assert made.epoch[made.holder("a")] == 5
     made.hears(3, "a", 5, "x:1", 0, SUSPECT, "b")
-    made.hears(3 + 9 * SECOND, "a", 5, "x:1", 0, FAILED, "b")
+    made.hears(3 + 9 * TICKS_PER_SECOND, "a", 5, "x:1", 0, FAILED, "b")
     assert made.epoch[made.holder("a")] == 9
-    made.hears(20 * SECOND, "a", 5, "x:1", 1, ALIVE, "")  # it was only cut off
+    made.hears(20 * TICKS_PER_SECOND, "a", 5, "x:1", 1, ALIVE, "")  # it was only cut off
     assert made.epoch[made.holder("a")] == 5
     # At one address the younger has replaced it at once.
-    made.hears(21 * SECOND, "a", 6, "x:1", 0, ALIVE, "")
+    made.hears(21 * TICKS_PER_SECOND, "a", 6, "x:1", 0, ALIVE, "")
     assert made.epoch[made.holder("a")] == 6 and made.state[made.rows["a", 5]] == LEFT
     mine = table()
     mine.becomes(1, 0, 0, ALIVE, "")
@@ -192,10 +193,10 @@
     row = made.hears(1, "a", 1, "x:1", 0, ALIVE, "")
     made.hears(2, "a", 1, "x:1", 0, FAILED, "b")
     assert made.state[row] == SUSPECT
-    made.heard[row] = 10 * SECOND
-    made.hears(11 * SECOND, "a", 1, "x:1", 0, FAILED, "c")
+    made.heard[row] = 10 * TICKS_PER_SECOND
+    made.hears(11 * TICKS_PER_SECOND, "a", 1, "x:1", 0, FAILED, "c")
     assert made.state[row] == SUSPECT
-    made.hears(30 * SECOND, "a", 1, "x:1", 0, FAILED, "c")
+    made.hears(30 * TICKS_PER_SECOND, "a", 1, "x:1", 0, FAILED, "c")
     assert made.state[row] == FAILED
 
 
@@ -238,7 +239,7 @@
     made = table()
     for n in range(members):
         made.hears(0, f"p{n}", 1, f"p{n}:1", 0, ALIVE, "")
-    return made, Detector(0, made, Random(1), SECOND // 2), Said()
+    return made, Detector(0, made, Random(1), TICKS_PER_SECOND // 2), Said()
 
 
 def until(detector, said, now, end):
@@ -315,7 +316,7 @@
 def test_no_view_lets_a_dispatcher_take_more_than_the_configured_count_gives(said, configured):
     made = table()
     for n, (name, epoch, incarnation, state, by) in enumerate(said):
-        made.hears(n * 5 * SECOND, name, epoch, address(name, epoch), incarnation, state, by)
+        made.hears(n * 5 * TICKS_PER_SECOND, name, epoch, address(name, epoch), incarnation, state, by)
         running = sum(made.state[row] not in (FAILED, LEFT) for row in made.rows.values())
         known = {made.name[row] for row in made.rows.values() if made.state[row] != LEFT}
         assert sd.divisor(configured, made) >= max(1, configured, len(known))
@@ -351,10 +352,10 @@
 
 def test_a_fleet_finds_itself_agrees_and_is_quiet():
     f = Fleet(40, 3)
-    assert f.until_equal(20 * SECOND) is not None
-    f.run(f.now + 30 * SECOND)
+    assert f.until_equal(20 * TICKS_PER_SECOND) is not None
+    f.run(f.now + 30 * TICKS_PER_SECOND)
     before = [m.octets for m in f.members]
-    f.run(f.now + 10 * SECOND)
+    f.run(f.now + 10 * TICKS_PER_SECOND)
     assert max(m.octets - o for m, o in zip(f.members, before)) < 2_000 * 10
     stands = [m.node.stand(f.now) for m in f.members]
     assert {s[0] for s in stands} == {sd.WHOLE} and len({s[3] for s in stands}) == 1
@@ -363,7 +364,10 @@
 
 def test_a_fleet_that_is_filled_is_as_one_that_heard_of_all():
     heard, filled = (
-        [Table(0, f"n{n}", 7 + n, f"{n}:1", 64, SECOND, lambda event, fields: None) for n in range(9)]
+        [
+            Table(0, f"n{n}", 7 + n, f"{n}:1", 64, TICKS_PER_SECOND, lambda event, fields: None)
+            for n in range(9)
+        ]
         for _ in range(2)
     )
     fill(filled)
@@ -384,16 +388,16 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_lost_datagrams_and_standstills_of_two_seconds_fail_nobody(seed):
     f = Fleet(30, seed, loss=0.1, doubled=0.1, delay=(3, 600))
-    f.until_equal(30 * SECOND)
-    who, end = f.chance.sample(range(30), 26), f.now + 40 * SECOND
+    f.until_equal(30 * TICKS_PER_SECOND)
+    who, end = f.chance.sample(range(30), 26), f.now + 40 * TICKS_PER_SECOND
 
     def again(n):
-        f.stand_still(n, 2 * SECOND)
-        if f.now + 3 * SECOND < end:
-            f.at(f.now + 3 * SECOND, again, n)
+        f.stand_still(n, 2 * TICKS_PER_SECOND)
+        if f.now + 3 * TICKS_PER_SECOND < end:
+            f.at(f.now + 3 * TICKS_PER_SECOND, again, n)
 
     for n in who:
-        f.at(f.now + f.chance.randrange(3 * SECOND), again, n)
+        f.at(f.now + f.chance.randrange(3 * TICKS_PER_SECOND), again, n)
     f.run(end)
     assert f.false_failures() == []
 
@@ -401,14 +405,14 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_a_cut_is_seen_on_both_sides_and_healed_without_a_wrong_verdict(seed):
     f = Fleet(21, seed)
-    f.until_equal(30 * SECOND)
+    f.until_equal(30 * TICKS_PER_SECOND)
     f.cut = lambda a, b: (a < 9) != (b < 9)
-    f.run(f.now + 20 * SECOND)
+    f.run(f.now + 20 * TICKS_PER_SECOND)
     parts = [m.node.stand(f.now)[1] for m in f.members]
     assert set(parts[:9]) == {sd.SMALLER} and set(parts[9:]) == {sd.LARGER}
     assert {m.node.stand(f.now)[5] for m in f.members} == {21}
     f.cut, healed = None, f.now
-    assert f.until_equal(f.now + 15 * SECOND) is not None
+    assert f.until_equal(f.now + 15 * TICKS_PER_SECOND) is not None
     assert f.false_failures(healed) == []
 
 
@@ -416,16 +420,16 @@
 def test_a_roll_a_tenth_at_a_time_needs_no_verdict(seed):
     """SIGTERM says that it leaves; a new life is back after a second, at the old address or another's."""
     f = Fleet(20, seed, loss=0.05, settled=True)
-    f.run(2 * SECOND)
+    f.run(2 * TICKS_PER_SECOND)
     for n in range(0, 20, 2):
         for m in (n, n + 1):
             f.marks.append((f.now, f.members[m].name, False))
             f.leave(m)
-        f.run(f.now + SECOND)
+        f.run(f.now + TICKS_PER_SECOND)
         for m in (n, n + 1):
             f.restarted(m)
-        f.run(f.now + SECOND)
-    assert f.until_equal(f.now + 10 * SECOND) is not None
+        f.run(f.now + TICKS_PER_SECOND)
+    assert f.until_equal(f.now + 10 * TICKS_PER_SECOND) is not None
     assert not [event for event in f.events if event[2] == "peers-failed"]
     assert {m.node.stand(f.now)[5] for m in f.members} == {20}
 
@@ -434,7 +438,7 @@
     """Kills, restarts, standstills, cuts one way and both, loss, clocks that go back; then quiet."""
     chance = Random(f"history/{seed}")
     f = Fleet(9, seed, loss=0.05)
-    f.until_equal(20 * SECOND)
+    f.until_equal(20 * TICKS_PER_SECOND)
     for _ in range(14):
         what, n = chance.randrange(7), chance.randrange(9)
         if what == 0 and f.members[n].up:
@@ -444,7 +448,7 @@
         elif what == 2 and not f.members[n].up:
             f.restarted(n, epoch=1 + chance.randrange(1000))
         elif what == 3:
-            f.stand_still(n, chance.randrange(25 * SECOND))
+            f.stand_still(n, chance.randrange(25 * TICKS_PER_SECOND))
         elif what == 4:
             side = set(chance.sample(range(9), chance.randrange(1, 9)))
             f.cut = lambda a, b, side=side: a in side and b not in side
@@ -454,7 +458,7 @@
         elif f.members[n].up and sum(m.up for m in f.members) > 4:
             f.marks.append((f.now, f.members[n].name, False))
             f.leave(n)
-        f.run(f.now + chance.randrange(12 * SECOND))
+        f.run(f.now + chance.randrange(12 * TICKS_PER_SECOND))
     f.cut, f.loss = None, 0
     for n in range(9):
         if not f.members[n].up:
@@ -465,12 +469,12 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_generated_histories_end_in_one_view_of_just_those_that_run(seed):
     f = history(seed)
-    assert f.until_equal(f.now + 60 * SECOND) is not None, (seed, f.views())
+    assert f.until_equal(f.now + 60 * TICKS_PER_SECOND) is not None, (seed, f.views())
     late = f.now
-    f.run(f.now + 20 * SECOND)
+    f.run(f.now + 20 * TICKS_PER_SECOND)
     assert f.equal() and f.false_failures(late) == []
     for member in f.members:
-        assert member.sent < SENT_BURST + SENT_RATE * f.now / SECOND
+        assert member.sent < SENT_BURST + SENT_RATE * f.now / TICKS_PER_SECOND
         assert len(member.node.table.rows) < 9 * LIVES_MOST
 
 
@@ -480,29 +484,29 @@
 def a_suspicion_slept_through():
     """One suspects another, then stands still past its time to refute, and the kernel keeps nothing."""
     f = Fleet(5, 0, settled=True, buffer=0)
-    f.run(SECOND)
-    f.stand_still(1, 25 * SECOND // 10)
+    f.run(TICKS_PER_SECOND)
+    f.stand_still(1, 25 * TICKS_PER_SECOND // 10)
     while not any(event == "peers-suspect" and n == 0 for _, n, event, _ in f.events):
         f.run(f.now + 500)
-    f.stand_still(0, 5 * SECOND)
-    f.run(f.now + 30 * SECOND)
+    f.stand_still(0, 5 * TICKS_PER_SECOND)
+    f.run(f.now + 30 * TICKS_PER_SECOND)
     return not [v for v in f.false_failures() if v[1] == "n0"]
 
 
 def a_cut_healed():
     f = Fleet(40, 1, settled=True, seeds=0)
-    f.run(SECOND)
+    f.run(TICKS_PER_SECOND)
     f.cut = lambda a, b: (a < 20) != (b < 20)
-    f.run(f.now + 15 * SECOND)
+    f.run(f.now + 15 * TICKS_PER_SECOND)
     f.cut, healed = None, f.now
-    return f.until_equal(f.now + 20 * SECOND) is not None and not f.false_failures(healed)
+    return f.until_equal(f.now + 20 * TICKS_PER_SECOND) is not None and not f.false_failures(healed)
 
 
 def one_that_nobody_hears():
     f = Fleet(5, 1, settled=True)
-    f.run(SECOND)
+    f.run(TICKS_PER_SECOND)
     f.cut = lambda a, b: a == 2
-    f.run(f.now + 50 * SECOND)
+    f.run(f.now + 50 * TICKS_PER_SECOND)
     judged = [v for v in f.false_failures() if v[1] == "n2"]
     return not judged and f.members[2].node.stand(f.now)[0] == sd.ALONE
 
@@ -511,31 +515,31 @@
     f = Fleet(30, 1, loss=0.1, settled=True)
 
     def again(n):
-        f.stand_still(n, 2 * SECOND)
-        f.at(f.now + 3 * SECOND, again, n)
+        f.stand_still(n, 2 * TICKS_PER_SECOND)
+        f.at(f.now + 3 * TICKS_PER_SECOND, again, n)
 
     for n in range(27):
-        f.at(f.chance.randrange(3 * SECOND), again, n)
-    f.run(60 * SECOND)
+        f.at(f.chance.randrange(3 * TICKS_PER_SECOND), again, n)
+    f.run(60 * TICKS_PER_SECOND)
     return not f.false_failures()
 
 
 def a_clock_that_went_back():
     f = Fleet(5, 1, settled=True)
-    f.run(SECOND)
+    f.run(TICKS_PER_SECOND)
     f.killed(2)
-    f.run(f.now + SECOND)
+    f.run(f.now + TICKS_PER_SECOND)
     f.restarted(2, epoch=7)
-    return f.until_equal(f.now + 20 * SECOND) is not None
+    return f.until_equal(f.now + 20 * TICKS_PER_SECOND) is not None
 
 
 def a_restart_at_once():
     f = Fleet(9, 1, settled=True)
-    f.run(SECOND)
+    f.run(TICKS_PER_SECOND)
     f.killed(2)
-    f.run(f.now + SECOND // 10)
+    f.run(f.now + TICKS_PER_SECOND // 10)
     f.restarted(2)
-    return f.until_equal(f.now + 3 * SECOND) is not None
+    return f.until_equal(f.now + 3 * TICKS_PER_SECOND) is not None
 
 
 def never(*_, **__):
@@ -549,7 +553,7 @@
     (a_cut_healed, Table, "may_fail", lambda self, now, row: True),
     (a_cut_healed, Node, "ask_lost", never),
     (one_that_nobody_hears, Detector, "unheard", lambda self, now: False),
-    (standstills, "wickvane.peers.detector", "LEAST", SECOND // 2),
+    (standstills, "wickvane.cluster.detector", "LEAST", TICKS_PER_SECOND // 2),
     (a_clock_that_went_back, Node, "tell_over", lambda self, entry: self.refuse("former-life")),
     (a_clock_that_went_back, Table, "starts_over", never),
     (
@@ -571,7 +575,7 @@
 @pytest.mark.parametrize("scenario, where, name, instead", GUARDS)
 def test_each_guard_is_missed_when_it_is_gone(scenario, where, name, instead, monkeypatch):
     if name == "STILL":
-        where, name, instead = "wickvane.peers.protocol", "STILL", 1 << 60
+        where, name, instead = "wickvane.cluster.protocol", "STILL", 1 << 60
     monkeypatch.setattr(
         f"{where}.{name}" if isinstance(where, str) else where,
         *((instead,) if isinstance(where, str) else (name, instead)),
@@ -607,7 +611,7 @@
             "b" * 64,
         )
     now = 0
-    while now < 20 * SECOND:
+    while now < 20 * TICKS_PER_SECOND:
         now = node.round(now, [], Out())
     message = [
         *sent[0][:1],
@@ -631,12 +635,12 @@
 
 def test_one_that_has_left_answers_until_its_end_and_wakes_for_nothing_else():
     f = Fleet(3, 1, settled=True)
-    f.run(SECOND)
+    f.run(TICKS_PER_SECOND)
     node, sent = f.members[0].node, []
     out = type("Out", (), {"send": lambda self, address, message: sent.append(message)})()
     node.leave(f.now, out)
     for _ in range(20):
-        assert node.round(f.now + 30 * SECOND, [], out) >= f.now + 31 * SECOND
+        assert node.round(f.now + 30 * TICKS_PER_SECOND, [], out) >= f.now + 31 * TICKS_PER_SECOND
     before = len(sent)
     other = f.members[1].node
     ping = (
@@ -652,7 +656,7 @@
         b"",
         [other.table.entry(0)],
     )
-    node.round(f.now + 30 * SECOND, [ping], out)
+    node.round(f.now + 30 * TICKS_PER_SECOND, [ping], out)
     assert [message[0] for message in sent[before:]] == [1] and sent[-1][7] == 5  # a ping's answer
 
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -14,11 +14,11 @@
 from test_rehearsal import ROOT
 
 from wickvane import parts
-from wickvane.policy import course as steps
-from wickvane.policy import document
-from wickvane.policy.agreement import ABANDON, NOTHING, POLICY, START, VOTERS, Entry, Voter
-from wickvane.policy.course import Change, Course, digest_of
-from wickvane.policy.store import Store
+from wickvane.config_log import course as steps
+from wickvane.config_log import document
+from wickvane.config_log.agreement import ABANDON, NOTHING, POLICY, START, VOTERS, Entry, Voter
+from wickvane.config_log.course import Change, Course, digest_of
+from wickvane.config_log.store import Store
 from wickvane.scheduler import Scheduler
 
 
@@ -181,7 +181,7 @@
 
 
 GROUPS, TENANTS = ("lookup", "load"), ("acme", "beta")
-SETTINGS = site([group(), group(value=5.0)], tenants=2, extra_window=50_000)
+SETTINGS = site([group(), group(priority_weight=5.0)], tenants=2, retry_budget_window=50_000)
 
 
 def read(text):
@@ -244,8 +244,8 @@
     )
     found = document.least(one, other)
     assert found == document.least(other, one)
-    assert (found.groups[1].value, found.groups[1].timeout) == (5.0, 50_000)
-    assert (found.extra_free, found.fall_multiple) == (1.0, 1.5)
+    assert (found.groups[1].priority_weight, found.groups[1].timeout) == (5.0, 50_000)
+    assert (found.retry_budget_minimum, found.collapse_multiple) == (1.0, 1.5)
 
 
 def test_the_command_tells_what_would_change_and_what_cannot_be_taken(tmp_path):
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -7,9 +7,10 @@
 from threading import Thread
 
 import pytest
-from bench_free import SETTINGS, entry, event, hit, i, rows, sse, statement
+from bench_free import SETTINGS, entry, event, hit, rows, sse, statement
 
 from wickvane.errors import ProtocolError, RequestRejected
+from wickvane.events import Ending, EngineState
 from wickvane.id_registry import IdRegistry
 from wickvane.net import coordinator
 from wickvane.net.decider import Decider
@@ -210,7 +211,7 @@
 def decider_with_one_engine():
     clock = Clock()
     decider = Decider(Exchange(clock, Counts()), IdRegistry(SETTINGS), 1, clock, clock, Counts())
-    decider.round([("listed", True, [("e", ("127.0.0.1", 1), i.READY, "dc", "old", 0, 0, 1.0)])])
+    decider.round([("listed", True, [("e", ("127.0.0.1", 1), EngineState.READY, "dc", "old", 0, 0, 1.0)])])
     return decider
 
 
@@ -235,7 +236,7 @@
         ticket.arrived -= 1000
     decider.round([])
     order = [tickets[1], tickets[2], late, tickets[0]]
-    assert [qy.q for qy in next(iter(decider.gateway.keys.values()))] == [ticket.q for ticket in order]
+    assert [qy.q for qy in next(iter(decider.scheduler.keys.values()))] == [ticket.q for ticket in order]
 
 
 def line_of_one(monkeypatch, up=False):
@@ -255,7 +256,7 @@
 def test_what_is_still_in_line_when_an_engine_drains_is_taken_back(monkeypatch):
     keeper, submission, inbox = line_of_one(monkeypatch)
     keeper.drain()
-    assert [item[:3] for item in inbox.take(0)] == [("ended", submission, i.NOT_SENT)]
+    assert [item[:3] for item in inbox.take(0)] == [("ended", submission, Ending.NOT_SENT)]
 
 
 def test_a_cancelled_submission_has_not_ended_before_its_quit_is_written(monkeypatch):
@@ -263,14 +264,14 @@
     submission.written = True
     keeper.quit(submission)
     assert not inbox.take(0) and keeper.connections[0].outbox[-1][0] == "quit"
-    keeper.connections[0].drop(submission, i.CANCELLED)
-    assert [item[2] for item in inbox.take(0)] == [i.CANCELLED]
+    keeper.connections[0].drop(submission, Ending.CANCELLED)
+    assert [item[2] for item in inbox.take(0)] == [Ending.CANCELLED]
 
 
 def test_a_connection_closes_before_the_engine_would_close_it_as_idle(monkeypatch):
     keeper, submission, inbox = line_of_one(monkeypatch)
     keeper.connections[0].up = True
-    keeper.connections[0].drop(submission, i.FINISHED)
+    keeper.connections[0].drop(submission, Ending.FINISHED)
     idle = SETTINGS["limits"]["conn_idle_ms"] * 10
     keeper.links.round([])
     keeper.links.look(int(submission.at + idle * 0.5))
@@ -308,7 +309,7 @@
     ticket = PendingQuery(submission.at, **READER.read(statement(n=2).encode()))
     other = Attempt(ticket, 0, 0, keeper.queue, submission.at, ticket.limit)
     assert not place.put("ask", other) and not other.over
-    assert [item[:3] for item in inbox.take(0)] == [("ended", submission, i.NOT_SENT)]
+    assert [item[:3] for item in inbox.take(0)] == [("ended", submission, Ending.NOT_SENT)]
     keeper.ask(other)
     assert keeper.connections[0] is not place and not other.over
 
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -18,8 +18,8 @@
 from hypothesis import strategies as st
 from rich.console import Console
 
-from wickvane import interface as i
 from wickvane import parts
+from wickvane.events import EngineState
 from wickvane.net.service import Service
 from wickvane.rehearsal import demo, model, tds, world
 from wickvane.rehearsal import script as scripts
@@ -292,7 +292,11 @@
 @pytest.mark.parametrize(
     "rule, name, broken",
     [
-        (3, "engine", lambda kept: lambda self, e, rank, state, *more: kept(self, e, rank, i.READY, *more)),
+        (
+            3,
+            "engine",
+            lambda kept: lambda self, e, rank, state, *more: kept(self, e, rank, EngineState.READY, *more),
+        ),
         (5, "key_free", lambda kept: lambda self, qy: True),
         (7, "budget_left", lambda kept: lambda self: True),
         (2, "may_resubmit", lambda kept: lambda self, qy: qy.tries < 5 and self.now < qy.limit),
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,9 +10,10 @@
 
 import orjson
 import pytest
-from bench_free import SETTINGS, Gateways, found, i
+from bench_free import SETTINGS, Gateways, found
 from test_rehearsal import ROOT
 
+from wickvane.events import Ending, TimerFired
 from wickvane.id_registry import IdRegistry
 from wickvane.settings import SettingsError
 
@@ -72,16 +73,26 @@
     gateways = Gateways(deployment)
     for e in range(3):
         gateways.engine(e, started=0 if e else gateways.now - 10)
-    endings = (i.FINISHED, i.TURNED_AWAY, i.RESET, i.NO_CONNECTION, i.ERROR, i.NO_ANSWER)
-    for rg in range(len(deployment.groups)):
+    endings = (
+        Ending.FINISHED,
+        Ending.REJECTED,
+        Ending.RESET,
+        Ending.NO_CONNECTION,
+        Ending.ERROR,
+        Ending.NO_ANSWER,
+    )
+    for resource_group in range(len(deployment.groups)):
         for n, ending in enumerate(endings):
             q = gateways.take(
-                rg=rg, cost=1000 * (n % 2), key=n if deployment.groups[rg].ordered else None, left=50_000
+                resource_group=resource_group,
+                cost=1000 * (n % 2),
+                key=n if deployment.groups[resource_group].ordered else None,
+                left=50_000,
             )
             if q in gateways.out:
                 gateways.end(q, ending, elapsed=900, work=900, after=900)
     for _ in range(20):
-        gateways.round(i.Due(1), after=600)
+        gateways.round(TimerFired(1), after=600)
 
 
 @pytest.mark.parametrize("path", list(paths(FULL)), ids=lambda path: ".".join(map(str, path)))
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -4,15 +4,17 @@
 from random import Random
 
 import pytest
-from bench_free import Gateways, group, i, site
+from bench_free import Gateways, group, site
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from wickvane.events import InFlightElsewhere, TimerFired
+from wickvane.quotas import wire
+from wickvane.quotas.counts import FOLD_AFTER, Counts
+from wickvane.quotas.spread import ROOM
 from wickvane.rehearsal import script as scripts
 from wickvane.rehearsal.shared import Shared
-from wickvane.shares import wire
-from wickvane.shares.counts import FOLD_AFTER, SECOND, Counts
-from wickvane.shares.spread import ROOM
+from wickvane.units import TICKS_PER_SECOND
 
 ME = ("me", 1)
 LIVES = [("a", 1), ("a", 2), ("b", 1)]
@@ -65,9 +67,11 @@
     counts.count("x", 3)
     counts.sum(1, ("a", 1), "x", 5)
     counts.levels(1, ("a", 1), 1, {"e1": 4})
-    assert counts.held(2, SECOND)[0] == {"e1": 4}
+    assert counts.held(2, TICKS_PER_SECOND)[0] == {"e1": 4}
     counts.over(2, set())
-    assert counts.held(2, SECOND)[0] == {} and counts.total("x") == 8  # nothing at work, and still counted
+    assert (
+        counts.held(2, TICKS_PER_SECOND)[0] == {} and counts.total("x") == 8
+    )  # nothing at work, and still counted
     counts.over(2 + FOLD_AFTER, set())
     assert ("a", 1) not in counts.lives and counts.total("x") == 8
     assert not counts.sum(3 + FOLD_AFTER, ("a", 1), "x", 9) and counts.total("x") == 8
@@ -78,13 +82,15 @@
 
 def test_a_word_that_comes_late_is_as_old_as_it_is_whatever_clock_stamped_it():
     counts = Counts(0, ME)
-    apart = 77 * SECOND  # the other's clock against this one
+    apart = 77 * TICKS_PER_SECOND  # the other's clock against this one
     counts.levels(10, ("a", 1), 5 + apart, {"e1": 1})
-    assert counts.age(10, ("a", 1)) == 0 and counts.age(10 + SECOND, ("a", 1)) == SECOND
-    counts.levels(40 * SECOND, ("a", 1), 10 * SECOND + apart, {"e1": 2})
-    assert 29 * SECOND < counts.age(40 * SECOND, ("a", 1)) <= 30 * SECOND
-    assert counts.held(40 * SECOND, 2 * SECOND) == ({}, 0, 0, 0, 1)
-    assert not counts.levels(41 * SECOND, ("a", 1), 9 * SECOND + apart, {"e1": 3})  # older than what is known
+    assert counts.age(10, ("a", 1)) == 0 and counts.age(10 + TICKS_PER_SECOND, ("a", 1)) == TICKS_PER_SECOND
+    counts.levels(40 * TICKS_PER_SECOND, ("a", 1), 10 * TICKS_PER_SECOND + apart, {"e1": 2})
+    assert 29 * TICKS_PER_SECOND < counts.age(40 * TICKS_PER_SECOND, ("a", 1)) <= 30 * TICKS_PER_SECOND
+    assert counts.held(40 * TICKS_PER_SECOND, 2 * TICKS_PER_SECOND) == ({}, 0, 0, 0, 1)
+    assert not counts.levels(
+        41 * TICKS_PER_SECOND, ("a", 1), 9 * TICKS_PER_SECOND + apart, {"e1": 3}
+    )  # older than what is known
 
 
 def test_tables_are_bounded_and_what_does_not_fit_is_counted():
@@ -137,7 +143,11 @@
         g.now += 500
         g.round(*told)
         if chance.random() < 0.8:
-            g.take(rg=chance.randrange(2), cost=chance.choice([500, 1000, 4000]), coord=chance.randrange(9))
+            g.take(
+                resource_group=chance.randrange(2),
+                cost=chance.choice([500, 1000, 4000]),
+                table_group=chance.randrange(9),
+            )
         for q in sorted(g.out):
             if chance.random() < 0.3:
                 g.end(q, work=1200)
@@ -148,17 +158,17 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_with_nothing_heard_or_only_what_is_old_every_decision_is_as_without(seed):
-    old = [i.InFlightElsewhere(e, 40 * (e % 2), 60 * SECOND) for e in range(6)]
-    fresh = [i.InFlightElsewhere(e, 40 * (e % 2), 10) for e in range(6)]
-    assert day(seed, [i.Due(1)], in_fleet=False) == day(seed, old) != day(seed, fresh)
+    old = [InFlightElsewhere(e, 40 * (e % 2), 60 * TICKS_PER_SECOND) for e in range(6)]
+    fresh = [InFlightElsewhere(e, 40 * (e % 2), 10) for e in range(6)]
+    assert day(seed, [TimerFired(1)], in_fleet=False) == day(seed, old) != day(seed, fresh)
 
 
 def test_an_engine_that_others_crowd_gets_the_next_query_last():
-    g = Gateways(site([group()], gateways=30), in_fleet=True)
+    g = Gateways(site([group()], dispatcher_count=30), in_fleet=True)
     g.engines(3)
-    first = g.gateway.order_of(0)[0]
+    first = g.scheduler.order_of(0)[0]
     g.end(g.take(cost=1000), work=1000)
-    g.round(*[i.InFlightElsewhere(e, 24 if e == first else 0, 10) for e in range(3)])
+    g.round(*[InFlightElsewhere(e, 24 if e == first else 0, 10) for e in range(3)])
     q = g.take(cost=1000)
     assert g.out[q] != first
 
@@ -182,13 +192,13 @@
 
     def look():
         for member in world.members:
-            held, mean, oldest, counted, out = member.spread.counts.held(world.now, 2 * SECOND)
+            held, mean, oldest, counted, out = member.spread.counts.held(world.now, 2 * TICKS_PER_SECOND)
             looks.append((mean, oldest, counted, sum(held.values())))
-        true.append(sum(host.gateway.used for host in world.hosts))
-        world.at(world.now + SECOND // 4, look)
+        true.append(sum(host.scheduler.used for host in world.hosts))
+        world.at(world.now + TICKS_PER_SECOND // 4, look)
 
     true = []
-    world.at(2 * SECOND, look)
+    world.at(2 * TICKS_PER_SECOND, look)
     world.play()
     half = [row for row in looks if row[2] == 11]
     assert len(half) > 0.9 * len(looks)
@@ -210,8 +220,8 @@
             plain(query)
 
         member.host.take = take
-    world.at(2 * SECOND, lambda: setattr(world, "cut", lambda a, b: (a < 5) != (b < 5)))
-    world.at(8 * SECOND, lambda: setattr(world, "cut", None))
+    world.at(2 * TICKS_PER_SECOND, lambda: setattr(world, "cut", lambda a, b: (a < 5) != (b < 5)))
+    world.at(8 * TICKS_PER_SECOND, lambda: setattr(world, "cut", None))
     outcome = world.play()
     assert not outcome.breaches and sum(asked) > 500
     assert {member.spread.counts.total("taken") for member in world.members} == {sum(asked)}
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -16,7 +16,8 @@
 from wickvane.rehearsal import script as scripts
 from wickvane.rehearsal import world
 from wickvane.rehearsal.load import Load
-from wickvane.storm import CALM, GROWTH, LOOP, SECOND, SLOW, STEP, STORM, Storm, mark_of
+from wickvane.storm import CALM, GROWTH, LOOP, SLOW, STEP, STORM, Storm, mark_of
+from wickvane.units import TICKS_PER_SECOND
 
 DAY = """rehearsal {{
     length "40s"
@@ -95,7 +96,7 @@
     for n in range(40):
         made.deferred(now, mark_of(0, None, None, b"%d" % n))
     for tick in range(int(seconds * 100)):
-        at = now + tick * SECOND // 100
+        at = now + tick * TICKS_PER_SECOND // 100
         found += made.look(at)
         for _ in range(taken // 100):
             again = chance.random() < repeats
@@ -112,12 +113,14 @@
 def test_a_storm_deepens_with_its_repeats_and_a_flicker_does_not_end_it():
     made = Storm(0, 0.1, 100_000)
     assert [event for event, _ in fed(made, 1, 4, 400, 0.35, 0.5, 0.3)] == ["begins"] and made.state == STORM
-    assert "deepens" in [event for event, _ in fed(made, 4 * SECOND, 4, 400, 0.8, 0.3, 0.6)]
-    assert made.look(8 * SECOND + STEP) == [] and made.state == STORM
-    fed(made, 9 * SECOND, 2, 400, 0.8, 0.3, 0.6)
-    assert [fields["kind"] for event, fields in fed(made, 12 * SECOND, 6, 400, 0.0, 1.2) if event == "ends"][
-        :1
-    ] == [STORM]
+    assert "deepens" in [event for event, _ in fed(made, 4 * TICKS_PER_SECOND, 4, 400, 0.8, 0.3, 0.6)]
+    assert made.look(8 * TICKS_PER_SECOND + STEP) == [] and made.state == STORM
+    fed(made, 9 * TICKS_PER_SECOND, 2, 400, 0.8, 0.3, 0.6)
+    assert [
+        fields["kind"]
+        for event, fields in fed(made, 12 * TICKS_PER_SECOND, 6, 400, 0.0, 1.2)
+        if event == "ends"
+    ][:1] == [STORM]
     assert made.state == CALM
 
 
@@ -125,16 +128,16 @@
     """A pool where a third is repeats on every calm day: more than that is wanted for a storm."""
     made = Storm(0, 0.1, 100_000)
     for n in range(40):
-        fed(made, n * 4 * SECOND, 4, 200, 0.15, 1.1)
+        fed(made, n * 4 * TICKS_PER_SECOND, 4, 200, 0.15, 1.1)
     assert made.state == CALM and made.usual_repeats > 0.05
-    assert not fed(made, 170 * SECOND, 3, 400, 0.3, 0.9, 0.2) or made.state != STORM
+    assert not fed(made, 170 * TICKS_PER_SECOND, 3, 400, 0.3, 0.9, 0.2) or made.state != STORM
 
 
 @given(st.lists(st.tuples(st.integers(0, 400), st.booleans(), st.integers(0, 30)), min_size=1, max_size=300))
 @settings(max_examples=60, deadline=None)
 def test_what_was_deferred_is_known_for_its_time_as_a_plain_table_has_it(steps):
     """None that is due is forgotten; past twice the time none is known, but by the filter's small chance."""
-    made, table, now = Storm(0, 0.1, 2 * SECOND), {}, 1
+    made, table, now = Storm(0, 0.1, 2 * TICKS_PER_SECOND), {}, 1
     strangers = wrong = 0
     for ticks, defers, n in steps:
         now += ticks * 100
@@ -144,9 +147,9 @@
             table[mark] = now
             continue
         again, since = made.taken(now, mark, 0, 10), now - table.get(mark, -1e9)
-        if since < 2 * SECOND:
+        if since < 2 * TICKS_PER_SECOND:
             assert again
-        elif since > 4 * SECOND + 400 * 100:
+        elif since > 4 * TICKS_PER_SECOND + 400 * 100:
             strangers, wrong = strangers + 1, wrong + again
     assert wrong <= 2 + 0.05 * strangers
 
@@ -158,7 +161,7 @@
 
 
 def test_memory_is_bounded_whatever_comes():
-    made, chance = Storm(0, 0.1, 60 * SECOND), random.Random(1)
+    made, chance = Storm(0, 0.1, 60 * TICKS_PER_SECOND), random.Random(1)
     for n in range(3 * storm.MARKS):
         mark = chance.randbytes(16)
         made.deferred(n, mark)
--- a/tests/test_tds.py
+++ b/tests/test_tds.py
@@ -37,9 +37,9 @@
 from test_flow_export import document
 from test_readers import line_of_one
 
-from wickvane import interface as i
 from wickvane import parts
 from wickvane.errors import ConfigError
+from wickvane.events import Ending
 from wickvane.files import FileError
 from wickvane.net.lines import connection as lines
 from wickvane.net.service import Service
@@ -154,11 +154,11 @@
 def test_work_and_memory_are_what_the_engine_reports_and_sessions_are_reset():
     engine = TdsEngine(lambda query: result((1, "a"), work=250.0, memory=77))
     dispatcher = Dispatcher(engine)
-    gateway = dispatcher.service.decider.gateway
+    scheduler = dispatcher.service.decider.scheduler
     with dispatcher.connect() as client:
         ask(client, "SELECT 1 FROM sales_17.orders")
         ask(client, "SELECT 2 FROM sales_17.orders")
-    assert gateway.mean[3] == pytest.approx(2500, rel=0.01) and gateway.mean[0] == 0.0
+    assert scheduler.mean[3] == pytest.approx(2500, rel=0.01) and scheduler.mean[0] == 0.0
     first, second = engine.next("BATCH"), engine.next("BATCH")
     assert first.conn is second.conn and not first.reset and second.reset
 
@@ -291,8 +291,8 @@
     made["classes"] = classes
     dispatcher = Dispatcher(*engines, family_info={})
     if window == 1.0:
-        gateway = dispatcher.service.decider.gateway
-        gateway.groups[:] = [g._replace(repeat_window=10) for g in gateway.groups]
+        scheduler = dispatcher.service.decider.scheduler
+        scheduler.groups[:] = [g._replace(idempotency_window=10) for g in scheduler.groups]
     with dispatcher.connect() as client:
         text = statement("INSERT INTO sales_3.t VALUES (1)", verb="load", n=9, unique="tok", item="k")
         if sends == 2:
@@ -380,11 +380,11 @@
 @pytest.mark.parametrize(
     "reason, proven",
     [
-        ("peer-closed", i.NO_CONNECTION),
-        ("reset", i.NO_CONNECTION),
-        ("write-stalled", i.NO_CONNECTION),
-        ("stop", i.NOT_SENT),
-        ("engine-restarted", i.NOT_SENT),
+        ("peer-closed", Ending.NO_CONNECTION),
+        ("reset", Ending.NO_CONNECTION),
+        ("write-stalled", Ending.NO_CONNECTION),
+        ("stop", Ending.NOT_SENT),
+        ("engine-restarted", Ending.NOT_SENT),
     ],
 )
 def test_a_half_written_batch_is_proven_not_to_have_run_and_a_whole_one_is_not(monkeypatch, reason, proven):
@@ -395,7 +395,7 @@
         while whole and assembler.message() is None:
             assembler.feed(theirs.recv(65_536))
         place.fail(reason)
-        assert only_ending(inbox, sub) == (i.RESET if whole else proven)
+        assert only_ending(inbox, sub) == (Ending.RESET if whole else proven)
         theirs.close()
         place.link.links.stop()
 
@@ -423,11 +423,11 @@
         reader.join()
         ending = only_ending(inbox, sub)
         has_whole = got[0] >= 2 * len(sub.pending.body)  # two octets a character, and a head
-        assert ending == i.RESET or not has_whole
+        assert ending == Ending.RESET or not has_whole
         seen.add((ending, has_whole))
         theirs.close()
         place.link.links.stop()
-    assert {ending for ending, _ in seen} == {i.RESET, i.NO_CONNECTION}
+    assert {ending for ending, _ in seen} == {Ending.RESET, Ending.NO_CONNECTION}
 
 
 # Attention
@@ -525,10 +525,10 @@
     client.send(packets.ATTENTION, b"")
     client.tokens()
     engine.next("ATTENTION")
-    gateway = dispatcher.service.decider.gateway
-    assert sum(gateway.engines.in_flight) == 1  # its work goes on, as far as anybody knows
+    scheduler = dispatcher.service.decider.scheduler
+    assert sum(scheduler.engines.in_flight) == 1  # its work goes on, as far as anybody knows
     until(lambda: dispatcher.service.counters.shown().get("engine-connections-ended-attention-unanswered"))
-    until(lambda: sum(gateway.engines.in_flight) == 0)
+    until(lambda: sum(scheduler.engines.in_flight) == 0)
 
 
 def test_a_client_that_drops_midway_leaves_no_query_behind():
--- a/tests/test_threads.py
+++ b/tests/test_threads.py
@@ -100,7 +100,7 @@
     shown = dispatcher.service.counters.shown
     assert not left and shown()["engine-connections-ended-no-descriptor"] == 2
     assert "ending-no-connection" not in shown() and shown()["ending-not-sent"] == 2
-    assert not dispatcher.service.decider.gateway.engines.failure_rate[0]
+    assert not dispatcher.service.decider.scheduler.engines.failure_rate[0]
     assert rows(client.ask(statement(n=9)))
 
 
--- a/wickvane/__main__.py
+++ b/wickvane/__main__.py
@@ -84,10 +84,10 @@
 
 # Commands that stand alone, and the modules whose main() takes docopt's words; imported only where asked for.
 COMMANDS = {
-    "peers": "wickvane.peers.tool",
-    "policy": "wickvane.policy.tool",
-    "shares": "wickvane.shares.tool",
-    "members": "wickvane.members.tool",
+    "peers": "wickvane.cluster.tool",
+    "policy": "wickvane.config_log.tool",
+    "shares": "wickvane.quotas.tool",
+    "members": "wickvane.endpoints.tool",
     "flows": "wickvane.flows.tool",
     "rehearse": "wickvane.rehearsal.command",
     "demo": "wickvane.rehearsal.command",
@@ -108,7 +108,7 @@
         if asked[word]:
             return importlib.import_module(module).main(asked)
     if asked["status"]:
-        from wickvane.control.tool import status
+        from wickvane.xds.tool import status
 
         return status(asked["--to"], asked["--tls"], asked["--json"])
     path = os.environ.get("LB_CONFIG") if asked["--config"] == "$LB_CONFIG" else asked["--config"]
@@ -163,7 +163,7 @@
 
     if "control" not in (found or {}):
         raise ConfigError(f"the parts document {more} has no node control", 2)
-    from wickvane.control.server import Server
+    from wickvane.xds.server import Server
 
     return Server(configuration(path), found["control"], members=found.get("members")).run(path, more)
 
--- a/wickvane/peers/detector.py
+++ b/wickvane/cluster/detector.py
@@ -15,14 +15,18 @@
 
 from math import log
 
-from wickvane.peers.membership import ALIVE, CONFIRMERS, JOINING, SECOND, SUSPECT
+from wickvane.cluster.membership import ALIVE, CONFIRMERS, JOINING, SUSPECT
+from wickvane.units import TICKS_PER_SECOND
 
 HELPERS = 3
 HEALTH_MOST = 4  # a period is up to five times as long for who is not well
 INDIRECT = 0.4  # part of a period after which others are asked
 NACK = 0.45  # part of a period within which a helper tells that it got no answer
 STILL = 3_000  # later than that past its moment, this process stood still or was kept from its core
-LEAST, MOST = 35 * SECOND // 10, 12 * SECOND  # to refute: with CONFIRMERS others, and with none
+LEAST, MOST = (
+    35 * TICKS_PER_SECOND // 10,
+    12 * TICKS_PER_SECOND,
+)  # to refute: with CONFIRMERS others, and with none
 SAID_A_SECOND = 300  # entries that a member can send on, with all that it sends
 BACK_MOST = 3  # a life that refuted lately gets up to 2 to the power of this as long
 HELPED_MOST = 64  # probes for others' sake at once
@@ -40,7 +44,7 @@
         self.helped = {}  # my seq: (whose, their seq, about, when no answer is told)
         self.until = {}  # suspect row: (since, least, most)
         self.health, self.next_probe = 0, now + period
-        self.stood, self.stood_at = 0, now - 60 * SECOND  # standstills seen, and the last one's end
+        self.stood, self.stood_at = 0, now - 60 * TICKS_PER_SECOND  # standstills seen, and the last one's end
         self.heard_at = now  # when last somebody answered this life itself
         self.probes = self.missed = 0
 
@@ -115,7 +119,7 @@
         for row in [row for row in self.until if row not in self.table.confirmers]:
             del self.until[row]  # replaced by a later life
         # What lies unsaid here lies unsaid elsewhere: a refutation cannot be ahead of all those rumours.
-        unsaid = len(self.table.rumours) * self.table.times() * SECOND // SAID_A_SECOND
+        unsaid = len(self.table.rumours) * self.table.times() * TICKS_PER_SECOND // SAID_A_SECOND
         for row in [row for row in self.until if self.deadline(row) + min(unsaid, MOST) <= now]:
             del self.until[row]
             out.failed(row)
@@ -165,7 +169,7 @@
         if row in self.until and not judged:
             return
         table = self.table
-        lately = now - table.back_at[row] < 60 * SECOND
+        lately = now - table.back_at[row] < 60 * TICKS_PER_SECOND
         longer = 1 << min(BACK_MOST, table.back[row] if lately else 0)
         longer *= 1 + self.health / 2
         since = self.until[row][0] if row in self.until else now
--- a/wickvane/peers/membership.py
+++ b/wickvane/cluster/membership.py
@@ -18,18 +18,20 @@
 from hashlib import blake2b
 from itertools import islice
 
+from wickvane.units import TICKS_PER_SECOND
+
 JOINING, ALIVE, SUSPECT, FAILED, LEFT = range(5)
 STATES = "joining", "alive", "suspect", "failed", "left"
 DEAD = FAILED, LEFT
 NEVER = -(1 << 60)
-SECOND = 10_000
 BUCKETS, SUM = 128, 4  # of the table, each with a sum of four octets: what two compare before they exchange
 LIVES_MOST = 4  # of one name: more at once are a mistake of who configured them
 FLOORS = 4096  # names whose dead lives are no longer held one by one
 INCARNATION_MOST = 1 << 32
-JOINING_LASTS = 15 * SECOND  # an unanswered newcomer is not kept longer
-HEARD_LATELY = 3 * SECOND  # a life heard of at first hand since is not called failed on another's word
-SUSPECTED_LEAST = 2 * SECOND  # nor one that was not suspected here for so long
+JOINING_LASTS = 15 * TICKS_PER_SECOND  # an unanswered newcomer is not kept longer
+# A life heard of at first hand since is not called failed on another's word.
+HEARD_LATELY = 3 * TICKS_PER_SECOND
+SUSPECTED_LEAST = 2 * TICKS_PER_SECOND  # nor one that was not suspected here for so long
 SPREAD = 4  # a rumour is sent on so often, times the decimal logarithm of the members
 TURNS = 32  # more than times() can be
 CONFIRMERS = 3  # independent suspicions that are sent on, and shorten the time left to refute
@@ -178,7 +180,7 @@
                 return self.confirmed(row, by)
             state = SUSPECT
         if was in (SUSPECT, FAILED) and state == ALIVE:
-            lately = now - self.back_at[row] < 60 * SECOND
+            lately = now - self.back_at[row] < 60 * TICKS_PER_SECOND
             self.back[row], self.back_at[row] = (self.back[row] + 1 if lately else 1), now
         self.becomes(now, row, incarnation, state, by)
         if direct or state in (JOINING, ALIVE):
--- a/wickvane/peers/part.py
+++ b/wickvane/cluster/part.py
@@ -57,12 +57,12 @@
     CHANGES = {"seeds", "seeds_file", "key_file"}  # while it runs
 
     def build(self, service, found):
-        from wickvane.peers.shell import Peers
+        from wickvane.cluster.shell import Peers
 
         self.peers = Peers(
             self.terms,
             service.name,
-            service.registry.deployment.gateways,
+            service.registry.deployment.dispatcher_count,
             service.seed,
             service.log,
             service.counters,
@@ -79,8 +79,8 @@
         for field in Part._fields:
             if field not in self.CHANGES and getattr(terms, field) != getattr(self.terms, field):
                 raise parts.Unusable(f"peers: {field}: another value needs a restart")
+        from wickvane.cluster.wire import read_keys
         from wickvane.files import FileError
-        from wickvane.peers.wire import read_keys
 
         try:
             return read_keys(terms.key_file)
--- a/wickvane/peers/protocol.py
+++ b/wickvane/cluster/protocol.py
@@ -11,34 +11,34 @@
 
 from random import Random
 
-from wickvane.peers import standing as st
-from wickvane.peers.detector import STILL, Detector
-from wickvane.peers.membership import (
+from wickvane.cluster import standing as st
+from wickvane.cluster.detector import STILL, Detector
+from wickvane.cluster.membership import (
     ALIVE,
     BUCKETS,
     FAILED,
     JOINING,
     LEFT,
     NEVER,
-    SECOND,
     STATES,
     SUM,
     SUSPECT,
     Table,
 )
+from wickvane.units import TICKS_PER_SECOND
 
 PING, ACK, ASK, NACK, RELAYED, SYNC, ENTRIES, GOSSIP, CARRY = range(9)
 DATAGRAM = 1200  # octets, so that no path cuts it up
 HEAD = 180  # of them for what is no entry, at most
-GOSSIP_EVERY, FANOUT = SECOND // 5, 3
-SYNC_EVERY, JOIN_FIRST, JOIN_MOST = 5 * SECOND, SECOND // 2, 30 * SECOND
-LOST_EVERY, SEEDS_EVERY, AGE_EVERY = 2 * SECOND, 30 * SECOND, SECOND
-STRAY_EVERY = SECOND // 5  # answers to lives that know no better, whoever they are
+GOSSIP_EVERY, FANOUT = TICKS_PER_SECOND // 5, 3
+SYNC_EVERY, JOIN_FIRST, JOIN_MOST = 5 * TICKS_PER_SECOND, TICKS_PER_SECOND // 2, 30 * TICKS_PER_SECOND
+LOST_EVERY, SEEDS_EVERY, AGE_EVERY = 2 * TICKS_PER_SECOND, 30 * TICKS_PER_SECOND, TICKS_PER_SECOND
+STRAY_EVERY = TICKS_PER_SECOND // 5  # answers to lives that know no better, whoever they are
 PAGES = 6  # datagrams of entries in one exchange
 SENT_RATE, SENT_BURST = 100, 200  # datagrams a second, whatever the size of the fleet or what comes in
-AGREE = 4 * SECOND  # a view heard of longer ago says nothing of now
+AGREE = 4 * TICKS_PER_SECOND  # a view heard of longer ago says nothing of now
 TELLING = 8  # members that are told first-hand that this one leaves
-ALONE_MOST = 60 * SECOND  # who is answered by nobody calls nobody failed for so long
+ALONE_MOST = 60 * TICKS_PER_SECOND  # who is answered by nobody calls nobody failed for so long
 
 
 class Node:
@@ -55,9 +55,9 @@
         configured,
         seed,
         told,
-        period=SECOND // 2,
+        period=TICKS_PER_SECOND // 2,
         most=4096,
-        remember=24 * 3600 * SECOND,
+        remember=24 * 3600 * TICKS_PER_SECOND,
     ):
         self.chance = Random(f"{seed}/peers/{name}")
         self.table = Table(now, name, epoch, address, most, remember, told)
@@ -99,7 +99,9 @@
     def next_at(self):
         if self.over:
             # Only what came is answered: the times of what is no longer done lie in the past.
-            return max(self.now + 1, self.rider.next_at if self.rider is not None else self.now + SECOND)
+            return max(
+                self.now + 1, self.rider.next_at if self.rider is not None else self.now + TICKS_PER_SECOND
+            )
         times = [self.detector.next_at(), self.sync_at, self.lost_at, self.age_at]
         if self.seeds:
             times.append(self.join_at)
@@ -179,7 +181,7 @@
             return
         if self.detector.unheard(self.now) and self.now - table.since[row] < ALONE_MOST:
             # Nobody answers at all: the cut is as likely on this side.
-            self.detector.until[row] = (self.now, SECOND, SECOND)
+            self.detector.until[row] = (self.now, TICKS_PER_SECOND, TICKS_PER_SECOND)
             return
         table.becomes(self.now, row, table.incarnation[row], FAILED, table.name[0])
 
@@ -332,7 +334,9 @@
         self.send(table.address[row], table.epoch[row], kind, seq, about, sums, also)
 
     def send(self, address, to, kind, seq=0, about=None, sums=b"", also=(), raw=()):
-        self.tokens = min(SENT_BURST, self.tokens + (self.now - self.tokens_at) * SENT_RATE / SECOND)
+        self.tokens = min(
+            SENT_BURST, self.tokens + (self.now - self.tokens_at) * SENT_RATE / TICKS_PER_SECOND
+        )
         self.tokens_at = self.now
         if self.tokens < 1:
             return self.refuse("sent-too-much")
--- a/wickvane/peers/shell.py
+++ b/wickvane/cluster/shell.py
@@ -1,4 +1,4 @@
-"""The socket, thread and files around wickvane.peers.protocol.
+"""The socket, thread and files around wickvane.cluster.protocol.
 
 One UDP socket, one thread. A round is: all that lies in the socket, checked and opened, then one call. What
 is refused is counted by reason and costs no line of its own; whoever floods is read at a pace, past which
@@ -15,11 +15,11 @@
 
 import orjson
 
+from wickvane.cluster import wire
+from wickvane.cluster.protocol import Node
 from wickvane.errors import ConfigError
 from wickvane.files import FileError
 from wickvane.net import clock
-from wickvane.peers import wire
-from wickvane.peers.protocol import Node
 
 FAULTS_MOST = 50  # after which it is no peer any more
 BATCH, WAIT_MOST_S = 128, 0.5
--- a/wickvane/peers/standing.py
+++ b/wickvane/cluster/standing.py
@@ -15,7 +15,7 @@
 | ending what one has, since the others are the larger part | a whole fleet may end itself | no |
 """
 
-from wickvane.peers.membership import DEAD, FAILED, JOINING, LEFT, SUSPECT
+from wickvane.cluster.membership import DEAD, FAILED, JOINING, LEFT, SUSPECT
 
 WHOLE, DEGRADED, ALONE = "whole", "degraded", "alone"
 LARGER, SMALLER, UNKNOWN = "larger", "smaller", "unknown"
--- a/wickvane/peers/tool.py
+++ b/wickvane/cluster/tool.py
@@ -11,7 +11,7 @@
 import orjson
 
 from wickvane import parts
-from wickvane.peers.shell import ANSWER, ORDER, STATUS
+from wickvane.cluster.shell import ANSWER, ORDER, STATUS
 
 OLD_S, WAIT_S = 10.0, 6.0
 
--- a/wickvane/peers/wire.py
+++ b/wickvane/cluster/wire.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
+from wickvane.cluster.protocol import DATAGRAM
 from wickvane.files import FileError, read_bounded
-from wickvane.peers.protocol import DATAGRAM
 
 VERSION, MAC = 1, 16
 KEY_LEAST, KEY_MOST, FILE_MOST = 16, 64, 4096
--- a/wickvane/policy/agreement.py
+++ b/wickvane/config_log/agreement.py
@@ -21,9 +21,13 @@
 
 from typing import NamedTuple
 
-SECOND = 10_000
-ELECT_LEAST, ELECT_MOST = 3 * SECOND // 2, 3 * SECOND  # silence of a leader, by lot, until another is sought
-BEAT = SECOND // 2
+from wickvane.units import TICKS_PER_SECOND
+
+ELECT_LEAST, ELECT_MOST = (
+    3 * TICKS_PER_SECOND // 2,
+    3 * TICKS_PER_SECOND,
+)  # silence of a leader, by lot, until another is sought
+BEAT = TICKS_PER_SECOND // 2
 ENTRIES_MOST = 16  # in one message
 FOLLOWER, SEEKER, CANDIDATE, LEADER = range(4)
 ASK_VOTE, VOTE, APPEND, APPENDED = range(4)
--- a/wickvane/policy/course.py
+++ b/wickvane/config_log/course.py
@@ -19,11 +19,13 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from wickvane.policy.agreement import ABANDON, POLICY, START
+from wickvane.config_log.agreement import ABANDON, POLICY, START
+from wickvane.units import TICKS_PER_SECOND
 
-SECOND = 10_000
-CHECK_FOR = 2 * SECOND  # who has not answered by then counts as down: it learns of it when it is back
-CLOSE_MOST = 60 * SECOND  # a change that no majority closes for is abandoned: too many voters are gone
+# Who has not answered by then counts as down: it learns of it when it is back.
+CHECK_FOR = 2 * TICKS_PER_SECOND
+# A change that no majority closes for is abandoned: too many voters are gone.
+CLOSE_MOST = 60 * TICKS_PER_SECOND
 HISTORY_MOST, TEXT_MOST = 256, 65_536
 CHECKING, AGREEING, CLOSING, OPENING, DONE, REFUSED, ABANDONED = range(7)
 
--- a/wickvane/policy/document.py
+++ b/wickvane/config_log/document.py
@@ -97,7 +97,7 @@
         )
         if group.timeout is not None and group.timeout > settings.timeout:
             raise child.wrong(f"at most the settings' {settings.timeout / 10:g}ms (rule 1)", name="timeout")
-        target = settings.promise if group.target is None else group.target
+        target = settings.latency_objective if group.target is None else group.target
         if target > (settings.timeout if group.timeout is None else group.timeout):
             raise child.wrong("a target within the timeout", name="target")
         child.done()
@@ -125,11 +125,11 @@
         return None, None
     free, share = child.property("free", parts.share(0, 1e6)), child.property("share", PART)
     child.done()
-    if not deployment.extra_window:
+    if not deployment.retry_budget_window:
         raise child.wrong("settings with a window of further submissions")
     for value, most, name in (
-        (free, deployment.extra_free, "free"),
-        (share, deployment.extra_share, "share"),
+        (free, deployment.retry_budget_minimum, "free"),
+        (share, deployment.retry_budget_ratio, "share"),
     ):
         if value is not None and value > most:
             raise child.wrong(f"at most the settings' {most:g} (rule 7)", value, name)
@@ -140,7 +140,7 @@
     child = node.child("cold")
     if child is None:
         return None
-    multiple, most = child.property("multiple", parts.share(0.01, 1e6)), deployment.fall_multiple
+    multiple, most = child.property("multiple", parts.share(0.01, 1e6)), deployment.collapse_multiple
     child.done()
     if multiple is not None and multiple > most:
         raise child.wrong(f"at most the settings' {most:g} (rule 4)", multiple, "multiple")
@@ -160,10 +160,10 @@
             at
             if of is None
             else at._replace(
-                promise=over(at.promise, of.target),
+                latency_objective=over(at.latency_objective, of.target),
                 timeout=over(at.timeout, of.timeout),
-                value=over(at.value, of.value),
-                late_value=over(at.late_value, of.late),
+                priority_weight=over(at.priority_weight, of.value),
+                late_priority_weight=over(at.late_priority_weight, of.late),
             )
         )
 
@@ -173,9 +173,9 @@
             (policy.tenants.get(name, share), rate)
             for name, (share, rate) in zip(tenants, deployment.tenants, strict=True)
         ],
-        extra_free=over(deployment.extra_free, policy.free),
-        extra_share=over(deployment.extra_share, policy.share),
-        fall_multiple=over(deployment.fall_multiple, policy.multiple),
+        retry_budget_minimum=over(deployment.retry_budget_minimum, policy.free),
+        retry_budget_ratio=over(deployment.retry_budget_ratio, policy.share),
+        collapse_multiple=over(deployment.collapse_multiple, policy.multiple),
     )
 
 
@@ -185,18 +185,18 @@
 
     def group(a, b):
         return a._replace(
-            promise=min(a.promise, b.promise),
+            latency_objective=min(a.latency_objective, b.latency_objective),
             timeout=min(a.timeout, b.timeout),
-            value=min(a.value, b.value),
-            late_value=min(a.late_value, b.late_value),
+            priority_weight=min(a.priority_weight, b.priority_weight),
+            late_priority_weight=min(a.late_priority_weight, b.late_priority_weight),
         )
 
     return one._replace(
         groups=[group(a, b) for a, b in zip(one.groups, other.groups, strict=True)],
         tenants=[(min(a[0], b[0]), a[1]) for a, b in zip(one.tenants, other.tenants, strict=True)],
-        extra_free=min(one.extra_free, other.extra_free),
-        extra_share=min(one.extra_share, other.extra_share),
-        fall_multiple=min(one.fall_multiple, other.fall_multiple),
+        retry_budget_minimum=min(one.retry_budget_minimum, other.retry_budget_minimum),
+        retry_budget_ratio=min(one.retry_budget_ratio, other.retry_budget_ratio),
+        collapse_multiple=min(one.collapse_multiple, other.collapse_multiple),
     )
 
 
@@ -205,10 +205,10 @@
     found = []
     for name, a, b in zip(groups, before.groups, after.groups, strict=True):
         for field, word in (
-            ("promise", "target"),
+            ("latency_objective", "target"),
             ("timeout", "timeout"),
-            ("value", "value"),
-            ("late_value", "late"),
+            ("priority_weight", "value"),
+            ("late_priority_weight", "late"),
         ):
             if getattr(a, field) != getattr(b, field):
                 found.append((f"group {name} {word}", getattr(a, field), getattr(b, field)))
@@ -216,9 +216,9 @@
         if a != b:
             found.append((f"tenant {name} share", a, b))
     for field, word in (
-        ("extra_free", "further free"),
-        ("extra_share", "further share"),
-        ("fall_multiple", "cold multiple"),
+        ("retry_budget_minimum", "further free"),
+        ("retry_budget_ratio", "further share"),
+        ("collapse_multiple", "cold multiple"),
     ):
         if getattr(before, field) != getattr(after, field):
             found.append((word, getattr(before, field), getattr(after, field)))
--- a/wickvane/policy/lease.py
+++ b/wickvane/config_log/lease.py
@@ -13,8 +13,9 @@
 step.
 """
 
-SECOND = 10_000
-TERM, DRIFT = 2 * SECOND, 10  # of a lease; parts of a thousand by which two clocks may differ
+from wickvane.units import TICKS_PER_SECOND
+
+TERM, DRIFT = 2 * TICKS_PER_SECOND, 10  # of a lease; parts of a thousand by which two clocks may differ
 HOLDERS_MOST = 4096
 
 
--- a/wickvane/policy/store.py
+++ b/wickvane/config_log/store.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from wickvane.policy.agreement import Entry
+from wickvane.config_log.agreement import Entry
 
 MAGIC, SUM = b"wickvane-vote 1\n", 16
 FILE, MOST = "vote", 64 << 20
--- a/wickvane/policy/tool.py
+++ b/wickvane/config_log/tool.py
@@ -8,11 +8,11 @@
 import orjson
 
 from wickvane import parts
+from wickvane.config_log import document
+from wickvane.config_log.course import digest_of
 from wickvane.errors import ConfigError
 from wickvane.id_registry import IdRegistry
 from wickvane.net.service import configuration
-from wickvane.policy import document
-from wickvane.policy.course import digest_of
 
 
 def main(asked):
--- a/wickvane/members/checks.py
+++ b/wickvane/endpoints/checks.py
@@ -6,8 +6,8 @@
 
 from typing import NamedTuple
 
-from wickvane import interface as i
-from wickvane.members.findings import HOLD, NOTE, REFUSE, STEPS, Finding
+from wickvane.endpoints.findings import HOLD, NOTE, REFUSE, STEPS, Finding
+from wickvane.events import EngineState
 from wickvane.scheduler import warm_part
 
 NAMED = 5  # engines named in one sentence
@@ -20,8 +20,8 @@
     cores: dict
     zones: frozenset | None
     groups: tuple
-    cold_from: float
-    cold_time: int
+    slow_start_fraction: float
+    slow_start_duration: int
     default_cores: int = 1
 
     def cores_of(self, kind):
@@ -43,8 +43,8 @@
             (name, named(group.zones, zones), named(group.kinds, kinds))
             for name, group in zip(registry.group_names, site.groups)
         ),
-        site.cold_from,
-        site.cold_time,
+        site.slow_start_fraction,
+        site.slow_start_duration,
     )
 
 
@@ -78,17 +78,17 @@
         return self.facts.cores_of(member.kind) * min(1.0, member.weight)
 
     def put(self, member, now):
-        if member.state != i.READY:
+        if member.state != EngineState.READY:
             return
         key = member.kind, member.zone
         self.count[key] = self.count.get(key, 0) + 1
         self.ready += 1
         self.capacity += self.weigh(member)
-        if member.started and now - member.started * 10 < self.facts.cold_time:
+        if member.started and now - member.started * 10 < self.facts.slow_start_duration:
             self.young[member.name] = member
 
     def drop(self, member):
-        if member.state != i.READY:
+        if member.state != EngineState.READY:
             return
         key = member.kind, member.zone
         self.count[key] -= 1
@@ -102,7 +102,9 @@
         """Cores that it has now, cold engines by the part that they have at least."""
         lost = 0.0
         for name, member in list(self.young.items()):
-            part = warm_part(now - member.started * 10, self.facts.cold_from, self.facts.cold_time)
+            part = warm_part(
+                now - member.started * 10, self.facts.slow_start_fraction, self.facts.slow_start_duration
+            )
             if part >= 1.0:
                 del self.young[name]
             lost += (1 - part) * self.weigh(member)
@@ -150,9 +152,13 @@
             after.drop(was)
         if want is not None:
             after.put(want, now)
-        if was is not None and was.state == i.READY and (want is None or want.state != i.READY):
+        if (
+            was is not None
+            and was.state == EngineState.READY
+            and (want is None or want.state != EngineState.READY)
+        ):
             going.append(name)
-        elif was is not None and want is not None and was.state == want.state == i.READY:
+        elif was is not None and want is not None and was.state == want.state == EngineState.READY:
             times = want.weight / was.weight
             if max(times, 1 / times) > limits.factor * (1 + 1e-9):
                 jumps.append(name)
--- a/wickvane/members/document.py
+++ b/wickvane/endpoints/document.py
@@ -20,9 +20,9 @@
 
 import orjson
 
-from wickvane import interface as i
-from wickvane.members.findings import Unfit
-from wickvane.members.roster import Member
+from wickvane.endpoints.findings import Unfit
+from wickvane.endpoints.roster import Member
+from wickvane.events import EngineState
 from wickvane.net.coordinator import STATES, address_of
 
 SEAL = re.compile(rb"(?:\A|\n)(//! length=(\d{1,12}) blake2b=([0-9a-f]{32})[ \t\r]*\n?)\Z")
@@ -227,9 +227,9 @@
         if value is not None and not (isinstance(value, str) and 0 < len(value) <= NAME_MOST):
             raise wrong(field)
     status = row.get("status", "Ready")
-    if not isinstance(status, str) or STATES.get(status, i.GONE) == i.GONE:
+    if not isinstance(status, str) or STATES.get(status, EngineState.GONE) == EngineState.GONE:
         raise wrong("status")
-    state = i.DRAINING if weight == 0 else STATES[status]
+    state = EngineState.DRAINING if weight == 0 else STATES[status]
     given = frozenset(row) - {"name"} if overrides else None
     return Member(name, address, row.get("zone"), row.get("type"), cell, started, float(weight), state, given)
 
--- a/wickvane/members/gather.py
+++ b/wickvane/endpoints/gather.py
@@ -3,8 +3,8 @@
 What a change of one file costs follows from that file alone: the others are not looked at again.
 """
 
-from wickvane.members import roster as ro
-from wickvane.members.findings import REFUSE, Finding
+from wickvane.endpoints import roster as ro
+from wickvane.endpoints.findings import REFUSE, Finding
 
 
 class Gathered:
--- a/wickvane/members/membership.py
+++ b/wickvane/endpoints/membership.py
@@ -24,16 +24,16 @@
 
 from immutables import Map
 
-from wickvane import interface as i
-from wickvane.members import checks
-from wickvane.members import roster as ro
-from wickvane.members.findings import HOLD, NOTE, REFUSE, STEPS, Finding, gravest
+from wickvane.endpoints import checks
+from wickvane.endpoints import roster as ro
+from wickvane.endpoints.findings import HOLD, NOTE, REFUSE, STEPS, Finding, gravest
+from wickvane.events import EngineState
+from wickvane.units import TICKS_PER_SECOND
 
-SECOND = 10_000
 GENERATIONS, LOGGED = 64, 256  # kept for rollback; records kept for the log
-# Of the told number, below the generation; wickvane.control.catalog takes the stream's part apart again.
+# Of the told number, below the generation; wickvane.xds.catalog takes the stream's part apart again.
 STEP_BITS, STREAM_BITS = 14, 29
-ASK_AFTER = SECOND  # from which on an engine that leaves is asked for what still runs there
+ASK_AFTER = TICKS_PER_SECOND  # from which on an engine that leaves is asked for what still runs there
 COLD_FACTOR = 2.0  # by which the weight of a cold engine may rise at a time
 
 
@@ -43,9 +43,9 @@
     engines."""
 
     limits: checks.Limits = checks.Limits()
-    step: int = 2 * SECOND
-    hold: int = 3600 * SECOND
-    linger: int = 60 * SECOND
+    step: int = 2 * TICKS_PER_SECOND
+    hold: int = 3600 * TICKS_PER_SECOND
+    linger: int = 60 * TICKS_PER_SECOND
     overrides: bool = False
 
 
@@ -357,7 +357,7 @@
                 names.add(name)
         for name, address, state, zone, kind, cell, started, weight in entries:
             names.add(name)
-            if state == i.GONE:
+            if state == EngineState.GONE:
                 self.stream.pop(name, None)
             else:
                 self.stream[name] = ro.Member(name, address, zone, kind, cell, started, weight, state)
@@ -407,7 +407,11 @@
             if not may and name not in at_once and not leaves:
                 waiting = True
                 continue
-            going = was is not None and was.state == i.READY and (want is None or want.state != i.READY)
+            going = (
+                was is not None
+                and was.state == EngineState.READY
+                and (want is None or want.state != EngineState.READY)
+            )
             if going and name not in at_once:
                 if not room:
                     waiting = True
@@ -416,11 +420,11 @@
             made = self.made(now, name, was, want, name in at_once)
             if made is None:
                 drop.append(name)
-                entries.append(was._replace(state=i.GONE).entry())
+                entries.append(was._replace(state=EngineState.GONE).entry())
             elif made != was:
                 put.append(made)
                 entries.append(made.entry())
-                if was is not None and was.state != i.READY and made.state == i.READY:
+                if was is not None and was.state != EngineState.READY and made.state == EngineState.READY:
                     back.append(name)
             if made == want or made is not None and want is not None and made == self.kept(made, want):
                 self.pending.discard(name)
@@ -455,7 +459,7 @@
             if name in self.leaving:
                 return None if now >= self.leaving[name] else was
             self.leaving[name] = now + self.terms.linger
-            return was._replace(state=i.DRAINING, weight=0.0)
+            return was._replace(state=EngineState.DRAINING, weight=0.0)
         self.leaving.pop(name, None)
         if was is None:
             # Not known when it started, it counts as started now: cold, which is the careful guess. Those of
@@ -465,8 +469,8 @@
         made = self.kept(was, want)
         if was.address != want.address and want.started <= was.started and not self.terms.overrides:
             made = made._replace(started=now // 10)  # another process in the place of the first
-        if was.state == made.state == i.READY:
-            cold = made.started and now - made.started * 10 < self.facts.cold_time
+        if was.state == made.state == EngineState.READY:
+            cold = made.started and now - made.started * 10 < self.facts.slow_start_duration
             factor = self.terms.limits.factor if self.stepping else COLD_FACTOR if cold else None
             if factor is not None:
                 made = made._replace(
@@ -612,7 +616,7 @@
         self.leaving = {
             name: now + self.terms.linger
             for name, member in self.shown.items()
-            if name not in self.target.members and member.state != i.READY
+            if name not in self.target.members and member.state != EngineState.READY
         }
         self.old = bool(self.shown) or bool(self.generation)
         if self.shown:
--- a/wickvane/members/part.py
+++ b/wickvane/endpoints/part.py
@@ -3,9 +3,9 @@
 from typing import NamedTuple
 
 from wickvane import parts
-from wickvane.members import checks
-from wickvane.members.findings import HOLD, NOTE, REFUSE, STEPS
-from wickvane.members.membership import Terms
+from wickvane.endpoints import checks
+from wickvane.endpoints.findings import HOLD, NOTE, REFUSE, STEPS
+from wickvane.endpoints.membership import Terms
 from wickvane.net import shape
 
 EVENTS, POLL = "events", "poll"
@@ -84,10 +84,10 @@
         service.lister = self
 
     def join(self, service, found):
-        from wickvane.members.checks import facts_of
-        from wickvane.members.source import Source
+        from wickvane.endpoints.checks import facts_of
+        from wickvane.endpoints.source import Source
 
-        gateway, sent = service.decider.gateway, service.registry.sent
+        scheduler, sent = service.decider.scheduler, service.registry.sent
         self.source = Source(
             self.terms,
             facts_of(service.registry),
@@ -95,7 +95,7 @@
             service.clock,
             service.log,
             service.counters,
-            lambda: gateway.used * gateway.gateways,
+            lambda: scheduler.used * scheduler.dispatcher_count,
             lambda name: sent.get(name, 0) > 0,
             service.name,
         )
--- a/wickvane/members/roster.py
+++ b/wickvane/endpoints/roster.py
@@ -14,7 +14,7 @@
 import orjson
 from immutables import Map
 
-from wickvane import interface as i
+from wickvane.events import EngineState
 
 MARKS = 1 << 128
 LOOSE = -1  # a generation that no document stated and nobody has numbered yet
@@ -31,7 +31,7 @@
     cell: int = 0
     started: float = 0
     weight: float = 1.0
-    state: int = i.READY
+    state: int = EngineState.READY
     given: frozenset | None = None
 
     def entry(self):
@@ -59,7 +59,7 @@
         address = str(address[0]), int(address[1])
     usual = (
         isinstance(name, str)
-        and state in (i.READY, i.DRAINING, i.GONE)
+        and state in (EngineState.READY, EngineState.DRAINING, EngineState.GONE)
         and all(isinstance(x, (int, float)) and math.isfinite(x) for x in (cell, started, weight))
     )
     if not usual:
--- a/wickvane/members/source.py
+++ b/wickvane/endpoints/source.py
@@ -1,5 +1,5 @@
 """The list of engines from watched files, beside the coordinator's stream or in its place: the shell around
-wickvane.members.membership.
+wickvane.endpoints.membership.
 
 The border is the coordinator's own: told(number, whole, entries, back) hears of each change, in the order of
 its numbers, from one thread or another, never two at a time. A lock guards the state; files are read and
@@ -13,12 +13,12 @@
 
 import orjson
 
+from wickvane.endpoints import document, journal, watch
+from wickvane.endpoints.findings import REFUSE, Finding, Unfit
+from wickvane.endpoints.gather import Gathered
+from wickvane.endpoints.membership import Membership
+from wickvane.endpoints.part import EVENTS
 from wickvane.errors import ConfigError
-from wickvane.members import document, journal, watch
-from wickvane.members.findings import REFUSE, Finding, Unfit
-from wickvane.members.gather import Gathered
-from wickvane.members.membership import Membership
-from wickvane.members.part import EVENTS
 from wickvane.net.threads import Threads
 
 AGAIN = 20_000  # a change that was refused by what is at work is looked at anew so often
--- a/wickvane/members/tool.py
+++ b/wickvane/endpoints/tool.py
@@ -11,17 +11,17 @@
 
 import orjson
 
-from wickvane import interface as i
+from wickvane.endpoints import checks, document, journal, watch
+from wickvane.endpoints.findings import NOTE, Finding, Unfit
+from wickvane.endpoints.gather import Gathered
+from wickvane.endpoints.membership import Membership, Terms
+from wickvane.endpoints.source import ORDERS, STATUS
 from wickvane.errors import ConfigError
-from wickvane.members import checks, document, journal, watch
-from wickvane.members.findings import NOTE, Finding, Unfit
-from wickvane.members.gather import Gathered
-from wickvane.members.membership import Membership, Terms
-from wickvane.members.source import ORDERS, STATUS
+from wickvane.events import EngineState
 from wickvane.net.clock import Clock
 
 ANSWER_S, STEP_S = 5.0, 0.02
-STATES = {i.READY: "ready", i.DRAINING: "draining", i.GONE: "gone"}
+STATES = {EngineState.READY: "ready", EngineState.DRAINING: "draining", EngineState.GONE: "gone"}
 ANY, USUAL = checks.Facts({}, None, (), 1.0, 0), Terms()
 
 
--- a/wickvane/members/watch.py
+++ b/wickvane/endpoints/watch.py
@@ -9,7 +9,7 @@
 import stat
 import threading
 
-from wickvane.members.findings import Unfit
+from wickvane.endpoints.findings import Unfit
 
 PATIENCE = 50_000  # tenths of a millisecond after which a file that is never still is told of
 ENDINGS = (".kdl", ".json")
--- a/wickvane/engine_table.py
+++ b/wickvane/engine_table.py
@@ -5,7 +5,7 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from wickvane.interface import FOREVER
+from wickvane.events import FOREVER
 
 NEVER = -FOREVER
 
--- a/wickvane/interface.py
+++ b/wickvane/events.py
@@ -13,14 +13,14 @@
 
 
 class Ending(IntEnum):
-    """How an attempt ended. From TURNED_AWAY on it is proven that nothing ran."""
+    """How an attempt ended. From REJECTED on it is proven that nothing ran."""
 
     FINISHED = 0
     ERROR = 1
     NO_ANSWER = 2
     RESET = 3
     CANCELLED = 4
-    TURNED_AWAY = 5
+    REJECTED = 5
     NO_CONNECTION = 6
     NOT_SENT = 7
 
@@ -37,7 +37,7 @@
     """What running a query of a resource group twice would do."""
 
     READ_ONLY = 0  # nothing: it is safe to repeat
-    TOKENED = 1  # nothing where its idempotency key is known
+    IDEMPOTENCY_KEY = 1  # nothing where its idempotency key is known
     MUTATING = 2  # its effect, twice
 
 
@@ -50,29 +50,21 @@
 
 
 class Budget(IntEnum):
-    """What may be leased between dispatchers."""
+    """What may be leased between dispatcher_count."""
 
-    BOUNDS = 0  # threads in flight on engines
-    COLD = 1  # work that engines get while they warm up
+    CONCURRENCY = 0  # threads in flight on engines
+    SLOW_START = 1  # work that engines get while they warm up
 
 
 class Progress(IntEnum):
     """What a running attempt tells of itself."""
 
-    SHARE_DONE = 1
+    FRACTION_DONE = 1
     SPILLS = 2
     WAITS = 3
 
 
-FINISHED, ERROR, NO_ANSWER, RESET, CANCELLED, TURNED_AWAY, NO_CONNECTION, NOT_SENT = Ending
-READY, DRAINING, GONE = EngineState
-READ_ONLY, TOKENED, MUTATING = Effect
-ANY_ENGINE, SAME_ZONE, SAME_CELL = KeyScope
-BOUNDS, COLD = Budget
-SHARE_DONE, SPILLS, WAITS = Progress
-
-
-class Taken(NamedTuple):
+class QueryArrived(NamedTuple):
     """A query that a client is promised an answer to."""
 
     query: int
@@ -86,7 +78,7 @@
     is_retry: bool = False  # of what was lately deferred here, as far as anybody looks
 
 
-class Ended(NamedTuple):
+class AttemptEnded(NamedTuple):
     """The one ending of an attempt."""
 
     query: int
@@ -100,19 +92,19 @@
     report: dict[str, float] | None  # the engine's load
 
 
-class Left(NamedTuple):
+class ClientGone(NamedTuple):
     """The client has gone; nothing is owed."""
 
     query: int
 
 
-class Due(NamedTuple):
+class TimerFired(NamedTuple):
     """An alarm that was set by the writer."""
 
     token: int
 
 
-class Progressed(NamedTuple):
+class AttemptProgressed(NamedTuple):
     """A note of a running attempt."""
 
     query: int
@@ -122,7 +114,7 @@
     amount: float
 
 
-class EngineListed(NamedTuple):
+class EngineUpdated(NamedTuple):
     """An engine is new, or its entry in the list has changed."""
 
     engine: int
@@ -135,25 +127,25 @@
     weight: float
 
 
-class ListLost(NamedTuple):
+class EndpointListLost(NamedTuple):
     """The list of engines could not be had."""
 
 
-class Stopping(NamedTuple):
+class ShutdownStarted(NamedTuple):
     """This process may be ended in `time_left`, with all that it has not answered."""
 
     time_left: int
 
 
 class InFlightElsewhere(NamedTuple):
-    """Threads that all other dispatchers hold on an engine, as was last heard, `age` ago in the mean."""
+    """Threads that all other dispatcher_count hold on an engine, as was last heard, `age` ago in the mean."""
 
     engine: int
     threads: int
     age: int
 
 
-class Leased(NamedTuple):
+class LeaseChanged(NamedTuple):
     """Of a budget, `part` times what is configured may be used until `until`, `then` times from there on."""
 
     budget: Budget
@@ -162,14 +154,14 @@
     then: float
 
 
-class Charged(NamedTuple):
-    """By tenant, the work that other dispatchers gave it since the last such event."""
+class TenantsCharged(NamedTuple):
+    """By tenant, the work that other dispatcher_count gave it since the last such event."""
 
     works: list[int]
 
 
-class Judged(NamedTuple):
-    """What several other dispatchers found of an engine, `age` ago."""
+class EngineJudged(NamedTuple):
+    """What several other dispatcher_count found of an engine, `age` ago."""
 
     engine: int
     bad: bool  # it fails their attempts
@@ -181,19 +173,19 @@
     """What the settings say of one class of queries; times are tenths of a millisecond."""
 
     effect: int
-    drops_repeats: int  # the engines that know a tokened query again
-    repeat_window: int
-    promise: int
-    stretch: float
+    key_scope: int  # the engines that know a tokened query again
+    idempotency_window: int
+    latency_objective: int
+    objective_stretch: float
     timeout: int
-    value: float
-    late_value: float
+    priority_weight: float
+    late_priority_weight: float
     ordered: bool
     zones: frozenset[int] | None
     kinds: frozenset[int] | None
     threads: int
-    loads: bool
-    stands_behind_loads: bool
+    is_bulk_load: bool
+    yields_to_bulk_loads: bool
 
 
 class Deployment(NamedTuple):
@@ -203,55 +195,60 @@
     tenants: list[tuple[float, float]]  # share, queries a second within it over all gateways
     cores: list[int]  # by kind
     memory: list[float]
-    gateways: int
+    dispatcher_count: int
     zone: int
-    crossing: float  # the price of a submission to another location
-    most_submissions: int
-    may_cancel: bool
-    grants: bool
+    cross_zone_cost: float  # the price of a submission to another location
+    max_attempts: int
+    can_cancel: bool
+    memory_grants: bool
     priorities: bool
-    most_grant: float
-    note_period: int
-    asks_for_list: bool
-    ask_within: int
-    key_rest: int
-    extra_free: float
-    extra_share: float
-    extra_window: int  # 0: no budget
-    cold_from: float
-    cold_time: int
-    fall_multiple: float
-    fall_time: int
-    longest_advice: int  # how long a client may be asked to stay away; 0: it is not told, and stay_away is 0
+    max_memory_grant: float
+    progress_interval: int
+    subscribes_to_endpoints: bool
+    poll_deadline: int
+    key_quarantine: int
+    retry_budget_minimum: float
+    retry_budget_ratio: float
+    retry_budget_window: int  # 0: no budget
+    slow_start_fraction: float
+    slow_start_duration: int
+    collapse_multiple: float
+    collapse_window: int
+    max_retry_after: int  # how long a client may be asked to stay away; 0: it is not told, and stay_away is 0
     reports: list[str]
-    kept_open: int = 240_000  # how long a connection to an engine is kept that nothing is asked on
-    weighs: bool = False  # an engine's weight tells the part of it that may be used, 1 being all
+    idle_connection_timeout: int = (
+        240_000  # how long a connection to an engine is kept that nothing is asked on
+    )
+    uses_engine_weights: bool = False  # an engine's weight tells the part of it that may be used, 1 being all
 
 
 class Writer(Protocol):
     """Takes the scheduler's decisions; queries and engines by their indices."""
 
-    def submit(self, q: int, engine: int, wait: int, start_by: int) -> None:
-        """An attempt. wait: how long at most, 0 for until the client gives up. It must not begin at start_by
-        or later, whatever holds it up."""
+    def start_attempt(self, query: int, engine: int, max_wait: int, start_by: int) -> None:
+        """An attempt on an engine.
+
+        max_wait: ticks until it is given up, 0 for until the client gives up. It must not begin at the
+        time start_by or later, whatever holds it up.
+        """
 
-    def defer(self, q: int, stay_away: int) -> None:
-        """A final answer: refused, trying again is harmless; stay_away: how long the client is told to."""
+    def reject(self, query: int, retry_after: int) -> None:
+        """A final answer: rejected, a retry is harmless; retry_after: ticks that the client is told to wait."""
 
-    def kill(self, q: int) -> None:
+    def fail(self, query: int) -> None:
         """A final answer: failed."""
 
-    def cancel(self, q: int, attempt: int) -> None:
-        """An attempt is given up; its ending is still told."""
+    def cancel_attempt(self, query: int, attempt: int) -> None:
+        """Cancels an attempt; its ending is still reported."""
 
-    def terms(self, q: int, priority: int, grant: float) -> None:
-        """A query's priority, and its memory grant in MB (0: none), also for an attempt that is out."""
+    def set_terms(self, query: int, priority: int, memory_grant: float) -> None:
+        """A query's priority and its memory grant in MB (0: none), also for an attempt in flight."""
 
-    def alarm(self, token: int, at: int) -> None:
-        """A round is wanted at a time; Due brings the token back."""
+    def set_timer(self, token: int, at: int) -> None:
+        """A round is wanted at a time; TimerFired brings the token back."""
 
-    def watch_list(self, on: bool) -> None:
-        """Whether changes of the engine list are wanted, where they have to be asked for."""
+    def watch_endpoints(self, on: bool) -> None:
+        """Whether changes of the endpoint list are wanted, where they have to be subscribed to."""
 
-    def note(self, text: str) -> None:
-        """A line for whoever reads logs."""
+    def log_note(self, text: str) -> None:
+        """A line for the log."""
--- a/wickvane/flows/accounts.py
+++ b/wickvane/flows/accounts.py
@@ -171,9 +171,9 @@
                     del self.engines[connection.engine]
 
     def engine_state(self, engine, state):
-        """A state of wickvane.interface from the list of engines; what is gone is kept for open connections
+        """A state of wickvane.events from the list of engines; what is gone is kept for open connections
         only, so that this is bounded by the list."""
-        state += 1  # wickvane.interface counts from READY
+        state += 1  # wickvane.events counts from READY
         with self.lock:
             known = self.engines.get(engine)
             if known:
--- a/wickvane/id_registry.py
+++ b/wickvane/id_registry.py
@@ -1,6 +1,6 @@
 """Ids of the wire as small indices, for queries and engines, and when an index may stand for another."""
 
-from wickvane import interface as i
+from wickvane.events import EngineState, EngineUpdated
 from wickvane.settings import deployment, settings_of, tenths
 
 
@@ -89,15 +89,15 @@
 
     def list_engine(self, name, state, zone, kind, cell, started, weight):
         """The event for the module; None where nothing is known of an engine that has gone."""
-        if state == i.GONE and name not in self.engines.of:
+        if state == EngineState.GONE and name not in self.engines.of:
             return None
         e = self.engines.add(name)
         self.sent.setdefault(name, 0)
-        if state == i.GONE:
+        if state == EngineState.GONE:
             self.listed.pop(name, None)
         else:
             self.listed[name] = (zone, kind, cell, started, weight)
-        return i.EngineListed(
+        return EngineUpdated(
             e,
             name.encode(),
             state,
@@ -111,7 +111,7 @@
     def unlisted(self, named):
         """The events for engines that a whole list no longer names."""
         for name in [name for name in self.listed if name not in named]:
-            yield self.list_engine(name, i.GONE, *self.listed[name])
+            yield self.list_engine(name, EngineState.GONE, *self.listed[name])
 
     def settle(self):
         """Frees what is over; the engines that have gone for good."""
--- a/wickvane/net/coordinator.py
+++ b/wickvane/net/coordinator.py
@@ -8,10 +8,10 @@
 
 import orjson
 
-from wickvane import interface as i
 from wickvane.errors import ProtocolError
+from wickvane.events import EngineState
 
-STATES = {"Ready": i.READY, "Terminating": i.DRAINING, "Gone": i.GONE}
+STATES = {"Ready": EngineState.READY, "Terminating": EngineState.DRAINING, "Gone": EngineState.GONE}
 LINE_MOST, EVENT_MOST, HEAD_MOST = 1 << 20, 1 << 21, 16_384
 CONNECT_S, SILENT_S = 0.5, 1.6  # a comment comes each second
 # Short, since what a broken stream would have told counts as told within two seconds.
@@ -32,7 +32,7 @@
         name, state = entry["name"], STATES[entry["status"]]
         if not isinstance(name, str) or not 0 < len(name) <= 256:
             raise ValueError("name")
-        address = address_of(entry["address"]) if state != i.GONE or "address" in entry else None
+        address = address_of(entry["address"]) if state != EngineState.GONE or "address" in entry else None
         zone, kind = entry.get("zone"), entry.get("type")
         if not all(text is None or isinstance(text, str) and len(text) <= 256 for text in (zone, kind)):
             raise ValueError("zone or type")
--- a/wickvane/net/decider.py
+++ b/wickvane/net/decider.py
@@ -4,7 +4,15 @@
 import traceback
 from heapq import heappop, heappush
 
-from wickvane import interface as i
+from wickvane.events import (
+    AttemptEnded,
+    ClientGone,
+    Ending,
+    EngineState,
+    QueryArrived,
+    ShutdownStarted,
+    TimerFired,
+)
 from wickvane.net.exchange import DEFERRED, KILLED, Attempt
 from wickvane.net.queues import EngineQueue
 from wickvane.scheduler import Scheduler
@@ -26,7 +34,7 @@
         self.clock = clock
         self.log = log
         self.counters = counters
-        self.gateway = Scheduler(seed, registry.deployment)
+        self.scheduler = Scheduler(seed, registry.deployment)
         self.queues, self.alarms, self.events = {}, [], []
         self.now, self.longest, self.faults = clock.now(), 0, 0
         self.lag, self.lag_at, self.held, self.accounts = 0, self.now, [], accounts
@@ -70,7 +78,7 @@
             if kind != "taken":
                 getattr(self, self.READERS[kind])(*rest)
         while self.alarms and self.alarms[0][0] <= self.now:
-            self.events.append(i.Due(heappop(self.alarms)[1]))
+            self.events.append(TimerFired(heappop(self.alarms)[1]))
         events, self.events = self.events, []
         if not events:
             return
@@ -87,7 +95,7 @@
         """One event that the module cannot bear must not take all others' answers with it: what follows it in
         the round is told in a further call, and its own query is answered by its session."""
         try:
-            self.gateway.round(self.now, events, self)
+            self.scheduler.round(self.now, events, self)
             self.faults = 0
         except Exception as error:
             self.faults += 1
@@ -96,7 +104,7 @@
             at = traceback.extract_tb(error.__traceback__)[-1]
             self.counters.add("faults")
             self.log.line("fault", error=f"{type(error).__name__}: {error}", where=f"{at.name}:{at.lineno}")
-            self.alarm(0, self.now + 100)
+            self.set_timer(0, self.now + 100)
             rest = list(events)
             if rest:
                 self.decide(iter(rest))
@@ -122,20 +130,20 @@
             else:
                 self.exchange.forget(pending)
         if self.held:
-            self.alarm(0, max(now + 1, self.held[0].arrived + self.lag - KEY_APART))
+            self.set_timer(0, max(now + 1, self.held[0].arrived + self.lag - KEY_APART))
 
     def taken(self, pending, again=False):
         """A query of a client."""
         pending.q = self.registry.take(pending)
         pending.stages["taken"] = self.now
         self.events.append(
-            i.Taken(
+            QueryArrived(
                 pending.q,
-                pending.rg,
+                pending.resource_group,
                 pending.tenant,
                 pending.cost,
                 pending.memory,
-                pending.coord,
+                pending.table_group,
                 pending.key,
                 max(0, pending.limit - self.now),
                 again,
@@ -147,7 +155,7 @@
         pending = attempt.pending
         self.registry.ended(pending.q, attempt.queue.name)
         self.events.append(
-            i.Ended(
+            AttemptEnded(
                 pending.q,
                 attempt.number,
                 attempt.engine,
@@ -167,7 +175,7 @@
         """A client that has gone."""
         registry, q = self.registry, pending.q
         if q >= 0 and q in registry.open and registry.queries.names[q] is pending:
-            self.events.append(i.Left(q))
+            self.events.append(ClientGone(q))
             registry.over.add(q)
 
     def listed(self, whole, entries):
@@ -176,7 +184,7 @@
             gone = list(self.registry.unlisted({entry[0] for entry in entries}))
             self.events.extend(gone)
             for event in gone:
-                self.change_queue(event.rank.decode(), i.GONE, None, 0)
+                self.change_queue(event.rank.decode(), EngineState.GONE, None, 0)
         for name, address, state, zone, kind, cell, started, weight in entries:
             event = self.registry.list_engine(name, state, zone, kind, cell, started, weight)
             if event:
@@ -188,10 +196,10 @@
         queue = self.queues.get(name)
         if self.accounts is not None:
             self.accounts.engine_state(name, state)
-        if state != i.READY:
+        if state != EngineState.READY:
             if queue:
                 queue.put(("drain",), always=True)
-                queue.gone = state == i.GONE
+                queue.gone = state == EngineState.GONE
         elif queue is None or queue.gone or queue.address != address:
             # Another process must not be reached over the connections of the one before it at that name or
             # address: where its machine has vanished, they stay open and silent.
@@ -210,17 +218,17 @@
 
     def stop(self, left):
         """The process may be ended in so long."""
-        self.events.append(i.Stopping(left))
+        self.events.append(ShutdownStarted(left))
 
     # By name, so that who lays more over a decider is asked.
     READERS = {kind: kind for kind in ("ended", "left", "listed", "stop")}
 
     # What was decided
 
-    def submit(self, q, engine, wait, start_by):
+    def start_attempt(self, q, engine, max_wait, start_by):
         """Writer: an attempt of a query."""
         pending, name = self.registry.queries.names[q], self.registry.engines.names[engine]
-        until = min(pending.limit, self.now + wait) if wait else pending.limit
+        until = min(pending.limit, self.now + max_wait) if max_wait else pending.limit
         queue = self.queues.get(name)
         pending.attempt = Attempt(pending, pending.count, engine, queue, self.now, until, start_by)
         pending.count += 1
@@ -228,27 +236,27 @@
         pending.stages.setdefault("submitted", self.now)
         self.counters.add("submissions")
         if queue is None or not queue.put(("ask", pending.attempt)):
-            self.exchange.end(pending.attempt, i.NOT_SENT)
+            self.exchange.end(pending.attempt, Ending.NOT_SENT)
 
-    def defer(self, q, stay_away):
+    def reject(self, q, retry_after):
         """Writer: a query is refused, and may be sent again."""
         pending = self.registry.queries.names[q]
-        pending.away = stay_away  # ahead of the answer, which its session may send at once
+        pending.away = retry_after  # ahead of the answer, which its session may send at once
         self.exchange.settle(pending, DEFERRED)
         self.registry.over.add(q)
 
-    def kill(self, q):
+    def fail(self, q):
         """Writer: a query has failed."""
         self.exchange.settle(self.registry.queries.names[q], KILLED)
         self.registry.over.add(q)
 
-    def cancel(self, q, number):
+    def cancel_attempt(self, q, number):
         """Writer: an attempt is given up, if it is the one that is out."""
         attempt = self.registry.queries.names[q].attempt
         if attempt is not None and attempt.number == number and not attempt.over and attempt.queue:
             attempt.queue.put(("quit", attempt), always=True)
 
-    def terms(self, q, priority, grant):
+    def set_terms(self, q, priority, grant):
         """Writer: a query's priority, which an attempt that is out is told too."""
         pending = self.registry.queries.names[q]
         pending.urgency = priority
@@ -256,18 +264,27 @@
         if attempt is not None and not attempt.over and attempt.queue:
             attempt.queue.put(("terms", attempt))
 
-    def alarm(self, token, at):
+    def set_timer(self, token, at):
         """Writer: a round is wanted at a time."""
         heappush(self.alarms, (at, token))
 
-    def watch_list(self, on):
+    def watch_endpoints(self, on):
         """Writer: the stream is always followed."""
         pass  # the stream is always followed
 
-    def note(self, text):
+    def log_note(self, text):
         """Writer: a line for the log."""
         self.log.line("note", text=text)
 
 
-# Of counters: finished, no-answer, turned-away and so on.
-ENDINGS = tuple(ending.name.lower().replace("_", "-") for ending in i.Ending)
+# The names by which counters show endings.
+ENDINGS = {
+    Ending.FINISHED: "finished",
+    Ending.ERROR: "error",
+    Ending.NO_ANSWER: "no-answer",
+    Ending.RESET: "reset",
+    Ending.CANCELLED: "cancelled",
+    Ending.REJECTED: "turned-away",
+    Ending.NO_CONNECTION: "no-connection",
+    Ending.NOT_SENT: "not-sent",
+}
--- a/wickvane/net/exchange.py
+++ b/wickvane/net/exchange.py
@@ -7,8 +7,8 @@
 
 from threading import Lock
 
-from wickvane import interface as i
 from wickvane.errors import RequestRejected
+from wickvane.events import Ending
 from wickvane.net.queues import BoundedQueue, ReadyQueue
 
 FINISHED, DEFERRED, KILLED, LEFT = "finished", "deferred", "killed", "left"
@@ -21,7 +21,7 @@
 
     __slots__ = (
         "id",
-        "rg",
+        "resource_group",
         "verb",
         "limit",
         "tenant",
@@ -29,7 +29,7 @@
         "key",
         "cost",
         "memory",
-        "coord",
+        "table_group",
         "body",
         "tag",
         "arrived",
@@ -194,7 +194,7 @@
                 return
             attempt.over, attempt.pages = True, None
             complete = pending.answer is not None
-            if ending == i.FINISHED and not complete:
+            if ending == Ending.FINISHED and not complete:
                 pending.answer, pending.pages, complete = FINISHED, pages, True
             else:
                 pages = None
--- a/wickvane/net/front.py
+++ b/wickvane/net/front.py
@@ -216,7 +216,7 @@
             self.queries += 1
             pending = ex.PendingQuery(arrived, **self.reader.read(text, **marks))
             pending.source, pending.client = self.peer, self
-            self.claim((pending.rg, pending.tenant))
+            self.claim((pending.resource_group, pending.tenant))
             self.pending = pending
             self.exchange.take(pending)
         except RequestRejected as rejected:
@@ -276,7 +276,7 @@
             pending.pages = None
         try:
             self.sock.settimeout(WRITE_S)
-            self.put(data, (pending.rg, pending.tenant), messages, ANSWERS[kind])
+            self.put(data, (pending.resource_group, pending.tenant), messages, ANSWERS[kind])
         except OSError:
             kind = ex.LEFT
             self.count_left(pending)
@@ -288,7 +288,12 @@
     def stream(self, pending, pipe):
         """A long result as it comes; where it breaks off, the client is told so, and that is its final
         answer."""
-        kind, size, key, form = ex.KILLED, 0, (pending.rg, pending.tenant), self.streaming(pending)
+        kind, size, key, form = (
+            ex.KILLED,
+            0,
+            (pending.resource_group, pending.tenant),
+            self.streaming(pending),
+        )
         self.sock.settimeout(WRITE_S)
         try:
             while (chunk := pipe.take(STREAM_S)) is not None:
@@ -324,7 +329,13 @@
         """Tells the flow accounts of a query whose client left."""
         if self.account is not None:
             self.accounts.count(
-                self.account, (pending.rg, pending.tenant), self.clock.now(), REVERSE, 0, 0, ANSWERS[ex.LEFT]
+                self.account,
+                (pending.resource_group, pending.tenant),
+                self.clock.now(),
+                REVERSE,
+                0,
+                0,
+                ANSWERS[ex.LEFT],
             )
 
     @staticmethod
@@ -343,11 +354,11 @@
         self.log.line(
             "query",
             txn=pending.id,
-            rg=pending.verb,
+            resource_group=pending.verb,
             answer=kind,
             submissions=pending.count,
             engine=last.queue.name if last and last.queue else None,
-            coord=pending.coord,
+            table_group=pending.table_group,
             cost=pending.cost / 10,
             took=(now - begin) / 10,
             limit=(pending.limit - begin) / 10,
--- a/wickvane/net/lines/connection.py
+++ b/wickvane/net/lines/connection.py
@@ -12,8 +12,8 @@
 from collections import deque
 from threading import Lock
 
-from wickvane import interface as i
 from wickvane.errors import ProtocolError
+from wickvane.events import Ending
 from wickvane.net.counters import FIRST, FORWARD, FURTHER, NOBODY, REVERSE
 from wickvane.net.lines.pages import PAGES_MOST, RESULT_MOST, is_page
 
@@ -83,7 +83,7 @@
         return False
 
 
-REFUSALS = {b"SHED": i.TURNED_AWAY, b"LATE": i.NOT_SENT}  # answers that prove that nothing ran
+REFUSALS = {b"SHED": Ending.REJECTED, b"LATE": Ending.NOT_SENT}  # answers that prove that nothing ran
 
 
 class Connection:
@@ -203,7 +203,7 @@
         while self.outbox:
             kind, *more = self.outbox.popleft()
             if kind == "ask" and not self.link.exchange.may_start(more[0]):
-                dropped.append((more[0], i.NOT_SENT))
+                dropped.append((more[0], Ending.NOT_SENT))
                 continue
             try:
                 data = self.FORMS[kind](self, *more)
@@ -217,7 +217,7 @@
                 more[0].written = True
                 self.asked += 1
                 what = FURTHER if more[0].number else FIRST
-            key = pending.rg, pending.tenant
+            key = pending.resource_group, pending.tenant
             self.count_sent(key, sent, 1, what)
             # Not before a QUIT is written: the module may submit anew as soon as it hears of the end.
             over = tuple(more) if kind == "quit" else None
@@ -314,7 +314,7 @@
             if unwritten:
                 del self.open[attempt.pending.id]
         if unwritten:
-            self.link.exchange.end(attempt, i.NOT_SENT)
+            self.link.exchange.end(attempt, Ending.NOT_SENT)
         else:
             self.call_off(attempt, ending, at_once)
 
@@ -335,7 +335,7 @@
             del self.open[attempt.pending.id]
             self.past[attempt.pending.id] = True
             # Whatever is still to come of it, or never will, is no concern of the next one.
-            self.retired = self.retired or ending in (i.NO_ANSWER, i.CANCELLED)
+            self.retired = self.retired or ending in (Ending.NO_ANSWER, Ending.CANCELLED)
             if len(self.past) > PAST_MOST:
                 del self.past[next(iter(self.past))]
             self.used, idles = self.link.clock.now(), not self.open
@@ -451,7 +451,7 @@
         """One whole answer of the engine."""
         with self.lock:
             attempt = self.open.get(txn)
-        self.claim((attempt.pending.rg, attempt.pending.tenant) if attempt else NOBODY, size)
+        self.claim((attempt.pending.resource_group, attempt.pending.tenant) if attempt else NOBODY, size)
         if attempt is None or not attempt.written or attempt.pages and word == b"HIT":
             # A second copy, what crossed our giving up, or what was never asked here: it can be told from all
             # else, so it costs nobody anything.
@@ -462,7 +462,7 @@
         elif word == b"PART" and attempt.pages is not None:
             self.further_page(attempt, txn, fields, body)
         elif word == b"FAULT":
-            self.drop(attempt, i.ERROR)
+            self.drop(attempt, Ending.ERROR)
         elif word in REFUSALS and attempt.pages is None:
             self.drop(attempt, REFUSALS[word])
         else:
@@ -484,7 +484,7 @@
             )
             self.link.links.call(self)
         else:
-            self.drop(attempt, i.FINISHED, attempt.pages)
+            self.drop(attempt, Ending.FINISHED, attempt.pages)
 
     def further_page(self, attempt, txn, fields, body):
         """A page that was asked for; with the last one the result is whole."""
@@ -499,7 +499,7 @@
             return
         if sum(map(len, attempt.pages)) > RESULT_MOST:
             raise ProtocolError("a result is too long")
-        self.drop(attempt, i.FINISHED, attempt.pages)
+        self.drop(attempt, Ending.FINISHED, attempt.pages)
         self.put("line", b"FREE %b\r\n" % txn, attempt.pending)
 
     # The end
@@ -559,16 +559,21 @@
             self.outbox.clear()
             # A query whose last bytes never left us cannot have begun where only whole ones do. What the peer
             # broke counts against it like a connection that cannot be had.
-            lost = i.NOT_SENT if reason in OUR_DOING else i.NO_CONNECTION
+            lost = Ending.NOT_SENT if reason in OUR_DOING else Ending.NO_CONNECTION
             half = self.rest[3] if self.RUNS_WHOLE and self.rest else None
             if self.sock:
                 try:
                     self.sock.shutdown(socket.SHUT_RDWR)
                 except OSError:
                     pass
-        link, unwritten = self.link, i.NOT_SENT if self.up or reason in OUR_DOING else i.NO_CONNECTION
+        link, unwritten = (
+            self.link,
+            Ending.NOT_SENT if self.up or reason in OUR_DOING else Ending.NO_CONNECTION,
+        )
         for attempt in subs:
-            link.exchange.end(attempt, lost if attempt is half else i.RESET if attempt.written else unwritten)
+            link.exchange.end(
+                attempt, lost if attempt is half else Ending.RESET if attempt.written else unwritten
+            )
         link.ended(self)
         link.counters.add(f"engine-connections-ended-{reason}")
         link.log.line(
--- a/wickvane/net/lines/links.py
+++ b/wickvane/net/lines/links.py
@@ -12,11 +12,11 @@
 from heapq import heapify, heappop, heappush
 from threading import Event, Lock
 
-from wickvane import interface as i
+from wickvane.events import FOREVER, Ending
 from wickvane.net.exchange import Attempt
 from wickvane.net.lines.connection import WRITES, Connection
 from wickvane.net.queues import EngineQueue
-from wickvane.settings import kept_open
+from wickvane.settings import idle_connection_timeout
 
 WAITS_HELD = 256
 LONGEST_S = 1.0  # a round without a call or a time that is due
@@ -42,12 +42,12 @@
             return
         # Decided before a standstill, what it counted on may be another's by now: links.stale.
         if now >= attempt.until or attempt.pending.answer is not None or now - attempt.at >= self.links.stale:
-            self.exchange.end(attempt, i.NOT_SENT)
+            self.exchange.end(attempt, Ending.NOT_SENT)
             return
         # One that died meanwhile proves that nothing ran.
         place = next((c for c in self.candidates(attempt, now) if c.put("ask", attempt)), None)
         if place is None:
-            self.exchange.end(attempt, i.NOT_SENT)
+            self.exchange.end(attempt, Ending.NOT_SENT)
             return
         self.links.in_use(place)
         if not place.started:
@@ -85,7 +85,7 @@
             connections = list(self.connections)
         return next((c for c in connections if c.open.get(attempt.pending.id) is attempt), None)
 
-    def quit(self, attempt, ending=i.CANCELLED, at_once=False):
+    def quit(self, attempt, ending=Ending.CANCELLED, at_once=False):
         """Gives an attempt up."""
         place = self.find(attempt)
         if place:
@@ -104,7 +104,7 @@
         for place in connections:
             for attempt in list(place.open.values()):
                 if not attempt.written:
-                    place.give_up(attempt, i.NOT_SENT, True)
+                    place.give_up(attempt, Ending.NOT_SENT, True)
 
     def restarted(self, started):
         """Another process is there since: older connections lead nowhere."""
@@ -150,9 +150,9 @@
         self.accounts, self.attention_time, self.threads = accounts, 50_000, threads
         self.streams = limits.count("streams_per_conn", STREAMS)
         self.connect_s = max(0.01, limits.ms("dial_timeout_ms", 250) / 1000)
-        self.idle_time = kept_open(limits)
+        self.idle_time = idle_connection_timeout(limits)
         self.lock, self.all, self.most, self.stopping, self.ended = Lock(), {}, most, False, Event()
-        self.stale = i.FOREVER  # after which what was decided does not leave any more: a part sets it
+        self.stale = FOREVER  # after which what was decided does not leave any more: a part sets it
         self.waits, self.count, self.most_waits = [], 0, WAITS_HELD
         # The connections that a descriptor's events are for; those that nothing is open on, longest first.
         self.watched, self.idle = {}, OrderedDict()
@@ -213,7 +213,7 @@
                 self.log.line("fault", error=f"{type(error).__name__}: {error}", where=f"link {kind}")
                 self.counters.add("faults")
                 if kind == "ask":
-                    self.exchange.end(rest[0], i.RESET if rest[0].written else i.NOT_SENT)
+                    self.exchange.end(rest[0], Ending.RESET if rest[0].written else Ending.NOT_SENT)
 
     # Times
 
@@ -231,7 +231,7 @@
                 self.look_at(what, now)
             elif not what.over:
                 # At the client's own limit nothing can follow, and the answer is due now.
-                what.queue.link.quit(what, i.NO_ANSWER, what.until >= what.pending.limit)
+                what.queue.link.quit(what, Ending.NO_ANSWER, what.until >= what.pending.limit)
         if len(self.waits) > self.most_waits:
             # Long limits of queries that ended long ago would pile up behind one that is still out.
             self.waits = [wait for wait in self.waits if not over(wait[2])]
--- a/wickvane/net/service.py
+++ b/wickvane/net/service.py
@@ -79,7 +79,7 @@
         coordinator = None if alone else address_of(found["coordinator"])
         registry = IdRegistry(settings, fronts)
         if members is not None:
-            registry.deployment = registry.deployment._replace(weighs=True)
+            registry.deployment = registry.deployment._replace(uses_engine_weights=True)
         return Config(
             registry,
             settings_of(settings).section("limits"),
--- a/wickvane/net/statement.py
+++ b/wickvane/net/statement.py
@@ -3,7 +3,7 @@
 import re
 
 from wickvane.errors import RequestRejected
-from wickvane.interface import TOKENED
+from wickvane.events import Effect
 from wickvane.settings import tenths
 
 FIELD_MOST, LIMIT_MOST = 256, 86_400_000
@@ -207,8 +207,8 @@
         if inside is None and defaults is None:
             raise RequestRejected("42601", "the statement has no comment with fields ahead of it")
         found = fields(inside) if inside is not None else defaults
-        rg = self.groups.get(found.get("verb"))
-        if rg is None:
+        resource_group = self.groups.get(found.get("verb"))
+        if resource_group is None:
             raise RequestRejected("22023", "verb names no resource group")
         txn = found.get("txn", "")
         if not TXN.match(txn):
@@ -220,9 +220,9 @@
         if tenant is None:
             raise RequestRejected("22023", "team names no tenant")
         token, key = found.get("unique"), found.get("item")
-        if not token and self.of[rg].effect == TOKENED:
+        if not token and self.of[resource_group].effect == Effect.IDEMPOTENCY_KEY:
             raise RequestRejected("22023", "unique is missing, and this resource group needs it")
-        if not key and self.of[rg].ordered:
+        if not key and self.of[resource_group].ordered:
             raise RequestRejected("22023", "item is missing, and this resource group needs it")
         if token and not re.fullmatch(r"[\w.:+/-]{1,128}", token, re.A):
             raise RequestRejected("22023", "unique cannot be passed on")
@@ -232,15 +232,15 @@
         first = start[1].lower() if start else next((w for kind, w in words(body) if kind == "word"), b"")
         return {
             "id": txn.encode(),
-            "rg": self.first + rg,
+            "resource_group": self.first + resource_group,
             "verb": self.encoded[found["verb"]],
             "limit": limit,
             "tenant": tenant,
             "token": token.encode() if token else None,
-            "key": int.from_bytes(key.encode(), "big") if key and self.of[rg].ordered else None,
+            "key": int.from_bytes(key.encode(), "big") if key and self.of[resource_group].ordered else None,
             "cost": tenths(number(found, "cpu", 1e9)),
             "memory": number(found, "memory", 1e9),
-            "coord": table_group(body),
+            "table_group": table_group(body),
             "body": body,
             "tag": TAGS.get(first, b"SELECT"),
         }
--- a/wickvane/net/storms.py
+++ b/wickvane/net/storms.py
@@ -6,8 +6,8 @@
 from threading import Lock
 from typing import NamedTuple
 
-from wickvane import interface as i
 from wickvane import parts
+from wickvane.events import Ending
 from wickvane.net import shape
 from wickvane.net.decider import Decider
 from wickvane.pace import Pace
@@ -75,15 +75,15 @@
     def watch(self, part, limits, seed):
         """Begins to watch; the gate, where connections are paced."""
         site = self.registry.deployment
-        remember = part.remember or site.longest_advice + max((g.timeout for g in site.groups), default=0)
+        remember = part.remember or site.max_retry_after + max((g.timeout for g in site.groups), default=0)
         now = self.clock.now()
-        self.storm = Storm(now, site.extra_share, remember)
+        self.storm = Storm(now, site.retry_budget_ratio, remember)
         self.told = OrderedDict()  # mark: until when its client was told to stay away
         if part.connections:
-            promise = min((g.promise for g in site.groups), default=15_000)
-            pace = Pace(now, promise, float(limits.get("cores") or 1.0), site.longest_advice, seed)
+            promise = min((g.latency_objective for g in site.groups), default=15_000)
+            pace = Pace(now, promise, float(limits.get("cores") or 1.0), site.max_retry_after, seed)
             self.gate = Gate(pace, self.clock, self.log, self.storm)
-            self.alarm(0, now + LOOK)
+            self.set_timer(0, now + LOOK)
             self.look_at, self.slowest = now + LOOK, 0
         return self.gate
 
@@ -106,7 +106,7 @@
                 self.log.line(f"connections-paced-{event}", **fields)
                 self.counters.add(f"connections-paced-{event}")
             self.look_at = self.now + LOOK
-            self.alarm(0, self.look_at)
+            self.set_timer(0, self.look_at)
 
     def mark(self, pending):
         """By what a repeat of this query is known."""
@@ -126,25 +126,29 @@
     def ended(self, attempt, ending, elapsed, complete):
         """As Decider; counts an answer in time."""
         super().ended(attempt, ending, elapsed, complete)
-        if ending == i.FINISHED:
+        if ending == Ending.FINISHED:
             pending = attempt.pending
-            group = self.registry.deployment.groups[pending.rg]
-            target = pending.arrived + group.promise + group.stretch * pending.cost / group.threads
+            group = self.registry.deployment.groups[pending.resource_group]
+            target = (
+                pending.arrived
+                + group.latency_objective
+                + group.objective_stretch * pending.cost / group.threads
+            )
             work = attempt.work or elapsed * group.threads
             self.storm.finished(self.now, self.now > target, work)
             if pending.cost:
                 self.storm.engine(self.now, attempt.queue.name, elapsed, pending.cost / group.threads)
 
-    def defer(self, q, stay_away):
+    def reject(self, q, retry_after):
         """As Decider; notes until when the client was told to stay away."""
         pending = self.registry.queries.names[q]
         mark = self.mark(pending)
         self.storm.deferred(self.now, mark)
-        if stay_away:
-            self.told[mark] = self.now + stay_away
+        if retry_after:
+            self.told[mark] = self.now + retry_after
             if len(self.told) > TOLD_MOST:
                 self.told.popitem(last=False)
-        super().defer(q, stay_away)
+        super().reject(q, retry_after)
 
     def close(self, name):
         """As Decider; the watch forgets the engine."""
--- a/wickvane/net/tds/connection.py
+++ b/wickvane/net/tds/connection.py
@@ -17,8 +17,8 @@
 import socket
 from struct import pack
 
-from wickvane import interface as i
 from wickvane.errors import ProtocolError
+from wickvane.events import Ending
 from wickvane.net.lines import connection as lines
 from wickvane.net.queues import ResultStream
 from wickvane.net.tds import errors, packets, statements
@@ -226,7 +226,10 @@
             stalls = 0
             self.received += len(data)
             attempt = self.attempt
-            self.claim((attempt.pending.rg, attempt.pending.tenant) if attempt else lines.NOBODY, len(data))
+            self.claim(
+                (attempt.pending.resource_group, attempt.pending.tenant) if attempt else lines.NOBODY,
+                len(data),
+            )
             self.assembler.feed(data)
             while (found := self.assembler.packet()) is not None:
                 kind, status, body = found
@@ -265,7 +268,7 @@
         self.gathered += size
         if self.pipe is not None:
             if chunk and not self.pipe.put(chunk, size):
-                self.put("attention", attempt, i.CANCELLED)  # the client has gone
+                self.put("attention", attempt, Ending.CANCELLED)  # the client has gone
         else:
             self.result.extend(chunk)
             if self.gathered > RESULT_MOST and not self.error and not self.attending:
@@ -302,7 +305,7 @@
         acknowledged = bool(status & t.ATTENTION)
         # An attention that crossed the end of the answer is still to be acknowledged.
         waits = self.attending and not acknowledged
-        ending = i.CANCELLED if acknowledged else i.FINISHED
+        ending = Ending.CANCELLED if acknowledged else Ending.FINISHED
         if self.error and not acknowledged:
             number, _, severity, text = self.error
             ending = errors.ending_of(number, severity)
@@ -316,9 +319,9 @@
             # What waits for its acknowledgement alone still discards, whatever comes ahead of it.
             self.pipe = self.pipe if waits else None
         if pipe is not None:
-            pipe.end(waits or ending != i.FINISHED)
-            ending = i.CANCELLED if waits else ending
-        self.drop(attempt, ending, result if ending == i.FINISHED and pipe is None else None)
+            pipe.end(waits or ending != Ending.FINISHED)
+            ending = Ending.CANCELLED if waits else ending
+        self.drop(attempt, ending, result if ending == Ending.FINISHED and pipe is None else None)
         if fatal:
             self.fail("engine-error", attempt.pending.why)
 
--- a/wickvane/net/tds/errors.py
+++ b/wickvane/net/tds/errors.py
@@ -5,7 +5,7 @@
 numbers from 50000 on are an application's own, which none repeats by itself.
 """
 
-from wickvane import interface as i
+from wickvane.events import Ending
 
 DEFERRED, STOPPING, TOO_MANY, LOGIN_BUSY = 40501, 40613, 17809, 4221
 KILLED, UNUSABLE, INTERNAL, NO_ROLLBACK, REPORT, STORM = 50058, 50042, 50099, 50057, 50100, 50101
@@ -28,4 +28,4 @@
 
 def ending_of(number, severity):
     """How an attempt ended by an ERROR of a batch; docs/tds.md has it as a table."""
-    return i.TURNED_AWAY if number in TURNED_AWAY else i.ERROR
+    return Ending.REJECTED if number in TURNED_AWAY else Ending.ERROR
--- a/wickvane/net/tds/session.py
+++ b/wickvane/net/tds/session.py
@@ -6,7 +6,7 @@
 import time
 
 from wickvane.errors import ProtocolError
-from wickvane.interface import READ_ONLY
+from wickvane.events import Effect
 from wickvane.net import exchange as ex
 from wickvane.net.counters import NOBODY
 from wickvane.net.front import MESSAGE_S, RECV, STORM_TEXT, WRITE_S, Ended, Front
@@ -351,7 +351,10 @@
         return self.attended
 
     def answered(self, pending, kind):
-        if self.exchange.groups[pending.rg].effect != READ_ONLY and kind in (ex.FINISHED, ex.KILLED):
+        if self.exchange.groups[pending.resource_group].effect != Effect.READ_ONLY and kind in (
+            ex.FINISHED,
+            ex.KILLED,
+        ):
             self.effects = True
         if self.attended:
             self.attended = False
--- a/wickvane/pace.py
+++ b/wickvane/pace.py
@@ -12,8 +12,9 @@
 
 from random import Random
 
-SECOND = 10_000
-STEP = SECOND // 4  # a look
+from wickvane.units import TICKS_PER_SECOND
+
+STEP = TICKS_PER_SECOND // 4  # a look
 GROWS, CUT = 1.0, 0.85  # connections a second more a step at ease; the share that is left where it strains
 LATE_PART = 0.1  # of the shortest target runtime: read so late, a query's time is spent before it is seen
 BUSY = 0.9  # of what the settings give of a core
@@ -43,9 +44,9 @@
         if now < self.look_at:
             return []
         span = now - self.look_at + STEP
-        share = (cpu - self.cpu) * SECOND / span / self.cores
+        share = (cpu - self.cpu) * TICKS_PER_SECOND / span / self.cores
         strained = self.worst > self.late or share > BUSY
-        let, came, turns = self.let * SECOND / span, self.came * SECOND / span, []
+        let, came, turns = self.let * TICKS_PER_SECOND / span, self.came * TICKS_PER_SECOND / span, []
         told = {
             "lag_ms": self.worst / 10,
             "core": round(share, 3),
@@ -66,7 +67,7 @@
             self.rate += GROWS
             # Let go only where the pace no longer holds anybody: else the line would come in as one wave.
             if self.ease >= EASE and came < self.rate:
-                turns.append(("ends", told | {"for": (now - self.held_since) / SECOND}))
+                turns.append(("ends", told | {"for": (now - self.held_since) / TICKS_PER_SECOND}))
                 self.rate = None
         return turns
 
@@ -74,8 +75,8 @@
         """Whether one that came now is let in; urgent: a cancel, which costs less than what it ends."""
         self.came += 1
         if self.rate is not None and not urgent:
-            most = max(1.0, self.rate * STEP * AHEAD / SECOND)
-            self.credit = min(most, self.credit + self.rate * (now - self.credit_at) / SECOND)
+            most = max(1.0, self.rate * STEP * AHEAD / TICKS_PER_SECOND)
+            self.credit = min(most, self.credit + self.rate * (now - self.credit_at) / TICKS_PER_SECOND)
             self.credit_at = now
             if self.credit < 1.0:
                 return False
@@ -88,7 +89,7 @@
         told."""
         if not self.longest or self.rate is None:
             return 0
-        self.back_at = max(self.back_at, now) + SECOND / self.rate
+        self.back_at = max(self.back_at, now) + TICKS_PER_SECOND / self.rate
         if self.back_at - now <= self.longest:
             return min(self.longest, int(self.back_at - now) + 1)
         self.back_at = now + self.longest
