--- a/wickvane/parts.py
+++ b/wickvane/parts.py
@@ -15,10 +15,10 @@
     "flows": "wickvane.flows.part",
     "tds": "wickvane.net.tds.part",
     "storms": "wickvane.net.storms",
-    "control": "wickvane.control.part",
-    "members": "wickvane.members.part",
-    "peers": "wickvane.peers.part",
-    "shares": "wickvane.shares.part",
+    "control": "wickvane.xds.part",
+    "members": "wickvane.endpoints.part",
+    "peers": "wickvane.cluster.part",
+    "shares": "wickvane.quotas.part",
 }
 
 DURATION = re.compile(r"(\d{1,12}(?:\.\d{1,6})?)(ms|s|m|h)\Z", re.A)
--- a/wickvane/query.py
+++ b/wickvane/query.py
@@ -6,12 +6,12 @@
 
     __slots__ = (
         "q",  # its index
-        "rg",  # its resource group's index
+        "resource_group",  # its resource group's index
         "tenant",
         "cost",  # estimated work of all threads
         "need",  # estimated memory in MB, 0 for none told
         "key",  # whose queries run one at a time, in order; None outside of ordered groups
-        "coord",  # its table group
+        "table_group",  # its table group
         "limit",  # when the client gives up
         "target",  # up to when an answer has its whole value
         "hold",  # up to when it may wait for room
@@ -30,8 +30,15 @@
         "counted",  # whether its lateness is in the median already
     )
 
-    def __init__(self, q, rg, tenant, need, coord, key):
-        self.q, self.rg, self.tenant, self.need, self.coord, self.key = q, rg, tenant, need, coord, key
+    def __init__(self, q, resource_group, tenant, need, table_group, key):
+        self.q, self.resource_group, self.tenant, self.need, self.table_group, self.key = (
+            q,
+            resource_group,
+            tenant,
+            need,
+            table_group,
+            key,
+        )
         self.out, self.over, self.engine, self.sent, self.tries = False, False, -1, 0, 0
         self.ran_at, self.ran_on, self.erred = None, -1, None
         self.known_slow, self.counted, self.priority, self.share = False, False, -1, 0.0
--- a/wickvane/shares/broker.py
+++ b/wickvane/quotas/broker.py
@@ -11,19 +11,19 @@
 and a grant waits until the decider has said that it took that number in. Times are tenths of a millisecond.
 """
 
-from wickvane.shares.escrow import Escrow
+from wickvane.quotas.escrow import Escrow
+from wickvane.units import TICKS_PER_SECOND
 
-SECOND = 10_000
 UNITS, KEPT = 64, 16  # of a configured part; of them, never lent
 MOST = 16 * UNITS  # that one dispatcher has at once
-TERM = 2 * SECOND
+TERM = 2 * TICKS_PER_SECOND
 RENEW = 8 * TERM // 10  # left of a term, under which it is asked for anew: lost datagrams leave time for more
 ASKED = 2  # owners that are asked at once for a budget
-ANSWER_IN = SECOND // 2  # after which a question without an answer is no longer counted upon
+ANSWER_IN = TICKS_PER_SECOND // 2  # after which a question without an answer is no longer counted upon
 # Over what is in use; over what there is, where that was not enough: what is lent rests a window first, so
 # many small steps would take long.
 MARGIN, MORE = 1.25, 2.5
-FADES = 4 * SECOND  # of what was in use once
+FADES = 4 * TICKS_PER_SECOND  # of what was in use once
 ASK, GRANT, BACK = range(3)
 
 
--- a/wickvane/shares/charges.py
+++ b/wickvane/quotas/charges.py
@@ -6,7 +6,7 @@
 tenant that a life is first heard of with, nobody knows how much is new: nothing is charged.
 """
 
-from wickvane.shares.latest import Latest
+from wickvane.quotas.latest import Latest
 
 TOLD_MOST = 8  # tenants in one life's word: those that it gave most lately
 ASKED = "/"  # in place of a tenant: all that was asked for
--- a/wickvane/shares/counts.py
+++ b/wickvane/quotas/counts.py
@@ -16,12 +16,12 @@
 from collections import OrderedDict
 from itertools import islice
 
-from wickvane.shares import wire
-from wickvane.shares.latest import RELAYS
+from wickvane.quotas import wire
+from wickvane.quotas.latest import RELAYS
+from wickvane.units import TICKS_PER_SECOND
 
-SECOND = 10_000
 DRIFT = 1_000  # the least way grows by one in so many, so that two clocks that go apart are not seen as age
-FOLD_AFTER = 600 * SECOND
+FOLD_AFTER = 600 * TICKS_PER_SECOND
 FLOORS = 4096
 NEW_MOST, SLOW_MOST = 64, 4  # keys of one page: what is new, and of the slow round: it is against the rare
 KEY_RELAYS = 3  # the same of sums, times the digits of the number of lives
--- a/wickvane/shares/deciding.py
+++ b/wickvane/quotas/deciding.py
@@ -2,13 +2,21 @@
 
 from threading import Lock
 
-from wickvane import interface as i
-from wickvane.shares import fleet
-from wickvane.shares.spread import NOTHING, Offer
+from wickvane.events import (
+    FOREVER,
+    Ending,
+    EngineJudged,
+    EngineState,
+    InFlightElsewhere,
+    LeaseChanged,
+    TenantsCharged,
+)
+from wickvane.quotas import fleet
+from wickvane.quotas.spread import NOTHING, Offer
 
 BUSY = 10_000  # without a query for so long, what others hold is nothing to this dispatcher
 LOOK = 1_000  # how often it is worked out what is needed
-FAILED = frozenset((i.ERROR, i.RESET, i.NO_CONNECTION, i.NO_ANSWER))
+FAILED = frozenset((Ending.ERROR, Ending.RESET, Ending.NO_CONNECTION, Ending.NO_ANSWER))
 SETTLING = 500  # added to the time expected, as the module does, so that a short pause is no slowness
 MET_MOST = 1024  # ends that wait to be told
 
@@ -43,10 +51,10 @@
             )
 
 
-def newly_ejected(gateway, before):
+def newly_ejected(scheduler, before):
     """Engines that the module set aside by what it met itself since the last call, which some do without an
     ending: silence. before: kept for the next call. What others said sets no longer time to stay away."""
-    times = gateway.engines.ejection_time
+    times = scheduler.engines.ejection_time
     found = [e for e, length in enumerate(times) if e < len(before) and length > before[e]]
     before[:] = times
     return found
@@ -60,7 +68,7 @@
             super().__init__(*words)
             self.box, self.looked, self.told_parts, self.asides = Box(), 0, 0, []
             self.tenant_names = list(self.registry.tenants.index)
-            self.fleet = fleet.join(self.gateway)
+            self.fleet = fleet.join(self.scheduler)
 
         def tenant(self, pending):
             return self.tenant_names[pending.tenant] if pending.tenant < len(self.tenant_names) else ""
@@ -75,35 +83,39 @@
 
         def round(self, items):
             super().round(items)
-            names, gateway, box = self.registry.engines.names, self.gateway, self.box
-            box.levels = {names[e]: n for e, n in enumerate(gateway.engines.in_flight) if n > 0 and names[e]}
+            names, scheduler, box = self.registry.engines.names, self.scheduler, self.box
+            box.levels = {
+                names[e]: n for e, n in enumerate(scheduler.engines.in_flight) if n > 0 and names[e]
+            }
             box.taken = self.told_parts  # the module has them: whatever it decides from here on goes by them
             if self.now - self.looked >= LOOK:
                 self.looked = self.now
-                for e in newly_ejected(gateway, self.asides):
+                for e in newly_ejected(scheduler, self.asides):
                     self.met(names[e], 1, None)
                 box.ready = [
-                    names[e] for e, state in enumerate(gateway.engines.state) if state == i.READY and names[e]
+                    names[e]
+                    for e, state in enumerate(scheduler.engines.state)
+                    if state == EngineState.READY and names[e]
                 ]
                 box.needs, box.needs_at = self.fleet.needs(), self.now
 
         def taken(self, pending, again=False):
             super().taken(pending, again)
             self.box.busy_at = self.now
-            self.box.asked += pending.cost or int(self.gateway.mean[pending.rg])
+            self.box.asked += pending.cost or int(self.scheduler.mean[pending.resource_group])
             self.tally("taken", pending)
 
-        def submit(self, q, engine, wait, start_by):
+        def start_attempt(self, q, engine, max_wait, start_by):
             self.box.count(f"sent/{self.registry.engines.names[engine]}")
-            super().submit(q, engine, wait, start_by)
+            super().start_attempt(q, engine, max_wait, start_by)
 
         def ended(self, attempt, ending, elapsed, complete):
             super().ended(attempt, ending, elapsed, complete)
             if attempt.queue is None:
                 return
             pending, slow = attempt.pending, None
-            threads = self.registry.deployment.groups[pending.rg].threads
-            if ending == i.FINISHED:
+            threads = self.registry.deployment.groups[pending.resource_group].threads
+            if ending == Ending.FINISHED:
                 self.box.count(f"done/{attempt.queue.name}")
                 self.tally("finished", pending)
                 work = attempt.work or elapsed * threads
@@ -112,37 +124,39 @@
                     self.box.works[tenant] = self.box.works.get(tenant, 0) + work
                 if pending.cost or attempt.work:
                     slow = elapsed / ((attempt.work or pending.cost) / threads + SETTLING)
-            if ending == i.FINISHED or ending in FAILED:
+            if ending == Ending.FINISHED or ending in FAILED:
                 self.met(attempt.queue.name, int(ending in FAILED), slow)
 
-        def defer(self, q, stay_away):
+        def reject(self, q, retry_after):
             self.tally("deferred", self.registry.queries.names[q])
-            super().defer(q, stay_away)
+            super().reject(q, retry_after)
 
-        def kill(self, q):
+        def fail(self, q):
             self.tally("killed", self.registry.queries.names[q])
-            super().kill(q)
+            super().fail(q)
 
         def others(self, totals, age, at):
             late = age + max(0, self.now - at)
             for name, e in self.registry.engines.of.items():
                 if name in self.registry.listed:
-                    self.events.append(i.InFlightElsewhere(e, totals.get(name, 0), late))
+                    self.events.append(InFlightElsewhere(e, totals.get(name, 0), late))
 
         def parted(self, number, figures):
             self.told_parts = number
             for what, (part, until, then) in enumerate(figures):
                 # One without an end stands until the next is told.
-                self.events.append(i.Leased(what, part, i.FOREVER if until is None else until + apart, then))
+                self.events.append(
+                    LeaseChanged(what, part, FOREVER if until is None else until + apart, then)
+                )
 
         def charged(self, works):
-            self.events.append(i.Charged([works.get(name, 0) * 10 for name in self.tenant_names]))
+            self.events.append(TenantsCharged([works.get(name, 0) * 10 for name in self.tenant_names]))
 
         def judged(self, found, at):
             late = max(0, self.now - at)
             for name, (bad, slow, age) in found.items():
                 if name in self.registry.listed:
-                    self.events.append(i.Judged(self.registry.engines.of[name], bad, slow, age + late))
+                    self.events.append(EngineJudged(self.registry.engines.of[name], bad, slow, age + late))
 
         READERS = base.READERS | {name: name for name in ("others", "parted", "charged", "judged")}
 
@@ -175,7 +189,7 @@
         self.inbox.put(("parted", number, figures), always=True)
 
     def judged(self, found, pool, spared):
-        from wickvane.shares.opinions import SLOW_ALL
+        from wickvane.quotas.opinions import SLOW_ALL
 
         at = self.clock.now()
         if "opinions" in self.heeds and found and self.busy(at):
--- a/wickvane/shares/latest.py
+++ b/wickvane/quotas/latest.py
@@ -4,7 +4,7 @@
 times: whom that misses, the next reaches.
 """
 
-from wickvane.shares import wire
+from wickvane.quotas import wire
 
 RELAYS = 3
 HEAD = 17  # octets of a word without its rows: life, stamp, their frames
--- a/wickvane/shares/opinions.py
+++ b/wickvane/quotas/opinions.py
@@ -17,10 +17,10 @@
 
 from statistics import median
 
-from wickvane.shares.latest import Latest
+from wickvane.quotas.latest import Latest
+from wickvane.units import TICKS_PER_SECOND
 
-SECOND = 10_000
-FADES, LASTS = 4 * SECOND, 4 * SECOND
+FADES, LASTS = 4 * TICKS_PER_SECOND, 4 * TICKS_PER_SECOND
 QUORUM = 3  # names that must agree, whatever the size: two may share a bad path, or speak first of all
 SPEAKERS = 3  # lives whose figures make a median
 FAILING, GOOD = 0.5, 0.2  # the share of failures from which an engine is called bad, and up to which good
--- a/wickvane/shares/part.py
+++ b/wickvane/quotas/part.py
@@ -37,7 +37,7 @@
 
 def budgets(deployment):
     """Of bounds on engines, and of what cold engines get, as a Broker takes them."""
-    return (SETTLED, True, False), (deployment.fall_time + FENCE, False, True)
+    return (SETTLED, True, False), (deployment.collapse_window + FENCE, False, True)
 
 
 class At(shape.Part):
@@ -46,8 +46,8 @@
     name, threads = "shares", 0
 
     def build(self, service, found):
-        from wickvane.peers.shell import now
-        from wickvane.shares.deciding import counting
+        from wickvane.cluster.shell import now
+        from wickvane.quotas.deciding import counting
 
         service.deciding = counting(service.deciding, service.clock.now() - now())
 
@@ -55,9 +55,9 @@
         peers = next((part.peers for part in service.parts if part.name == "peers"), None)
         if peers is None:
             raise ConfigError("the parts document: shares: expected a node peers beside it", 2)
-        from wickvane.peers.shell import now
-        from wickvane.shares.deciding import Out
-        from wickvane.shares.spread import Spread
+        from wickvane.cluster.shell import now
+        from wickvane.quotas.deciding import Out
+        from wickvane.quotas.spread import Spread
 
         box, clock = service.decider.box, service.clock
         out = Out(service.exchange.inbox, clock, box, self.terms.heeds, peers.told)
@@ -70,7 +70,7 @@
         )
 
     def stop(self):
-        from wickvane.peers.shell import now
+        from wickvane.cluster.shell import now
 
         with self.peers.lock:
             self.spread.last(now(), self.peers)
--- a/wickvane/shares/spread.py
+++ b/wickvane/quotas/spread.py
@@ -7,20 +7,21 @@
 
 from functools import lru_cache
 
-from wickvane.peers.membership import ALIVE, SUSPECT, mark
-from wickvane.peers.standing import divisor
-from wickvane.shares import wire
-from wickvane.shares.broker import Broker
-from wickvane.shares.charges import Charges
-from wickvane.shares.counts import SECOND, Counts
-from wickvane.shares.opinions import Evidence, Opinions, merge
-
-EVERY, FANOUT, OVER_EVERY = SECOND // 10, 3, SECOND
-LOOK, OPINE = SECOND // 5, SECOND // 2
+from wickvane.cluster.membership import ALIVE, SUSPECT, mark
+from wickvane.cluster.standing import divisor
+from wickvane.quotas import wire
+from wickvane.quotas.broker import Broker
+from wickvane.quotas.charges import Charges
+from wickvane.quotas.counts import Counts
+from wickvane.quotas.opinions import Evidence, Opinions, merge
+from wickvane.units import TICKS_PER_SECOND
+
+EVERY, FANOUT, OVER_EVERY = TICKS_PER_SECOND // 10, 3, TICKS_PER_SECOND
+LOOK, OPINE = TICKS_PER_SECOND // 5, TICKS_PER_SECOND // 2
 LAST_TOLD = 8
 ROOM = 860  # octets of a datagram that are a rider's, beside its sender's own entry
 WORKS_ROOM, FRAMES = 300, 16  # of them, for what was given to tenants; and for what frames it all
-LASTS = 2 * SECOND  # levels older than that are not counted
+LASTS = 2 * TICKS_PER_SECOND  # levels older than that are not counted
 NOTHING = ((0.0, False),) * 2  # is needed of any budget
 CANDIDATES = 8  # members by lot, of which those with least at work are asked for parts
 
--- a/wickvane/shares/tool.py
+++ b/wickvane/quotas/tool.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from wickvane.peers.tool import OLD_S, Wrong, folder_of, status
+from wickvane.cluster.tool import OLD_S, Wrong, folder_of, status
 
 
 def main(asked):
--- a/wickvane/rehearsal/baselines.py
+++ b/wickvane/rehearsal/baselines.py
@@ -9,7 +9,16 @@
 
 from random import Random
 
-from wickvane import interface as i
+from wickvane.events import (
+    FOREVER,
+    AttemptEnded,
+    ClientGone,
+    Effect,
+    Ending,
+    EngineState,
+    EngineUpdated,
+    QueryArrived,
+)
 
 
 class Plain:
@@ -22,13 +31,13 @@
 
     def round(self, now, events, out):
         for event in events:
-            if isinstance(event, i.Taken):
+            if isinstance(event, QueryArrived):
                 self.taken(out, *event)
-            elif isinstance(event, i.Ended):
+            elif isinstance(event, AttemptEnded):
                 self.ended(out, *event)
-            elif isinstance(event, i.Left):
+            elif isinstance(event, ClientGone):
                 self.left(out, *event)
-            elif isinstance(event, i.EngineListed):
+            elif isinstance(event, EngineUpdated):
                 self.engine(*event)
 
     def engine(self, e, rank, state, zone, kind, cell, started, weight):
@@ -36,13 +45,13 @@
             for column in (self.out, self.kind, self.zone):
                 column.append(0)
         self.kind[e], self.zone[e] = kind, zone
-        if state == i.READY and e not in self.ready:
+        if state == EngineState.READY and e not in self.ready:
             self.ready.append(e)
-        elif state != i.READY and e in self.ready:
+        elif state != EngineState.READY and e in self.ready:
             self.ready.remove(e)
 
-    def taken(self, out, q, rg, *rest):
-        group = self.groups[rg]
+    def taken(self, out, q, resource_group, *rest):
+        group = self.groups[resource_group]
         fit = [
             e
             for e in self.ready
@@ -50,25 +59,25 @@
             and (group.zones is None or self.zone[e] in group.zones)
         ]
         if not fit:
-            return out.defer(q, 0)
+            return out.reject(q, 0)
         e = self.chosen(fit)
         self.out[e] += 1
         self.open[q] = group
-        out.submit(q, e, 0, i.FOREVER)
+        out.start_attempt(q, e, 0, FOREVER)
 
     def ended(self, out, q, submission, e, ending, elapsed, complete, work, memory, report):
         self.out[e] -= 1
         group = self.open.pop(q, None)
-        if group is None or complete or ending == i.FINISHED:
+        if group is None or complete or ending == Ending.FINISHED:
             return
-        if ending >= i.TURNED_AWAY or group.effect == i.READ_ONLY:
-            out.defer(q, 0)
+        if ending >= Ending.REJECTED or group.effect == Effect.READ_ONLY:
+            out.reject(q, 0)
         else:
-            out.kill(q)
+            out.fail(q)
 
     def left(self, out, q):
         if self.open.pop(q, None) is not None:
-            out.cancel(q, 0)
+            out.cancel_attempt(q, 0)
 
 
 class Chance(Plain):
--- a/wickvane/rehearsal/cells.py
+++ b/wickvane/rehearsal/cells.py
@@ -6,40 +6,28 @@
 """
 
 import os
-import subprocess
 import sys
-import types
 from concurrent.futures import ProcessPoolExecutor, as_completed
 from functools import lru_cache
 
 import orjson
 
-from wickvane import interface as i
 from wickvane import parts, scheduler
-from wickvane.rehearsal import baselines, draws, experiment, faults, host, model, outcome, rules, world
+from wickvane.rehearsal import (
+    baselines,
+    draws,
+    earlier_modules,
+    experiment,
+    faults,
+    host,
+    model,
+    outcome,
+    rules,
+    world,
+)
 from wickvane.rehearsal import script as scripts
 
-ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 REVISION = "commit:"
-# The decision module's path and its class, now and in earlier commits.
-MODULE_PATHS = ("wickvane/scheduler.py", "wickvane/choice.py")
-CLASS_NAMES = ("Scheduler", "Gateway")
-# Events were tuples with a code in front before they were typed; these were the codes, in order.
-EVENT_TYPES = (
-    i.Taken,
-    i.Ended,
-    i.Left,
-    i.Due,
-    i.Progressed,
-    i.EngineListed,
-    i.ListLost,
-    i.Stopping,
-    i.InFlightElsewhere,
-    i.Leased,
-    i.Charged,
-    i.Judged,
-)
-PLAIN_CODES = {kind: code for code, kind in enumerate(EVENT_TYPES)}
 
 
 def text_of(module):
@@ -47,19 +35,21 @@
         return file.read()
 
 
+@lru_cache
+def earlier(variant):
+    """The class that decides at a commit, and its text."""
+    try:
+        return earlier_modules.load(variant.removeprefix(REVISION))
+    except earlier_modules.UnknownRevisionError as error:
+        raise parts.Unusable(f"variant {variant}: {error}") from None
+
+
 @lru_cache
 def module_text(variant):
     """The text of the module that decides in a variant."""
-    if not variant.startswith(REVISION):
-        return text_of(baselines if variant in baselines.BASELINES else scheduler)
-    revision = variant.removeprefix(REVISION)
-    for path in MODULE_PATHS:
-        shown = subprocess.run(
-            ["git", "show", "--end-of-options", f"{revision}:{path}"], cwd=ROOT, capture_output=True
-        )
-        if not shown.returncode:
-            return shown.stdout.decode()
-    raise parts.Unusable(f"variant {variant}: git knows no such commit with a {MODULE_PATHS[0]} here")
+    if variant.startswith(REVISION):
+        return earlier(variant)[1]
+    return text_of(baselines if variant in baselines.BASELINES else scheduler)
 
 
 @lru_cache
@@ -69,30 +59,12 @@
     return experiment.key_of(module_text(variant), *map(text_of, played_by))
 
 
-def with_plain_events(earlier):
-    """A module's class of before events were typed: it is told tuples (code, fields ...)."""
-
-    class Earlier(earlier):
-        """The same decisions."""
-
-        def round(self, now, events, out):
-            """One round, with each event as it was then."""
-            super().round(now, [(PLAIN_CODES[type(event)], *event) for event in events], out)
-
-    return Earlier
-
-
 @lru_cache
 def gateway_of(variant):
+    """The class that decides in a variant."""
     if variant in baselines.BASELINES:
         return baselines.BASELINES[variant]
-    if variant == "here":
-        return scheduler.Scheduler
-    module = types.ModuleType(f"scheduler_{experiment.key_of(variant)}")
-    module.__file__ = variant
-    exec(compile(module_text(variant), variant, "exec"), module.__dict__)  # this repository's own text
-    made = next(getattr(module, name) for name in CLASS_NAMES if hasattr(module, name))
-    return made if "i.Taken" in module_text(variant) else with_plain_events(made)
+    return scheduler.Scheduler if variant == "here" else earlier(variant)[0]
 
 
 def play(cell):
--- a/wickvane/rehearsal/connection.py
+++ b/wickvane/rehearsal/connection.py
@@ -4,7 +4,7 @@
 import socket
 import struct
 
-from wickvane import interface as i
+from wickvane.events import Ending
 
 OUT_MOST = 4 << 20
 RESET = struct.pack("ii", 1, 0)
@@ -66,14 +66,17 @@
 
     # What a Process tells of a submission that has ended, as a gateway is told in virtual time
 
-    def hears(self, query, submission, process, ending, work, rg):
+    def hears(self, query, submission, process, ending, work, resource_group):
         if self.open.pop(query.id, None) is None:
             return
-        if ending == i.FINISHED:
+        if ending == Ending.FINISHED:
             body = b"%s\t%d\t%s\n" % (process.name.encode(), work // 10, query.id)
-            fields = b"sheets=1,toil=%.1f,room=%d" % (work / 10, self.serving.script.groups[rg].memory)
+            fields = b"sheets=1,toil=%.1f,room=%d" % (
+                work / 10,
+                self.serving.script.groups[resource_group].memory,
+            )
             self.send(b"%b HIT %b %d\r\n%b\r\n" % (query.id, fields, len(body), body))
-        elif ending == i.TURNED_AWAY:
+        elif ending == Ending.REJECTED:
             self.send(b"%b SHED - 0\r\n\r\n" % query.id)
         else:
             self.close(reset=True)
--- a/wickvane/rehearsal/demo.py
+++ b/wickvane/rehearsal/demo.py
@@ -17,13 +17,14 @@
 import tty
 from threading import Thread
 
-from wickvane import interface as i
+from wickvane.events import EngineState
 from wickvane.rehearsal import logs
 from wickvane.rehearsal import script as scripts
 from wickvane.rehearsal.fleet import Dispatchers
 from wickvane.rehearsal.load import Load
-from wickvane.rehearsal.script import SECOND, Trouble
+from wickvane.rehearsal.script import Trouble
 from wickvane.rehearsal.sockets import Serving
+from wickvane.units import TICKS_PER_SECOND
 
 SCRIPT = """rehearsal {
     name "demo"
@@ -100,7 +101,7 @@
             return told
         kind, part, size, seconds = KEYS[key]
         self.switched += 1
-        trouble = Trouble(kind, 0, seconds * SECOND, part, size)
+        trouble = Trouble(kind, 0, seconds * TICKS_PER_SECOND, part, size)
         number = 1000 + self.switched
         self.serving.orders.append(lambda: self.serving.trouble(number, trouble))
         self.log.info("trouble", kind=kind, seconds=seconds)
@@ -115,7 +116,9 @@
         answers a second since the last look and the latencies so far in milliseconds."""
         engines = []
         for process in list(self.serving.processes):
-            state = {i.READY: "ready", i.DRAINING: "draining", i.GONE: "gone"}[process.state]
+            state = {EngineState.READY: "ready", EngineState.DRAINING: "draining", EngineState.GONE: "gone"}[
+                process.state
+            ]
             state = "dead" if process.dead and state != "gone" else state
             engines.append((process.name, state, len(process.out), process.worked / 1000))
         now, groups, load = time.monotonic(), [], self.load
--- a/wickvane/rehearsal/draws.py
+++ b/wickvane/rehearsal/draws.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from wickvane.rehearsal.script import SECOND
+from wickvane.units import TICKS_PER_SECOND
 
 
 class Draws:
@@ -19,7 +19,7 @@
     def gap(self, clients, rate):
         """From one query of an open loop to the next, at so many a second."""
         gap = 1 / rate if clients.even else self.chance(f"arrivals/{clients.name}").expovariate(rate)
-        return max(1, int(gap * SECOND))
+        return max(1, int(gap * TICKS_PER_SECOND))
 
     def back_off(self, clients, tries):
         """Before a further try, after so many."""
--- a/wickvane/rehearsal/experiment.py
+++ b/wickvane/rehearsal/experiment.py
@@ -21,6 +21,7 @@
 from wickvane.parts import Node
 from wickvane.rehearsal import script as scripts
 from wickvane.rehearsal.baselines import BASELINES
+from wickvane.units import TICKS_PER_SECOND
 
 CELLS_MOST = 100_000
 NAMED = {"engines", "group", "tenant", "clients"}  # nodes that are known again by their first argument
@@ -173,7 +174,7 @@
     return {
         "service": round(outcome.service(), 6),
         # One that did not come back at all counts as the whole script.
-        "recovery": recovery if recovery is not None else world.script.length / scripts.SECOND,
+        "recovery": recovery if recovery is not None else world.script.length / TICKS_PER_SECOND,
         "late": counts["late"] / answers,
         "deferred": counts["deferred"] / answers,
         "killed": counts["killed"] / answers,
--- a/wickvane/rehearsal/faults.py
+++ b/wickvane/rehearsal/faults.py
@@ -2,9 +2,9 @@
 late, dispatchers are killed or stand still, clients come all at once.
 """
 
-from wickvane import interface as i
+from wickvane.events import Ending, EngineState
 from wickvane.rehearsal.host import Host, Process
-from wickvane.rehearsal.script import SECOND
+from wickvane.units import TICKS_PER_SECOND
 
 STILL = 1_000  # how long a watched file must not have changed
 
@@ -14,7 +14,9 @@
 
     def some(self, trouble, n):
         """The processes that a trouble takes, by its own stream."""
-        ready = [process for process in self.processes if not process.dead and process.state == i.READY]
+        ready = [
+            process for process in self.processes if not process.dead and process.state == EngineState.READY
+        ]
         count = min(len(ready), max(1, round(trouble.part * len(ready))))
         return self.chance(f"trouble/{n}").sample(ready, count)
 
@@ -68,7 +70,7 @@
             now = self.now / 10
             for mark in list(process.out):
                 process.model.cancel(now, mark)
-            process.lose(i.RESET)
+            process.lose(Ending.RESET)
 
     def begin_crash(self, n, trouble):
         """The process dies; another starts cold in its place, with a name of its own, once the time is
@@ -79,18 +81,20 @@
 
     def ends(self, process):
         process.dead = True
-        process.lose(i.RESET)
-        self.lists(process, i.GONE)
+        process.lose(Ending.RESET)
+        self.lists(process, EngineState.GONE)
 
     def starts(self, kind):
         process = Process(self, self.name_engine(), kind, 0, self.now / 10)
         self.processes.append(process)
-        self.cold.listed(self.now / SECOND, process.name, "ready", kind, self.now / SECOND)
-        self.lists(process, i.READY)
+        self.cold.listed(
+            self.now / TICKS_PER_SECOND, process.name, "ready", kind, self.now / TICKS_PER_SECOND
+        )
+        self.lists(process, EngineState.READY)
 
     def begin_drain(self, n, trouble):
         for process in self.some(trouble, n):
-            self.lists(process, i.DRAINING)
+            self.lists(process, EngineState.DRAINING)
             self.later(trouble, self.ends, process)
 
     def begin_deploy(self, n, trouble):
@@ -100,9 +104,9 @@
         for k in range(0, len(some), batch):
             at = self.now + trouble.length * k // max(1, len(some))
             for process in some[k : k + batch]:
-                self.at(at, self.lists, process, i.DRAINING)
-                self.at(at + 3 * SECOND, self.ends, process)
-                self.at(at + 3 * SECOND, self.starts, process.kind)
+                self.at(at, self.lists, process, EngineState.DRAINING)
+                self.at(at + 3 * TICKS_PER_SECOND, self.ends, process)
+                self.at(at + 3 * TICKS_PER_SECOND, self.starts, process.kind)
 
     def lists(self, process, state):
         process.state = max(process.state, state)
@@ -117,7 +121,7 @@
             self.at(self.now + delay + self.late_list, self.told, host, process, state)
             if self.again:
                 # Once more, later: behind what has happened meanwhile.
-                more = int(self.chance(f"again/{host.name}").uniform(0, 4) * SECOND)
+                more = int(self.chance(f"again/{host.name}").uniform(0, 4) * TICKS_PER_SECOND)
                 self.at(self.now + delay + more, self.told, host, process, state)
 
     def told(self, host, process, state):
@@ -140,11 +144,11 @@
             for query in host.queries.values():
                 if query.answer is None:
                     query.answer = "left"  # no longer its duty; its connections are gone, and so is the work
-                    host.seen.answered(self.now / SECOND, query.id, "left")
+                    host.seen.answered(self.now / TICKS_PER_SECOND, query.id, "left")
                     if query.submissions and not query.submissions[-1][2]:
                         self.gives_up(host, query, len(query.submissions) - 1, query.submissions[-1][3])
                     if query.clients.closed:
-                        self.at(self.now + SECOND, self.one_more, query.clients)
+                        self.at(self.now + TICKS_PER_SECOND, self.one_more, query.clients)
             self.later(trouble, self.starts_over, host)
 
     def starts_over(self, old):
@@ -154,11 +158,11 @@
         if fresh.members is not None:
             return fresh.filed(self.document)
         for process in self.processes:
-            if process.state != i.GONE:
+            if process.state != EngineState.GONE:
                 fresh.list_engine(process, process.state)
 
     def begin_list_late(self, n, trouble):
-        delay = int(trouble.size * SECOND)
+        delay = int(trouble.size * TICKS_PER_SECOND)
         self.late_list += delay
         self.later(trouble, self.list_in_time, delay)
 
--- a/wickvane/rehearsal/host.py
+++ b/wickvane/rehearsal/host.py
@@ -3,11 +3,11 @@
 The module decides as in the program; what it writes is on its way at once, through its world.
 """
 
-from wickvane import interface as i
 from wickvane import storm
+from wickvane.events import AttemptEnded, Ending, EngineState, EngineUpdated, QueryArrived, TimerFired
 from wickvane.rehearsal import model
 from wickvane.rehearsal.rules import Seen
-from wickvane.rehearsal.script import SECOND
+from wickvane.units import TICKS_PER_SECOND
 
 TICK = 10
 ENDINGS = ("finished", "error", "no-answer", "reset", "cancelled", "turned-away", "refused", "not-sent")
@@ -26,7 +26,7 @@
         "id",
         "origin",
         "clients",
-        "rg",
+        "resource_group",
         "work",
         "table",
         "key",
@@ -53,7 +53,7 @@
         self.world, self.name, self.kind, self.number = world, name, kind, number
         world.named[name] = self
         self.model = model.Engine(world.kinds[kind], started)
-        self.started, self.state, self.silent, self.dead = started, i.READY, 0, False
+        self.started, self.state, self.silent, self.dead = started, EngineState.READY, 0, False
         self.out = {}  # mark: (gateway, query, submission)
         self.worked = 0.0  # milliseconds of one thread, of what was finished here
 
@@ -72,7 +72,9 @@
             gateway, query, submission = self.out.pop(done.mark)
             self.worked += query.work
             if not self.silent:
-                gateway.hears(query, submission, self, i.FINISHED, int(query.work * 10), query.rg)
+                gateway.hears(
+                    query, submission, self, Ending.FINISHED, int(query.work * 10), query.resource_group
+                )
         self.plan()
 
     def lose(self, ending, tell=True):
@@ -80,7 +82,7 @@
         out, self.out = self.out, {}
         for gateway, query, submission in out.values():
             if tell:
-                gateway.hears(query, submission, self, ending, 0, query.rg)
+                gateway.hears(query, submission, self, ending, 0, query.resource_group)
 
 
 class Host:
@@ -88,7 +90,7 @@
 
     def __init__(self, world, number):
         self.world, self.number, self.name = world, number, f"g{number}"
-        self.gateway = world.gateway(f"{world.seed}/{self.name}", world.deployment)
+        self.scheduler = world.gateway(f"{world.seed}/{self.name}", world.deployment)
         self.seen = Seen(world.figures)
         self.events, self.planned, self.queries, self.engines, self.index = [], False, {}, {}, {}
         self.paused = self.killed = False
@@ -121,7 +123,7 @@
         if self.killed:
             return
         events, self.events = self.events, []
-        self.gateway.round(self.world.now, events, self)
+        self.scheduler.round(self.world.now, events, self)
 
     def list_engine(self, process, state):
         if state < self.told.get(process.name, -1):
@@ -130,9 +132,9 @@
         e = self.index.setdefault(process.name, len(self.index))
         self.engines[e] = process
         started = process.started or 0
-        self.tell(i.EngineListed(e, process.name.encode(), state, 0, process.kind, 0, int(started * 10), 1.0))
+        self.tell(EngineUpdated(e, process.name.encode(), state, 0, process.kind, 0, int(started * 10), 1.0))
         self.seen.listed(
-            self.world.now / SECOND,
+            self.world.now / TICKS_PER_SECOND,
             process.name,
             ("ready", "draining", "gone")[state],
             process.kind,
@@ -159,20 +161,26 @@
     def take(self, query):
         self.queries[query.id] = query
         query.gateway, query.taken = self, self.world.now
-        left, memory = query.limit - query.taken, self.world.script.groups[query.rg].memory
+        left, memory = query.limit - query.taken, self.world.script.groups[query.resource_group].memory
         again = False
         if self.storm is not None:
             for event, fields in self.storm.look(self.world.now):
-                self.world.storms.append((self.world.now / SECOND, self.name, event, fields))
+                self.world.storms.append((self.world.now / TICKS_PER_SECOND, self.name, event, fields))
                 self.world.log("storm", gateway=self.name, what=event, **fields)
             alone = query.clients.closed == 1  # else each query is a user's of its own
             source = query.clients.name if alone else query.origin
             again = self.storm.taken(self.world.now, mark_of(query), source, query.cost)
-        self.seen.taken(self.world.now / SECOND, query.id, query.rg, left / SECOND, query.key)
+        self.seen.taken(
+            self.world.now / TICKS_PER_SECOND,
+            query.id,
+            query.resource_group,
+            left / TICKS_PER_SECOND,
+            query.key,
+        )
         self.tell(
-            i.Taken(
+            QueryArrived(
                 query.id,
-                query.rg,
+                query.resource_group,
                 query.clients.tenant,
                 query.cost,
                 memory,
@@ -183,11 +191,11 @@
             )
         )
 
-    def hears(self, query, submission, process, ending, work, rg):
+    def hears(self, query, submission, process, ending, work, resource_group):
         """An ending is on its way back."""
         place = query.submissions[submission]
         if place[1] is not None:
-            self.seen.ended(self.world.now / SECOND, place[1], ENDINGS[ending])
+            self.seen.ended(self.world.now / TICKS_PER_SECOND, place[1], ENDINGS[ending])
         self.world.at(
             self.world.now + self.world.script.latency, self.heard, query, submission, process, ending, work
         )
@@ -198,22 +206,25 @@
             return
         place[2] = True
         complete = query.answer is not None
-        if ending == i.FINISHED and not complete:
+        if ending == Ending.FINISHED and not complete:
             self.world.answered(query, "finished")
             complete = True
             if self.storm is not None:
-                elapsed, threads = self.world.now - place[0], self.world.script.groups[query.rg].threads
+                elapsed, threads = (
+                    self.world.now - place[0],
+                    self.world.script.groups[query.resource_group].threads,
+                )
                 self.storm.finished(self.world.now, self.world.now > query.target, work)
                 self.storm.engine(self.world.now, process.name, elapsed, query.cost / threads)
         self.tell(
-            i.Ended(
+            AttemptEnded(
                 query.id,
                 submission,
                 self.index[process.name],
                 ending,
                 self.world.now - place[0],
                 complete,
-                work if ending == i.FINISHED else 0,
+                work if ending == Ending.FINISHED else 0,
                 0,
                 None,
             )
@@ -221,7 +232,7 @@
 
     # The writer
 
-    def submit(self, q, engine, wait, start_by):  # what is decided is on its way at once
+    def start_attempt(self, q, engine, max_wait, start_by):  # what is decided is on its way at once
         query, process = self.queries[q], self.engines[engine]
         submission = len(query.submissions)
         query.submissions.append([self.world.now, None, False, process])
@@ -234,34 +245,34 @@
     def expires(self, query, submission, process):
         if not query.submissions[submission][2]:
             self.world.gives_up(self, query, submission, process)
-            self.heard(query, submission, process, i.NO_ANSWER, 0)
+            self.heard(query, submission, process, Ending.NO_ANSWER, 0)
 
-    def defer(self, q, stay_away):
+    def reject(self, q, retry_after):
         if self.storm is not None:
             self.storm.deferred(self.world.now, mark_of(self.queries[q]))
-        self.world.answered(self.queries[q], "deferred", stay_away)
+        self.world.answered(self.queries[q], "deferred", retry_after)
 
-    def kill(self, q):
+    def fail(self, q):
         self.world.answered(self.queries[q], "killed")
 
-    def cancel(self, q, submission):
+    def cancel_attempt(self, q, submission):
         query = self.queries[q]
         place = query.submissions[submission]
         if not place[2]:
             self.world.gives_up(self, query, submission, place[3])
             if place[1] is not None:
-                self.seen.ended(self.world.now / SECOND, place[1], "cancelled")
-                self.seen.given_up(self.world.now / SECOND, place[1])
-            self.world.at(self.world.now + 1, self.heard, query, submission, place[3], i.CANCELLED, 0)
+                self.seen.ended(self.world.now / TICKS_PER_SECOND, place[1], "cancelled")
+                self.seen.given_up(self.world.now / TICKS_PER_SECOND, place[1])
+            self.world.at(self.world.now + 1, self.heard, query, submission, place[3], Ending.CANCELLED, 0)
 
-    def terms(self, q, priority, grant):
+    def set_terms(self, q, priority, grant):
         self.queries[q].priority = max(0, priority)
 
-    def alarm(self, token, at):
-        self.world.at(at, self.tell, i.Due(token))
+    def set_timer(self, token, at):
+        self.world.at(at, self.tell, TimerFired(token))
 
-    def watch_list(self, on):
+    def watch_endpoints(self, on):
         pass
 
-    def note(self, text):
+    def log_note(self, text):
         self.world.log("note", gateway=self.name, text=text)
--- a/wickvane/rehearsal/load.py
+++ b/wickvane/rehearsal/load.py
@@ -21,8 +21,8 @@
 from threading import Condition, Lock, Thread
 
 from wickvane.rehearsal.draws import Draws
-from wickvane.rehearsal.script import SECOND
 from wickvane.rehearsal.world import lognormal
+from wickvane.units import TICKS_PER_SECOND
 
 WORKERS_MOST, STACK, HIGHEST_US = 128, 256 * 1024, 120_000_000
 STARTUP = struct.pack("!II", 30, 196_608) + b"user\0app\0database\0bi\0\0"
@@ -124,7 +124,7 @@
         self.heap, self.made, self.open, self.more = [], 0, 0, Condition(Lock())
         self.earned = self.wanted = 0.0
         # By second: [value earned of what was first asked then, value asked for, work finished then in ms].
-        self.course = [[0.0, 0.0, 0.0] for _ in range(script.length // SECOND + 30)]
+        self.course = [[0.0, 0.0, 0.0] for _ in range(script.length // TICKS_PER_SECOND + 30)]
 
     def at(self, moment, what):
         self.made += 1
@@ -141,7 +141,7 @@
         )
 
     def second(self, at):
-        return self.course[min(at // SECOND, len(self.course) - 1)]
+        return self.course[min(at // TICKS_PER_SECOND, len(self.course) - 1)]
 
     def sending(self, order, group, left):
         """A try is about to be sent, with so many seconds: for who looks on."""
@@ -191,7 +191,7 @@
         for _ in threads:
             self.line.put(None)
         for thread in threads:
-            thread.join(max(g.timeout for g in self.script.groups) / SECOND + 5)
+            thread.join(max(g.timeout for g in self.script.groups) / TICKS_PER_SECOND + 5)
         return {
             name: {
                 "answers": dict(sorted(self.answers[name].items())),
@@ -208,7 +208,7 @@
         return self.earned / self.wanted if self.wanted else 1.0
 
     def now(self):
-        return int((time.monotonic() - self.began) * SECOND)
+        return int((time.monotonic() - self.began) * TICKS_PER_SECOND)
 
     def next(self):
         """(moment, order) of the next that is due, waiting for it; None when there will be none."""
@@ -219,7 +219,7 @@
                         return None
                     self.more.wait(0.5)
                     continue
-                wait = (self.heap[0][0] - self.now()) / SECOND
+                wait = (self.heap[0][0] - self.now()) / TICKS_PER_SECOND
                 if wait > 0:
                     self.more.wait(wait)
                     continue
@@ -243,8 +243,8 @@
                 client.close()
                 return
             at, order = due
-            group, moment = self.script.groups[order.clients.group], self.began + at / SECOND
-            left = moment + group.timeout / SECOND - time.monotonic()
+            group, moment = self.script.groups[order.clients.group], self.began + at / TICKS_PER_SECOND
+            left = moment + group.timeout / TICKS_PER_SECOND - time.monotonic()
             limit_ms = int(left * 1000)
             text, work = self.statement(order, limit_ms)
             if limit_ms > 0:
@@ -258,7 +258,7 @@
             self.open -= 1
             self.answers[group.name][answer] += 1
             self.histograms[group.name].record_value(
-                min(HIGHEST_US, max(1, int((now - order.first) / SECOND * 1e6)))
+                min(HIGHEST_US, max(1, int((now - order.first) / TICKS_PER_SECOND * 1e6)))
             )
             if answer == "finished":
                 target = at + group.promise + group.stretch * work * 10 / group.threads
--- a/wickvane/rehearsal/outcome.py
+++ b/wickvane/rehearsal/outcome.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from wickvane.rehearsal.script import SECOND
+from wickvane.units import TICKS_PER_SECOND
 
 RECOVERED = 0.8  # of the service before the first trouble
 
@@ -38,10 +38,10 @@
         script = self.world.script
         if not script.troubles:
             return 0.0
-        first = min(t.at for t in script.troubles) // SECOND
-        over = max(t.at + t.length for t in script.troubles) // SECOND
+        first = min(t.at for t in script.troubles) // TICKS_PER_SECOND
+        over = max(t.at + t.length for t in script.troubles) // TICKS_PER_SECOND
         level = RECOVERED * (self.service(0, first) if first else 1.0)
-        for second in range(over, script.length // SECOND - 2):
+        for second in range(over, script.length // TICKS_PER_SECOND - 2):
             if self.service(second, second + 3) >= level:
                 return float(second - over)
         return None
@@ -82,13 +82,15 @@
             if expected.what == "no-rule-broken":
                 found += [f"rule {rule}: {text}" for rule, text in self.breaches[:20]]
             elif expected.what == "service":
-                service = self.service(expected.after // SECOND)
+                service = self.service(expected.after // TICKS_PER_SECOND)
                 if service < expected.figure:
                     found.append(f"service {service:.3f}, expected above {expected.figure}")
             else:
                 recovery = self.recovery()
-                if recovery is None or recovery * SECOND > expected.figure:
-                    found.append(f"recovery {recovery} s, expected within {expected.figure / SECOND} s")
+                if recovery is None or recovery * TICKS_PER_SECOND > expected.figure:
+                    found.append(
+                        f"recovery {recovery} s, expected within {expected.figure / TICKS_PER_SECOND} s"
+                    )
         return found
 
     def log(self):
--- a/wickvane/rehearsal/peers.py
+++ b/wickvane/rehearsal/peers.py
@@ -1,4 +1,4 @@
-"""A fleet of peers in virtual time: the decisions of wickvane.peers as they are, where sockets do not reach.
+"""A fleet in virtual time: the decisions of wickvane.cluster as they are, where sockets do not reach.
 
 Datagrams are delayed, lost, doubled and cut by what the caller sets; their octets are those that the codec
 would send. Members stand still, die and come back. What was true is known here, so that a verdict can be
@@ -10,9 +10,10 @@
 
 import msgspec
 
-from wickvane.peers.membership import ALIVE, BUCKETS, NEVER, SECOND, mark
-from wickvane.peers.protocol import Node
-from wickvane.peers.wire import MAC
+from wickvane.cluster.membership import ALIVE, BUCKETS, NEVER, mark
+from wickvane.cluster.protocol import Node
+from wickvane.cluster.wire import MAC
+from wickvane.units import TICKS_PER_SECOND
 
 EPOCH = 1 << 40  # of the first starts; any later one is higher
 
@@ -101,8 +102,8 @@
         loss=0.0,
         delay=(3, 30),
         seeds=3,
-        spread=SECOND,
-        period=SECOND // 2,
+        spread=TICKS_PER_SECOND,
+        period=TICKS_PER_SECOND // 2,
         doubled=0.0,
         configured=None,
         settled=False,
@@ -229,13 +230,13 @@
         up = sum(member.up for member in self.members)
         return len(views) == 1 and all(len(m.node.table.held) == up for m in self.members if m.up)
 
-    def until_equal(self, by, step=SECOND // 5):
+    def until_equal(self, by, step=TICKS_PER_SECOND // 5):
         """Seconds from now until all views are equal, or None by then."""
         began = self.now
         while self.now < by:
             self.run(min(by, self.now + step))
             if self.equal():
-                return (self.now - began) / SECOND
+                return (self.now - began) / TICKS_PER_SECOND
         return None
 
     def false_failures(self, since=0):
--- a/wickvane/rehearsal/script.py
+++ b/wickvane/rehearsal/script.py
@@ -6,11 +6,10 @@
 
 from typing import NamedTuple
 
-from wickvane import interface as i
 from wickvane import parts
+from wickvane.events import Deployment, Effect, KeyScope, ResourceGroup
 from wickvane.parts import Kind, Node, refuse
 
-SECOND = 10_000
 TIMES = parts.duration("0ms", "24h")
 TROUBLES = (
     "stall",
@@ -28,7 +27,7 @@
     "kill",
     "list-again",
 )
-EFFECTS = {"read-only": i.READ_ONLY, "tokened": i.TOKENED, "mutating": i.MUTATING}
+EFFECTS = {"read-only": Effect.READ_ONLY, "tokened": Effect.IDEMPOTENCY_KEY, "mutating": Effect.MUTATING}
 
 
 def figure(low, high):
@@ -124,7 +123,7 @@
     window: int
     advice: int  # how long a client may be told to stay away; 0: it is not told
     watched: bool  # whether each gateway looks for storms
-    lists: str = "stream"  # or "file": watched files, wickvane.members
+    lists: str = "stream"  # or "file": watched files, wickvane.endpoints
 
 
 KIND = {
@@ -327,48 +326,48 @@
 def deployment(script):
     """What the dispatchers are told of all this, as their settings would say it."""
     first = script.fleet[0].figures
-    return i.Deployment(
+    return Deployment(
         groups=[
-            i.ResourceGroup(
+            ResourceGroup(
                 effect=EFFECTS[g.effect],
-                drops_repeats=i.ANY_ENGINE,
-                repeat_window=max(0, script.window - 1),
-                promise=g.promise,
-                stretch=g.stretch,
+                key_scope=KeyScope.ANY_ENGINE,
+                idempotency_window=max(0, script.window - 1),
+                latency_objective=g.promise,
+                objective_stretch=g.stretch,
                 timeout=g.timeout,
-                value=g.value,
-                late_value=g.late,
+                priority_weight=g.value,
+                late_priority_weight=g.late,
                 ordered=g.ordered,
                 zones=None,
                 kinds=None,
                 threads=g.threads,
-                loads=g.loads,
-                stands_behind_loads=False,
+                is_bulk_load=g.loads,
+                yields_to_bulk_loads=False,
             )
             for g in script.groups
         ],
         tenants=[(share, 0.0) for _, share in script.tenants],
         cores=[int(f.figures.get("cores", 8)) for f in script.fleet],
         memory=[f.figures.get("memory", 16_384.0) for f in script.fleet],
-        gateways=script.gateways,
+        dispatcher_count=script.gateways,
         zone=0,
-        crossing=0.0,
-        most_submissions=5,
-        may_cancel=True,
-        grants=False,
+        cross_zone_cost=0.0,
+        max_attempts=5,
+        can_cancel=True,
+        memory_grants=False,
         priorities=True,
-        most_grant=0.4,
-        note_period=0,
-        asks_for_list=False,
-        ask_within=0,
-        key_rest=script.rest + 1,
-        extra_free=script.budget[0] if script.budget else 0.0,
-        extra_share=script.budget[1] if script.budget else 0.0,
-        extra_window=script.budget[2] + 1 if script.budget else 0,
-        cold_from=first.get("cold_from", 0.3),
-        cold_time=int(first.get("cold_ms", 15_000.0) * 10) + 1,
-        fall_multiple=first.get("fall_multiple", 2.5),
-        fall_time=int(first.get("fall_ms", 3000.0) * 10) + 1,
-        longest_advice=script.advice,
+        max_memory_grant=0.4,
+        progress_interval=0,
+        subscribes_to_endpoints=False,
+        poll_deadline=0,
+        key_quarantine=script.rest + 1,
+        retry_budget_minimum=script.budget[0] if script.budget else 0.0,
+        retry_budget_ratio=script.budget[1] if script.budget else 0.0,
+        retry_budget_window=script.budget[2] + 1 if script.budget else 0,
+        slow_start_fraction=first.get("cold_from", 0.3),
+        slow_start_duration=int(first.get("cold_ms", 15_000.0) * 10) + 1,
+        collapse_multiple=first.get("fall_multiple", 2.5),
+        collapse_window=int(first.get("fall_ms", 3000.0) * 10) + 1,
+        max_retry_after=script.advice,
         reports=[],
     )
--- a/wickvane/rehearsal/shared.py
+++ b/wickvane/rehearsal/shared.py
@@ -4,15 +4,23 @@
 
 from random import Random
 
-from wickvane import interface as i
-from wickvane.interface import FOREVER
-from wickvane.peers.protocol import Node
+from wickvane.cluster.protocol import Node
+from wickvane.events import (
+    FOREVER,
+    AttemptEnded,
+    Ending,
+    EngineJudged,
+    EngineState,
+    InFlightElsewhere,
+    QueryArrived,
+    TenantsCharged,
+)
+from wickvane.quotas.deciding import FAILED, SETTLING, newly_ejected
+from wickvane.quotas.fleet import join
+from wickvane.quotas.part import budgets
+from wickvane.quotas.spread import EVERY, Offer, Spread
 from wickvane.rehearsal.peers import fill
 from wickvane.rehearsal.world import World
-from wickvane.shares.deciding import FAILED, SETTLING, newly_ejected
-from wickvane.shares.fleet import join
-from wickvane.shares.part import budgets
-from wickvane.shares.spread import EVERY, Offer, Spread
 
 EPOCH = 1 << 40
 ALL = frozenset(("others", "charges", "opinions", "lends"))
@@ -27,7 +35,7 @@
         self.sums, self.datagrams, self.octets, self.works, self.met, self.number_told = {}, 0, 0, {}, [], 0
         self.asked = 0
         self.tell, host.tell, self.asides = host.tell, self.passes, []
-        self.fleet = join(host.gateway)
+        self.fleet = join(host.scheduler)
         self.tenants = [name for name, _ in world.script.tenants]
         self.node = Node(
             world.now,
@@ -45,36 +53,40 @@
 
     def passes(self, event):
         """What the host tells its module; ends are evidence, and work of a tenant."""
-        if isinstance(event, i.Taken):
+        if isinstance(event, QueryArrived):
             self.asked += event.cost
-        if isinstance(event, i.Ended):
+        if isinstance(event, AttemptEnded):
             query, slow = self.host.queries[event.query], None
-            if event.ending == i.FINISHED:
+            if event.ending == Ending.FINISHED:
                 tenant = self.tenants[query.clients.tenant]
                 self.works[tenant] = self.works.get(tenant, 0) + event.work
-                threads = self.world.script.groups[query.rg].threads
+                threads = self.world.script.groups[query.resource_group].threads
                 slow = event.elapsed / (event.work / threads + SETTLING)
-            if event.ending == i.FINISHED or event.ending in FAILED:
+            if event.ending == Ending.FINISHED or event.ending in FAILED:
                 name = self.host.engines[event.engine].name
                 self.met.append((name, int(event.ending in FAILED), slow))
         self.tell(event)
 
     def offered(self):
-        gateway, engines = self.host.gateway, self.host.engines
-        self.met += [(engines[e].name, 1, None) for e in newly_ejected(gateway, self.asides)]
+        scheduler, engines = self.host.scheduler, self.host.engines
+        self.met += [(engines[e].name, 1, None) for e in newly_ejected(scheduler, self.asides)]
         if self.number in self.world.liars:
             # More than one of them, and fewer than would tell of its own way.
             self.met += [(process.name, 1, None) for n, process in engines.items() if n % 3 == 0] * 20
         sums, self.sums = self.sums, {}
         met, self.met = self.met, []
         return Offer(
-            {engines[e].name: n for e, n in enumerate(gateway.engines.in_flight) if n > 0 and e in engines},
+            {engines[e].name: n for e, n in enumerate(scheduler.engines.in_flight) if n > 0 and e in engines},
             list(sums.items()),
             {tenant: int(work) // 10 for tenant, work in self.works.items()},
             self.asked // 10,
             self.fleet.needs(),
             met,
-            [engines[e].name for e, state in enumerate(gateway.engines.state) if state == i.READY],
+            [
+                engines[e].name
+                for e, state in enumerate(scheduler.engines.state)
+                if state == EngineState.READY
+            ],
             self.number_told,
         )
 
@@ -84,7 +96,7 @@
     def others(self, totals, age, oldest, counted, out):
         if counted and self.heeds("others"):
             for e, process in self.host.engines.items():
-                self.tell(i.InFlightElsewhere(e, totals.get(process.name, 0), age))
+                self.tell(InFlightElsewhere(e, totals.get(process.name, 0), age))
 
     def parts(self, number, figures):
         # At once: the world's next round of this host has it before anything that is decided later.
@@ -94,13 +106,13 @@
 
     def charged(self, works):
         if self.heeds("charges"):
-            self.tell(i.Charged([works.get(name, 0) * 10 for name in self.tenants]))
+            self.tell(TenantsCharged([works.get(name, 0) * 10 for name in self.tenants]))
 
     def judged(self, found, pool, spared):
         if self.heeds("opinions"):
             for e, process in self.host.engines.items():
                 if process.name in found:
-                    self.tell(i.Judged(e, *found[process.name]))
+                    self.tell(EngineJudged(e, *found[process.name]))
 
     def wake_at(self, when):
         when = max(when, self.world.now + 1)
@@ -171,7 +183,7 @@
 
     def arrives(self, host, query, submission, process):
         if (host.number, process.name) in self.blocked and not host.killed:
-            host.hears(query, submission, process, i.NO_CONNECTION, 0, query.rg)
+            host.hears(query, submission, process, Ending.NO_CONNECTION, 0, query.resource_group)
         else:
             super().arrives(host, query, submission, process)
 
--- a/wickvane/rehearsal/sockets.py
+++ b/wickvane/rehearsal/sockets.py
@@ -14,7 +14,7 @@
 from heapq import heappop
 from random import Random
 
-from wickvane import interface as i
+from wickvane.events import Ending
 from wickvane.rehearsal.connection import Connection
 from wickvane.rehearsal.world import World, lognormal
 
@@ -35,7 +35,7 @@
 class Query:
     """A submission as it came: what World.arrives() has of a client's query."""
 
-    __slots__ = ("id", "rg", "work", "connection", "mark")
+    __slots__ = ("id", "resource_group", "work", "connection", "mark")
 
 
 class Serving(World):
@@ -201,16 +201,16 @@
 
     def asked(self, connection, words, body):
         fields = dict(part.partition(b"=")[::2] for part in words[2].split(b","))
-        rg = self.names.get(fields.get(b"queue"))
-        if rg is None or words[1] in connection.open:
+        resource_group = self.names.get(fields.get(b"queue"))
+        if resource_group is None or words[1] in connection.open:
             connection.fault(words[1])
             return
         if self.quiet:
             self.quiet = False
             for n, trouble in enumerate(self.script.troubles):
                 self.at(self.now + trouble.at, self.trouble, n, trouble)
-        process, group, query = connection.process, self.script.groups[rg], Query()
-        query.id, query.rg, query.connection = words[1], rg, connection
+        process, group, query = connection.process, self.script.groups[resource_group], Query()
+        query.id, query.resource_group, query.connection = words[1], resource_group, connection
         # Of its own: a query that is asked again here, on another connection, may come ahead of the QUIT of
         # its first submission.
         self.marks += 1
@@ -239,8 +239,8 @@
         elif got == "fallen":
             self.ends(process)
         elif not process.silent:
-            ending = i.FINISHED if got == "repeat" else i.TURNED_AWAY
-            connection.hears(query, 0, process, ending, 10, rg)
+            ending = Ending.FINISHED if got == "repeat" else Ending.REJECTED
+            connection.hears(query, 0, process, ending, 10, resource_group)
 
     # Sockets
 
--- a/wickvane/rehearsal/tds.py
+++ b/wickvane/rehearsal/tds.py
@@ -5,8 +5,8 @@
 
 import re
 
-from wickvane import interface as i
 from wickvane.errors import ProtocolError
+from wickvane.events import Ending
 from wickvane.net.tds import errors, packets, statements, types
 from wickvane.net.tds import login as lg
 from wickvane.net.tds import tokens as t
@@ -65,11 +65,11 @@
     def fault(self, id):
         self.tokens(t.told(t.ERROR, UNKNOWN, 1, 16, "no group of this script") + t.done(t.DONE_ERROR))
 
-    def hears(self, query, submission, process, ending, work, rg):
+    def hears(self, query, submission, process, ending, work, resource_group):
         if self.open.pop(query.id, None) is None:
             return
-        if ending == i.FINISHED:
-            memory = self.serving.script.groups[rg].memory
+        if ending == Ending.FINISHED:
+            memory = self.serving.script.groups[resource_group].memory
             row = (
                 bytes((t.ROW,))
                 + types.nvarchar(process.name)
@@ -78,7 +78,7 @@
             )
             report = t.told(t.INFO, errors.REPORT, 1, 0, f"work={work / 10:.1f} memory={memory:.0f}")
             self.tokens(COLUMNS + row + report + t.done(t.COUNTED, 1))
-        elif ending == i.TURNED_AWAY:
+        elif ending == Ending.REJECTED:
             self.tokens(t.told(t.ERROR, BUSY, 1, 16, "the engine is full") + t.done(t.DONE_ERROR))
         else:
             self.close(reset=True)
--- a/wickvane/rehearsal/world.py
+++ b/wickvane/rehearsal/world.py
@@ -10,15 +10,16 @@
 from heapq import heappop, heappush
 from math import exp, log, sqrt
 
-from wickvane import interface as i
+from wickvane.events import Ending, EngineState
 from wickvane.rehearsal import model
 from wickvane.rehearsal.draws import Draws
 from wickvane.rehearsal.faults import Faults
 from wickvane.rehearsal.host import Host, Process, Query
 from wickvane.rehearsal.outcome import Outcome
 from wickvane.rehearsal.rules import Figures, Seen
-from wickvane.rehearsal.script import SECOND, deployment
+from wickvane.rehearsal.script import deployment
 from wickvane.scheduler import Scheduler
+from wickvane.units import TICKS_PER_SECOND
 
 SLACK = 0.06  # seconds: rounds, the way there, and a sweep's step
 
@@ -44,7 +45,7 @@
         self.chance = self.draws.chance
         self.figures = self.rules()
         # Value earned and asked for, by the second in which it was.
-        self.service = [[0.0, 0.0] for _ in range(script.length // SECOND + 1)]
+        self.service = [[0.0, 0.0] for _ in range(script.length // TICKS_PER_SECOND + 1)]
         self.counts = dict.fromkeys(("finished", "deferred", "killed", "late"), 0)
         self.latencies = [array("I") for _ in script.groups]  # of what is finished, from its first try on
         self.processes = [
@@ -63,10 +64,10 @@
         return Figures(
             {n: g.effect for n, g in enumerate(groups)},
             ordered=[n for n, g in enumerate(groups) if g.ordered],
-            window=script.window / SECOND,
-            grace=script.grace / SECOND,
-            rest=script.rest / SECOND,
-            budget=script.budget and (*script.budget[:2], script.budget[2] / SECOND),
+            window=script.window / TICKS_PER_SECOND,
+            grace=script.grace / TICKS_PER_SECOND,
+            rest=script.rest / TICKS_PER_SECOND,
+            budget=script.budget and (*script.budget[:2], script.budget[2] / TICKS_PER_SECOND),
             cores={n: kind.cores for n, kind in enumerate(self.kinds)},
             cold=(first.cold_from, first.cold_ms / 1000, first.fall_multiple, first.fall_ms / 1000),
             work={n: g.work / 1000 for n, g in enumerate(groups)},
@@ -77,30 +78,30 @@
         """What follows watched files, where the script has the list from them; else None."""
         if self.script.lists != "file":
             return None
-        from wickvane.members import checks, membership, roster
+        from wickvane.endpoints import checks, membership, roster
 
         self.document = self.document or roster.EMPTY
         facts = checks.Facts(
             {n: kind.cores for n, kind in enumerate(self.kinds)},
             None,
             (),
-            self.deployment.cold_from,
-            self.deployment.cold_time,
+            self.deployment.slow_start_fraction,
+            self.deployment.slow_start_duration,
         )
         return membership.Membership(facts, membership.Terms(checks.Limits(share_past="steps")))
 
     def write(self, changes):
         """The deploy tool writes its file: processes and their states."""
-        from wickvane.members import roster
+        from wickvane.endpoints import roster
 
         put = [
             roster.Member(
                 process.name, (process.name, 1), None, process.kind, 0, int(process.started or 0), 1.0, state
             )
             for process, state in changes
-            if state != i.GONE
+            if state != EngineState.GONE
         ]
-        drop = [process.name for process, state in changes if state == i.GONE]
+        drop = [process.name for process, state in changes if state == EngineState.GONE]
         self.document = roster.changed(self.document, self.document.generation + 1, put, drop)
 
     def name_engine(self):
@@ -119,13 +120,13 @@
 
     def play(self):
         if self.document is not None:
-            self.write([(process, i.READY) for process in self.processes])
+            self.write([(process, EngineState.READY) for process in self.processes])
         for host in self.hosts:
             if host.members is not None:
                 host.filed(self.document)
                 continue
             for process in self.processes:
-                host.list_engine(process, i.READY)
+                host.list_engine(process, EngineState.READY)
         for process in self.processes:
             self.cold.listed(0.0, process.name, "ready", process.kind)
         for clients in self.script.clients:
@@ -135,7 +136,7 @@
                 self.at(clients.since + n, self.one_more, clients)
         for n, trouble in enumerate(self.script.troubles):
             self.at(trouble.at, self.trouble, n, trouble)
-        end = self.script.length + max(g.timeout for g in self.script.groups) + SECOND
+        end = self.script.length + max(g.timeout for g in self.script.groups) + TICKS_PER_SECOND
         while self.heap and self.heap[0][0] <= end:
             self.now, _, what, words = heappop(self.heap)
             what(*words)
@@ -156,18 +157,18 @@
     def asks(self, clients):
         group, chance = self.script.groups[clients.group], self.chance(f"queries/{clients.name}")
         query = Query()
-        query.clients, query.rg, query.priority = clients, clients.group, 1
+        query.clients, query.resource_group, query.priority = clients, clients.group, 1
         query.work = lognormal(chance, group.work, group.spread)
         query.table = chance.randrange(clients.tables)
         query.key = chance.randrange(clients.keys) if group.ordered else None
         query.cost = max(1, int(query.work * 10 * self.estimates * chance.uniform(0.8, 1.25)))
         query.token = chance.getrandbits(64) if group.effect == "tokened" else None
         query.tries, query.first, query.again, query.origin = 0, self.now, False, self.next_id + 1
-        self.service[min(self.now // SECOND, len(self.service) - 1)][1] += group.value
+        self.service[min(self.now // TICKS_PER_SECOND, len(self.service) - 1)][1] += group.value
         self.sends(query)
 
     def sends(self, query):
-        group = self.script.groups[query.rg]
+        group = self.script.groups[query.resource_group]
         self.next_id += 1
         query.id, query.answer, query.submissions = self.next_id, None, []
         query.limit = self.now + group.timeout
@@ -190,20 +191,30 @@
         if query.answer is not None:
             return
         query.answer = answer
-        group, clients = self.script.groups[query.rg], query.clients
-        query.gateway.seen.answered(self.now / SECOND, query.id, answer)
+        group, clients = self.script.groups[query.resource_group], query.clients
+        query.gateway.seen.answered(self.now / TICKS_PER_SECOND, query.id, answer)
         self.log("answered", query=query.id, answer=answer, took=self.now - query.taken)
         self.counts[answer] += 1
         if answer == "finished":
             late = self.now > query.target
-            self.latencies[query.rg].append(self.now - query.first)
+            self.latencies[query.resource_group].append(self.now - query.first)
             self.counts["late"] += late
-            self.service[min(query.first // SECOND, len(self.service) - 1)][0] += group.value * (
+            self.service[min(query.first // TICKS_PER_SECOND, len(self.service) - 1)][0] += group.value * (
                 group.late if late else 1.0
             )
         elif query.tries < clients.retries and (answer == "deferred" or group.effect == "read-only"):
             again = Query()
-            for name in ("origin", "clients", "rg", "work", "table", "key", "token", "cost", "first"):
+            for name in (
+                "origin",
+                "clients",
+                "resource_group",
+                "work",
+                "table",
+                "key",
+                "token",
+                "cost",
+                "first",
+            ):
                 setattr(again, name, getattr(query, name))
             again.tries, again.priority, again.again = query.tries + 1, 1, True
             wait = self.draws.back_off(clients, query.tries)
@@ -221,18 +232,18 @@
         place = query.submissions[submission]
         if host.killed:
             return
-        place[1] = host.seen.submitted(self.now / SECOND, query.id, process.name)
+        place[1] = host.seen.submitted(self.now / TICKS_PER_SECOND, query.id, process.name)
         if place[2]:
-            host.seen.ended(self.now / SECOND, place[1], "cancelled")
+            host.seen.ended(self.now / TICKS_PER_SECOND, place[1], "cancelled")
             return
         if process.dead:
-            host.hears(query, submission, process, i.NO_CONNECTION, 0, query.rg)
+            host.hears(query, submission, process, Ending.NO_CONNECTION, 0, query.resource_group)
             return
-        group = self.script.groups[query.rg]
+        group = self.script.groups[query.resource_group]
         if process.started is not None:
             # Weighed as the collapse rule does, by the usual work of its group, over all gateways.
-            self.cold.queries.setdefault(query.id, {"group": query.rg})
-            self.cold.submitted(self.now / SECOND, query.id, process.name)
+            self.cold.queries.setdefault(query.id, {"group": query.resource_group})
+            self.cold.submitted(self.now / TICKS_PER_SECOND, query.id, process.name)
         mark = (query.id, submission)
         got = process.model.offer(
             self.now / 10,
@@ -252,15 +263,15 @@
             process.plan()
         elif got == "repeat":
             if not process.silent:
-                host.hears(query, submission, process, i.FINISHED, 10, query.rg)
+                host.hears(query, submission, process, Ending.FINISHED, 10, query.resource_group)
         elif got == "full":
             if not process.silent:
-                host.hears(query, submission, process, i.TURNED_AWAY, 0, query.rg)
+                host.hears(query, submission, process, Ending.REJECTED, 0, query.resource_group)
         else:
             self.log("fallen", engine=process.name)
             process.dead = True
-            process.lose(i.RESET)
-            host.hears(query, submission, process, i.RESET, 0, query.rg)
+            process.lose(Ending.RESET)
+            host.hears(query, submission, process, Ending.RESET, 0, query.resource_group)
 
     def gives_up(self, host, query, submission, process):
         mark = (query.id, submission)
--- a/wickvane/settings.py
+++ b/wickvane/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a deployment, read into the typed values of wickvane.interface and checked on the way.
+"""The settings of a deployment, read into the typed values of wickvane.events and checked on the way.
 
 What is missing or null has its default, and so has a zero where none can be meant. Anything else that cannot
 be used is named, with the value found and what was expected; keys that are not known here are skipped.
@@ -7,11 +7,11 @@
 import math
 from itertools import chain, repeat
 
-from wickvane import interface as i
+from wickvane.events import Deployment, Effect, KeyScope, ResourceGroup
 
 IDLE_PART, IDLE_MS = 0.8, 30_000  # of an engine's own idle time: a request must not cross the engine's close
-EFFECTS = {"safe": i.READ_ONLY, "keyed": i.TOKENED, "unsafe": i.MUTATING}
-REPEATS = {"all": i.ANY_ENGINE, "zone": i.SAME_ZONE, "cell": i.SAME_CELL}
+EFFECTS = {"safe": Effect.READ_ONLY, "keyed": Effect.IDEMPOTENCY_KEY, "unsafe": Effect.MUTATING}
+REPEATS = {"all": KeyScope.ANY_ENGINE, "zone": KeyScope.SAME_ZONE, "cell": KeyScope.SAME_CELL}
 MS_MOST, FIGURE_MOST, COUNT_MOST = 1e9, 1e9, 1e6
 SHOWN_MOST = 60  # characters of a value that is quoted
 
@@ -153,32 +153,32 @@
     return Section(values, "settings")
 
 
-def kept_open(limits):
+def idle_connection_timeout(limits):
     """How long a connection to an engine is kept that nothing is asked on."""
     return int(limits.ms("conn_idle_ms", IDLE_MS) * 10 * IDLE_PART)
 
 
-def resource_group(group, threads, loads, stands_behind_loads, zones, kinds):
+def resource_group(group, threads, loads, yields_to_bulk_loads, zones, kinds):
     """A class as the decision module knows it."""
 
     def placed(name, indices):
         return frozenset(map(indices, group.names(name))) if group.has(name) else None
 
-    return i.ResourceGroup(
+    return ResourceGroup(
         effect=group.choice("effect", EFFECTS),
-        drops_repeats=group.choice("group", REPEATS, "all"),
-        repeat_window=max(0, tenths(group.ms("repeat_window_ms")) - 1),
-        promise=tenths(group.ms("promise_ms")),
-        stretch=group.number("aim_stretch"),
+        key_scope=group.choice("group", REPEATS, "all"),
+        idempotency_window=max(0, tenths(group.ms("repeat_window_ms")) - 1),
+        latency_objective=tenths(group.ms("promise_ms")),
+        objective_stretch=group.number("aim_stretch"),
         timeout=tenths(group.ms("deadline_ms")),
-        value=group.figure("worth", 1.0),
-        late_value=group.number("late_worth"),
+        priority_weight=group.figure("worth", 1.0),
+        late_priority_weight=group.number("late_worth"),
         ordered=group.flag("sequential"),
         zones=placed("zones_only", zones),
         kinds=placed("host_types_open", kinds),
         threads=threads,
-        loads=bool(loads),
-        stands_behind_loads=bool(stands_behind_loads),
+        is_bulk_load=bool(loads),
+        yields_to_bulk_loads=bool(yields_to_bulk_loads),
     )
 
 
@@ -196,33 +196,33 @@
     family, limits, rules = (settings.section(name) for name in ("family_info", "limits", "obligations"))
     # A budget is kept where its window is named, whatever the figure.
     budgeted = rules.has("budget_window_ms")
-    return i.Deployment(
+    return Deployment(
         groups=resource_groups(settings, family, zones, kinds),
         tenants=[
             (tenant.number("share"), tenant.number("quota_per_s")) for tenant in settings.sections("accounts")
         ],
         cores=family.counts("size_cores"),
         memory=family.figures("size_mb"),
-        gateways=settings.count("fleet_size", 1),
+        dispatcher_count=settings.count("fleet_size", 1),
         zone=zones(settings.text("az")),
-        crossing=settings.section("tariffs").number("cross_zone"),
-        most_submissions=limits.count("max_attempts", 1),
-        may_cancel=limits.flag("cancel"),
-        grants=family.flag("memory_heeded"),
+        cross_zone_cost=settings.section("tariffs").number("cross_zone"),
+        max_attempts=limits.count("max_attempts", 1),
+        can_cancel=limits.flag("cancel"),
+        memory_grants=family.flag("memory_heeded"),
         priorities=family.flag("priorities"),
-        most_grant=family.number("most_grant", 1.0),
-        note_period=tenths(family.ms("note_period_ms")),
-        asks_for_list=settings.values.get("membership_mode") == "subscribe",
-        ask_within=tenths(rules.ms("ask_within_ms")),
-        key_rest=at_least(rules.ms("key_rest_ms")),
-        extra_free=rules.number("extra_free"),
-        extra_share=rules.number("further_ratio"),
-        extra_window=at_least(rules.ms("budget_window_ms")) if budgeted else 0,
-        cold_from=rules.number("cold_from", 1.0, 1.0),
-        cold_time=at_least(rules.ms("cold_ms")),
-        fall_multiple=rules.number("fall_multiple", 1.0),
-        fall_time=at_least(rules.ms("fall_ms")),
-        longest_advice=tenths(limits.ms("max_retry_after_ms")) if limits.flag("retry_after") else 0,
+        max_memory_grant=family.number("most_grant", 1.0),
+        progress_interval=tenths(family.ms("note_period_ms")),
+        subscribes_to_endpoints=settings.values.get("membership_mode") == "subscribe",
+        poll_deadline=tenths(rules.ms("ask_within_ms")),
+        key_quarantine=at_least(rules.ms("key_rest_ms")),
+        retry_budget_minimum=rules.number("extra_free"),
+        retry_budget_ratio=rules.number("further_ratio"),
+        retry_budget_window=at_least(rules.ms("budget_window_ms")) if budgeted else 0,
+        slow_start_fraction=rules.number("cold_from", 1.0, 1.0),
+        slow_start_duration=at_least(rules.ms("cold_ms")),
+        collapse_multiple=rules.number("fall_multiple", 1.0),
+        collapse_window=at_least(rules.ms("fall_ms")),
+        max_retry_after=tenths(limits.ms("max_retry_after_ms")) if limits.flag("retry_after") else 0,
         reports=settings.section("report").names("fields"),
-        kept_open=kept_open(limits),
+        idle_connection_timeout=idle_connection_timeout(limits),
     )
--- a/wickvane/storm.py
+++ b/wickvane/storm.py
@@ -19,8 +19,9 @@
 from hashlib import blake2b
 from math import sqrt
 
-SECOND = 10_000
-STEP, STEPS = SECOND // 2, 4  # a look, and how many of them are the window
+from wickvane.units import TICKS_PER_SECOND
+
+STEP, STEPS = TICKS_PER_SECOND // 2, 4  # a look, and how many of them are the window
 SOURCES = 64  # told apart in one step; what comes past them is one more
 MARKS, WRONG = 50_000, 0.01  # of a filter: marks, and the share taken for known by mistake
 USUAL = 0.02  # by which one calm look moves what is usual
@@ -107,8 +108,8 @@
     """extra_share: of further tries that the settings allow; remember: how long a repeat may stay away, the
     longest time-out and the longest advice."""
 
-    def __init__(self, now, extra_share, remember):
-        self.allowed, self.known = extra_share, Known(max(SECOND, remember))
+    def __init__(self, now, retry_budget_ratio, remember):
+        self.allowed, self.known = retry_budget_ratio, Known(max(TICKS_PER_SECOND, remember))
         self.steps, self.look_at = deque([Step()], maxlen=STEPS), now + STEP
         self.state, self.since, self.quiet, self.depth = CALM, now, 0, 0.0
         self.before = CALM  # what the last look saw: a storm is told of where two on end see it
@@ -180,7 +181,7 @@
             "done": sum(step.done for step in steps) / span,
             "deferred": sum(step.deferred for step in steps) / taken if taken else 0.0,
             "late": sum(step.late for step in steps) / finished if finished else 0.0,
-            "connections": sum(step.connected for step in steps) * SECOND / span,
+            "connections": sum(step.connected for step in steps) * TICKS_PER_SECOND / span,
             "one": top / repeats if repeats else 0.0,
             "slow": len(slow) / len(lately) if lately else 0.0,
         }
@@ -255,6 +256,6 @@
         """An event's fields."""
         return {
             "kind": self.state,
-            "for": (now - self.since) / SECOND,
+            "for": (now - self.since) / TICKS_PER_SECOND,
             **{name: round(value, 3) for name, value in figures.items()},
         }
--- a/wickvane/wirehost/host.py
+++ b/wickvane/wirehost/host.py
@@ -2,22 +2,31 @@
 
 import json
 
-from wickvane import interface as i
+from wickvane.events import (
+    AttemptEnded,
+    AttemptProgressed,
+    ClientGone,
+    Ending,
+    EndpointListLost,
+    EngineState,
+    QueryArrived,
+    TimerFired,
+)
 from wickvane.id_registry import IdRegistry
 from wickvane.scheduler import Scheduler
 from wickvane.settings import tenths
 
 ENDINGS = {
-    "served": i.FINISHED,
-    "server_error": i.ERROR,
-    "no_answer": i.NO_ANSWER,
-    "connection_lost": i.RESET,
-    "called_off": i.CANCELLED,
-    "turned_away": i.TURNED_AWAY,
-    "no_connection": i.NO_CONNECTION,
-    "not_sent": i.NOT_SENT,
+    "served": Ending.FINISHED,
+    "server_error": Ending.ERROR,
+    "no_answer": Ending.NO_ANSWER,
+    "connection_lost": Ending.RESET,
+    "called_off": Ending.CANCELLED,
+    "turned_away": Ending.REJECTED,
+    "no_connection": Ending.NO_CONNECTION,
+    "not_sent": Ending.NOT_SENT,
 }
-STATES = {"IN": i.READY, "LAME": i.DRAINING, "OUT": i.GONE}
+STATES = {"IN": EngineState.READY, "LAME": EngineState.DRAINING, "OUT": EngineState.GONE}
 
 
 class Instance:
@@ -26,7 +35,7 @@
     def __init__(self, seed, params):
         self.registry = IdRegistry(params)
         self.events, self.actions = [], []
-        self.gateway = Scheduler(seed, self.registry.deployment)
+        self.scheduler = Scheduler(seed, self.registry.deployment)
 
     # Events
 
@@ -38,7 +47,7 @@
     def job_in(self, item, lists):
         tenant = item.get("client_group")
         self.events.append(
-            i.Taken(
+            QueryArrived(
                 self.registry.take(item["id"]),
                 self.registry.groups.index[item["profile"]],
                 self.registry.tenants(tenant) if tenant else 0,
@@ -57,7 +66,7 @@
         self.registry.ended(q, node)
         stats = int(item.get("stats") or 0)
         self.events.append(
-            i.Ended(
+            AttemptEnded(
                 q,
                 item["attempt"],
                 self.registry.engines.of[node],
@@ -75,21 +84,21 @@
     def aborted(self, item, lists):
         q = self.registry.queries.of.get(item["id"])
         if q is not None:
-            self.events.append(i.Left(q))
+            self.events.append(ClientGone(q))
             self.registry.over.add(q)
 
     def due(self, item, lists):
-        self.events.append(i.Due(item["token"]))
+        self.events.append(TimerFired(item["token"]))
 
     def update_of(self, item, lists):
         q, e = self.registry.queries.of.get(item["id"]), self.registry.engines.of.get(item["node"])
         if q is not None and e is not None:
             amount = item.get("amount") or 0
-            self.events.append(i.Progressed(q, item["attempt"], e, item["what"], amount))
+            self.events.append(AttemptProgressed(q, item["attempt"], e, item["what"], amount))
 
     def registry(self, item, lists):
         if item["mode"] == "refused":
-            self.events.append(i.ListLost())
+            self.events.append(EndpointListLost())
             return
         entries = lists[item["table"]]
         if item["mode"] != "changes":
@@ -119,7 +128,7 @@
     def round(self, now):
         events, self.events, self.actions = self.events, [], []
         try:
-            self.gateway.round(now, events, self)
+            self.scheduler.round(now, events, self)
         except Exception as error:
             at = error.__traceback__
             while at.tb_next:
@@ -137,32 +146,32 @@
     def act(self, kind, **fields):
         self.actions.append({"type": kind, **fields})
 
-    def submit(self, q, engine, wait, start_by):  # on the wire a decision acts at once
+    def start_attempt(self, q, engine, max_wait, start_by):  # on the wire a decision acts at once
         node = self.registry.engines.names[engine]
         self.registry.submitted(q, node)
-        self.act("hand_off", id=self.name(q), node=node, max_wait_ms=wait / 10)
+        self.act("hand_off", id=self.name(q), node=node, max_wait_ms=max_wait / 10)
 
-    def defer(self, q, stay_away):
-        self.act("push_back", id=self.name(q), hold_off_ms=stay_away / 10)
+    def reject(self, q, retry_after):
+        self.act("push_back", id=self.name(q), hold_off_ms=retry_after / 10)
         self.registry.over.add(q)
 
-    def kill(self, q):
+    def fail(self, q):
         self.act("abort", id=self.name(q))
         self.registry.over.add(q)
 
-    def cancel(self, q, submission):
+    def cancel_attempt(self, q, submission):
         self.act("recall", id=self.name(q), attempt=submission)
 
-    def terms(self, q, priority, grant):
+    def set_terms(self, q, priority, grant):
         self.act("set_terms", id=self.name(q), priority=priority, memory_grant=grant)
 
-    def alarm(self, token, at):
+    def set_timer(self, token, at):
         self.act("set_alarm", token=token, at_ms=at / 10)
 
-    def watch_list(self, on):
+    def watch_endpoints(self, on):
         self.act("stream_changes", on=on)
 
-    def note(self, text):
+    def log_note(self, text):
         self.act("journal_line", note_text=text)
 
 
--- a/wickvane/control/fleet.py
+++ b/wickvane/xds/fleet.py
@@ -13,7 +13,7 @@
 
 from immutables import Map
 
-from wickvane import interface as i
+from wickvane.events import EngineState
 
 TAKE, HOLD, STEPS = "take", "hold", "steps"
 KEPT_GONE = 4096  # names that are gone and still remembered, so that none of them comes back
@@ -46,7 +46,7 @@
     old: bool = False
 
     def ready(self):
-        return [e for e in self.engines.values() if e.state == i.READY]
+        return [e for e in self.engines.values() if e.state == EngineState.READY]
 
 
 class Floor(NamedTuple):
@@ -78,16 +78,22 @@
             named.add(name)
             started = int(started * 10)
             known = table.get(name)
-            if state == i.GONE:
+            if state == EngineState.GONE:
                 if known is not None:
                     del table[name]
                     gone = gone.set(name, (index, known.started))
                 missing = without(missing, name)
                 continue
-            if state == i.READY and name not in back and not may_be_ready(name, started, known, gone):
+            if (
+                state == EngineState.READY
+                and name not in back
+                and not may_be_ready(name, started, known, gone)
+            ):
                 notes.append(("engine-not-taken-back", {"engine": name, "index": index}))
                 continue
-            told = 0 if state == i.READY else known.told if known is not None and known.told else now
+            told = (
+                0 if state == EngineState.READY else known.told if known is not None and known.told else now
+            )
             table[name] = Engine(name, address, state, zone, kind, cell, started, weight, index, told)
             missing = without(missing, name)
         after = table.finish()
@@ -102,16 +108,16 @@
 def may_be_ready(name, started, known, gone):
     """Whether a name may be ready: a new one, one that is, or a later process under a name that left."""
     if known is not None:
-        return known.state == i.READY or started > known.started
+        return known.state == EngineState.READY or started > known.started
     return name not in gone or started > gone[name][1]
 
 
 def left_out(engines, gone, missing, now, index, named, floor):
     """What a whole list does to those that it does not name."""
-    ready = [e for e in engines.values() if e.state == i.READY]
+    ready = [e for e in engines.values() if e.state == EngineState.READY]
     absent = sorted(name for name in engines if name not in named)
-    going = [name for name in absent if engines[name].state != i.READY]
-    lost = [name for name in absent if engines[name].state == i.READY]
+    going = [name for name in absent if engines[name].state != EngineState.READY]
+    lost = [name for name in absent if engines[name].state == EngineState.READY]
     notes = []
     # Nothing may ever go to a draining one again, so that it costs nothing to let it go.
     if lost and floor.what != TAKE and (len(lost) > floor.most(len(ready)) or not named):
--- a/wickvane/control/follower.py
+++ b/wickvane/xds/follower.py
@@ -11,9 +11,9 @@
 from math import sqrt
 from random import Random
 
-from wickvane import interface as i
-from wickvane.control import fleet as fl
-from wickvane.control.placement import CHOICES, EJECT_SHARE, Placement, cluster_name
+from wickvane.events import AttemptEnded, ClientGone, Effect, Ending, EngineUpdated, QueryArrived
+from wickvane.xds import fleet as fl
+from wickvane.xds.placement import CHOICES, EJECT_SHARE, Placement, cluster_name
 
 OVER, ROW = 1.4, 3
 
@@ -48,7 +48,7 @@
         self.site, self.chance, self.index = site, Random(seed), 0
         names = [f"g{n}" for n in range(len(site.groups))]
         kinds = range(len(site.cores))
-        self.placement = Placement(site, names, range(self.tables), site.gateways, kinds, [0])
+        self.placement = Placement(site, names, range(self.tables), site.dispatcher_count, kinds, [0])
         self.fleet, self.names, self.numbers = fl.Fleet(), {}, {}
         self.out, self.open, self.active = {}, {}, {}  # by engine; by query; by cluster
         self.failed, self.ejected = {}, {}
@@ -59,16 +59,16 @@
         if step is not None and now >= step:
             self.placement.step(now)
         for event in events:
-            if isinstance(event, i.Taken):
+            if isinstance(event, QueryArrived):
                 self.taken(now, out, *event)
-            elif isinstance(event, i.Ended):
+            elif isinstance(event, AttemptEnded):
                 self.ended(now, out, *event)
-            elif isinstance(event, i.Left) and event.query in self.open:
-                rg, cluster = self.open.pop(event.query)
+            elif isinstance(event, ClientGone) and event.query in self.open:
+                resource_group, cluster = self.open.pop(event.query)
                 self.active[cluster] -= 1
-                self.gradients[rg].out -= 1
-                out.cancel(event.query, 0)
-            elif isinstance(event, i.EngineListed):
+                self.gradients[resource_group].out -= 1
+                out.cancel_attempt(event.query, 0)
+            elif isinstance(event, EngineUpdated):
                 self.engine(now, *event)
 
     def engine(self, now, e, rank, state, zone, kind, cell, started, weight):
@@ -78,20 +78,20 @@
         self.fleet, _ = fl.changed(self.fleet, now, self.index, False, [row], fl.FLOOR)
         self.placement.list(now, self.fleet)
 
-    def taken(self, now, out, q, rg, tenant, cost, memory, coord, key, left, again=False):
-        klass = self.placement.class_of[f"g{rg}"]
-        cluster = cluster_name(klass, coord % self.tables)
-        gradient = self.gradients[rg]
+    def taken(self, now, out, q, resource_group, tenant, cost, memory, table_group, key, left, again=False):
+        klass = self.placement.class_of[f"g{resource_group}"]
+        cluster = cluster_name(klass, table_group % self.tables)
+        gradient = self.gradients[resource_group]
         if self.active.get(cluster, 0) >= self.placement.limits(klass).requests or gradient.full():
-            return out.defer(q, 0)
+            return out.reject(q, 0)
         name = self.chosen(now, cluster)
         if name is None:
-            return out.defer(q, 0)
+            return out.reject(q, 0)
         self.active[cluster] = self.active.get(cluster, 0) + 1
         self.out[name] = self.out.get(name, 0) + 1
         gradient.out += 1
-        self.open[q] = rg, cluster
-        out.submit(q, self.numbers[name], 0)
+        self.open[q] = resource_group, cluster
+        out.start_attempt(q, self.numbers[name], 0)
 
     def chosen(self, now, cluster):
         places = self.placement.cache.get(cluster, ())
@@ -112,8 +112,8 @@
     def ended(self, now, out, q, submission, e, ending, elapsed, complete, work, memory, report):
         name = self.names[e]
         self.out[name] -= 1
-        rg, cluster = self.open.pop(q, (None, None))
-        if ending == i.FINISHED:
+        resource_group, cluster = self.open.pop(q, (None, None))
+        if ending == Ending.FINISHED:
             self.failed[name] = 0
         else:
             self.failed[name] = self.failed.get(name, 0) + 1
@@ -121,14 +121,14 @@
                 limits = self.placement.limits(next(iter(self.placement.allowed)))
                 longer = limits.eject * (self.failed[name] - ROW + 1)
                 self.ejected[name] = now + min(limits.eject_most, longer)
-        if rg is None:
+        if resource_group is None:
             return
         self.active[cluster] -= 1
-        self.gradients[rg].ended(now, elapsed)
-        if complete or ending == i.FINISHED:
+        self.gradients[resource_group].ended(now, elapsed)
+        if complete or ending == Ending.FINISHED:
             return
-        proven, group = ending >= i.TURNED_AWAY, self.site.groups[rg]
-        if not proven and group.effect != i.READ_ONLY:
-            out.kill(q)
+        proven, group = ending >= Ending.REJECTED, self.site.groups[resource_group]
+        if not proven and group.effect != Effect.READ_ONLY:
+            out.fail(q)
         else:
-            out.defer(q, 0)
+            out.reject(q, 0)
--- a/wickvane/control/hub.py
+++ b/wickvane/xds/hub.py
@@ -7,9 +7,9 @@
 from fnmatch import fnmatchcase
 from typing import NamedTuple
 
-from wickvane.control import fleet as fl
-from wickvane.control.catalog import CDS, EDS, LDS, RDS, Catalog
-from wickvane.control.session import Session
+from wickvane.xds import fleet as fl
+from wickvane.xds.catalog import CDS, EDS, LDS, RDS, Catalog
+from wickvane.xds.session import Session
 
 RETIRE = 50_000  # what is no longer wanted is kept so long at most for those who do not acknowledge
 LATE_MOST = 100_000  # a proxy later than that holds back no engine's warm-up; its end of drains is its TTL's
@@ -40,7 +40,7 @@
 
 
 class Hub:
-    """make: what turns placement into bodies, by type (wickvane.control.resources); site: the settings'
+    """make: what turns placement into bodies, by type (wickvane.xds.resources); site: the settings'
     Deployment."""
 
     def __init__(self, placement, make, grace, nodes=NOBODY_ELSE, floor=fl.FLOOR, ttl=0, epoch="0"):
--- a/wickvane/control/part.py
+++ b/wickvane/xds/part.py
@@ -3,8 +3,8 @@
 from typing import NamedTuple
 
 from wickvane import parts
-from wickvane.control import fleet
-from wickvane.control.hub import Nodes
+from wickvane.xds import fleet
+from wickvane.xds.hub import Nodes
 
 
 class Secrets(NamedTuple):
--- a/wickvane/control/placement.py
+++ b/wickvane/xds/placement.py
@@ -17,7 +17,7 @@
 from bisect import bisect_left, insort
 from typing import NamedTuple
 
-from wickvane import interface as i
+from wickvane.events import EngineState
 from wickvane.scheduler import (
     BOUND_THREADS,
     EJECTION_FIRST,
@@ -95,7 +95,7 @@
             for klass in self.allowed
         }
         self.engines, self.orders = {}, {table: [] for table in self.tables}
-        self.grid = max(1, site.cold_time // WARM_STEPS // 2)
+        self.grid = max(1, site.slow_start_duration // WARM_STEPS // 2)
         self.lateness, self.at, self.cache, self.stepping = 0, 0, {}, {}
 
     def clusters(self):
@@ -120,7 +120,8 @@
         gone = {
             name
             for name in lost + other
-            if before[name].state == i.READY and (name not in after or after[name].state != i.READY)
+            if before[name].state == EngineState.READY
+            and (name not in after or after[name].state != EngineState.READY)
         }
         many, touched = len(lost) + len(new) + len(other) > MANY, set()
         if many:
@@ -170,7 +171,7 @@
             if engine is None:
                 continue
             for klass in found:
-                if engine.state == i.READY and self.permitted(klass, engine):
+                if engine.state == EngineState.READY and self.permitted(klass, engine):
                     found[klass] += 1
             if all(count >= FIRST_MOST + LATER for count in found.values()):
                 return n + 1
@@ -208,11 +209,13 @@
             return 1.0
         site, at = self.site, self.at // self.grid * self.grid - self.lateness
         age = at - engine.started
-        if age >= site.cold_time:
+        if age >= site.slow_start_duration:
             return 1.0
-        self.stepping[engine.name] = engine.started + site.cold_time + self.lateness + self.grid
-        step = max(0, int(age * WARM_STEPS / site.cold_time)) * site.cold_time // WARM_STEPS
-        return warm_part(step, site.cold_from, site.cold_time)
+        self.stepping[engine.name] = engine.started + site.slow_start_duration + self.lateness + self.grid
+        step = (
+            max(0, int(age * WARM_STEPS / site.slow_start_duration)) * site.slow_start_duration // WARM_STEPS
+        )
+        return warm_part(step, site.slow_start_fraction, site.slow_start_duration)
 
     def cores(self, engine):
         kind = self.kind_of.get(engine.kind, -1)
@@ -245,7 +248,7 @@
             engine = self.engines.get(name)
             # One that drains is left out: proxies end what they have out there, and send nothing new. Told as
             # draining it would depend on whether a client knows that state.
-            if engine is None or engine.state != i.READY or engine.address is None:
+            if engine is None or engine.state != EngineState.READY or engine.address is None:
                 continue
             if not self.permitted(klass, engine):
                 continue
@@ -261,7 +264,7 @@
 
     def pace(self, group):
         """The design's bound under pressure, for a proxy that knows no best latency; from settings."""
-        return Pace(PACE_MOST, PACE_EVERY, max(10, int(group.promise * PACE_PART)), PACE_BUFFER)
+        return Pace(PACE_MOST, PACE_EVERY, max(10, int(group.latency_objective * PACE_PART)), PACE_BUFFER)
 
     def limits(self, klass):
         """The bound on threads of a cluster's first engines, over all proxies, and what of the module's own
@@ -272,5 +275,5 @@
         threads = BOUND_THREADS * FIRST_ENGINES * max(cores, default=1) / self.proxies
         # At least one: the design's "an engine with none always takes one".
         requests = max(1, int(threads / self.threads[klass]))
-        share = site.extra_share if site.extra_window else RETRY_SHARE
+        share = site.retry_budget_ratio if site.retry_budget_window else RETRY_SHARE
         return Limits(requests, requests, share, EJECTION_FIRST, EJECTION_MOST)
--- a/wickvane/control/resources.py
+++ b/wickvane/xds/resources.py
@@ -1,4 +1,4 @@
-"""xDS v3 resources of what wickvane.control.placement has worked out: a codec, which decides nothing.
+"""xDS v3 resources of what wickvane.xds.placement has worked out: a codec, which decides nothing.
 
 From the published API (envoy.config.*.v3). Serialized deterministically, since versions follow from the
 octets.
@@ -20,8 +20,8 @@
 from envoy.type.matcher.v3 import string_pb2
 from google.protobuf import any_pb2
 
-from wickvane.control.catalog import CDS, LDS, RDS
-from wickvane.control.placement import CHOICES, EJECT_SHARE, NO_TABLE, cluster_name
+from wickvane.xds.catalog import CDS, LDS, RDS
+from wickvane.xds.placement import CHOICES, EJECT_SHARE, NO_TABLE, cluster_name
 
 TABLE_HEADER = "x-wickvane-table"  # the table group's number, which the proxy's client or filter sets
 
--- a/wickvane/control/server.py
+++ b/wickvane/xds/server.py
@@ -19,18 +19,18 @@
 from google.protobuf import any_pb2, duration_pb2
 from google.protobuf.message import DecodeError
 
-from wickvane.control import store
-from wickvane.control.catalog import EDS, NUMBER, TYPES, WORDS
-from wickvane.control.hub import Hub, Refused
-from wickvane.control.placement import Placement
-from wickvane.control.resources import Make
-from wickvane.control.session import DELTA, SOTW, Broken
 from wickvane.errors import ConfigError
 from wickvane.net.clock import Clock
 from wickvane.net.coordinator import Coordinator
 from wickvane.net.counters import Counters
 from wickvane.net.log import Log
 from wickvane.net.threads import Threads
+from wickvane.xds import store
+from wickvane.xds.catalog import EDS, NUMBER, TYPES, WORDS
+from wickvane.xds.hub import Hub, Refused
+from wickvane.xds.placement import Placement
+from wickvane.xds.resources import Make
+from wickvane.xds.session import DELTA, SOTW, Broken
 
 REQUEST_MOST = 4 << 20
 SUPPORTS_TTL = "xds.config.supports-resource-ttl"
@@ -404,8 +404,8 @@
 
     def membership(self, registry, part):
         """The list from watched files, where the parts document has it."""
-        from wickvane.members.checks import facts_of
-        from wickvane.members.source import Source
+        from wickvane.endpoints.checks import facts_of
+        from wickvane.endpoints.source import Source
 
         return Source(
             part,
--- a/wickvane/control/store.py
+++ b/wickvane/xds/store.py
@@ -1,7 +1,7 @@
 """The list on disk: one file, whole or not there.
 
     wickvane-list 1 CHECKSUM LENGTH\\n
-    as many octets of JSON, as wickvane.control.fleet.plain() has it
+    as many octets of JSON, as wickvane.xds.fleet.plain() has it
 
 The checksum is BLAKE2b of 16 octets over the JSON. It is written beside the old one, forced to disk and put
 in its place by one rename, so that a cut at any octet leaves the old one.
@@ -12,7 +12,7 @@
 
 import orjson
 
-from wickvane.control import fleet
+from wickvane.xds import fleet
 
 NAME, MAGIC, MOST = "list.wickvane", b"wickvane-list 1 ", 64 << 20
 
--- a/wickvane/control/tool.py
+++ b/wickvane/xds/tool.py
@@ -7,7 +7,7 @@
 from envoy.service.status.v3 import csds_pb2
 from google.protobuf.json_format import MessageToDict
 
-from wickvane.control.catalog import NUMBER, WORDS
+from wickvane.xds.catalog import NUMBER, WORDS
 
 WAIT_S = 5.0
 
