--- a/wickvane/events.py
+++ b/wickvane/events.py
@@ -233,7 +233,7 @@
         """
 
     def reject(self, query: int, retry_after: int) -> None:
-        """A final answer: rejected, a retry is harmless; retry_after: ticks that the client is told to wait."""
+        """A final answer: rejected, a retry is harmless; the client is told to wait for retry_after ticks."""
 
     def fail(self, query: int) -> None:
         """A final answer: failed."""
