--- a/tests/bench_free.py
+++ b/tests/bench_free.py
@@ -79,7 +79,7 @@
 
 
 class Gateways:
-    """One gateway and all that it wrote. in_fleet: it hears of other dispatcher_count."""
+    """One gateway and all that it wrote. in_fleet: it hears of other dispatchers."""
 
     def __init__(self, deployment, seed=1, in_fleet=False):
         self.scheduler, self.now, self.site = Scheduler(seed, deployment), 1_000_000, deployment
@@ -139,8 +139,8 @@
             self.alarms = [at for at in self.alarms if at > self.now]
             self.round(TimerFired(1))
 
-    def watch_endpoints(self, on):
-        self.log.append(on)
+    def watch_endpoints(self, enabled):
+        self.log.append(enabled)
 
     def log_note(self, text):
         self.log.append(text)
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -22,7 +22,7 @@
 from wickvane.net.queues import EngineQueue
 from wickvane.net.statement import Reader, is_empty, plain_group, split, table_group
 from wickvane.net.threads import Threads
-from wickvane.settings import settings_of
+from wickvane.settings import root_section
 
 READER = Reader(IdRegistry(SETTINGS))
 
@@ -244,7 +244,7 @@
     monkeypatch.setattr(Connection, "start", lambda self: None)
     clock, exchange = Clock(), Exchange(Clock(), Counts())
     threads = Threads(clock, Counts())
-    limits = settings_of(SETTINGS).section("limits")
+    limits = root_section(SETTINGS).section("limits")
     links = link.Links(exchange, limits, 8, clock, clock, Counts(), threads=threads)
     keeper = link.Link(EngineQueue("e", ("127.0.0.1", 0), 0), links)
     ticket = PendingQuery(clock.now(), **READER.read(statement().encode()))
--- a/wickvane/errors.py
+++ b/wickvane/errors.py
@@ -1,25 +1,26 @@
-"""The errors that several packages raise and catch, on one base class."""
+"""The base class of all errors, and the errors that several packages raise and catch."""
 
 
 class WickvaneError(Exception):
-    """Whatever this program refuses, with a sentence that says why."""
+    """The base of all errors that this program raises, each with a sentence that says what was wrong."""
 
 
 class ConfigError(WickvaneError):
-    """The program cannot start as it is configured; exit_code: its exit status."""
+    """The configuration cannot be used; exit_code: the exit status of the program."""
 
-    def __init__(self, text, exit_code):
+    def __init__(self, text: str, exit_code: int) -> None:
         super().__init__(text)
         self.exit_code = exit_code
 
 
 class ProtocolError(WickvaneError):
-    """Bytes that are not of the protocol, or past a bound; no codec raises anything else for any bytes."""
+    """Bytes that are not of the protocol, or exceed a limit; codecs raise nothing else for any bytes."""
 
 
 class RequestRejected(WickvaneError):
-    """A query that is not taken, with the SQLSTATE and the words that its client is told."""
+    """A query that is not admitted; sqlstate and text are the error that its client gets."""
 
-    def __init__(self, sqlstate, text):
+    def __init__(self, sqlstate: str, text: str) -> None:
         super().__init__(text)
-        self.sqlstate, self.text = sqlstate, text
+        self.sqlstate = sqlstate
+        self.text = text
--- a/wickvane/events.py
+++ b/wickvane/events.py
@@ -1,14 +1,17 @@
-"""What crosses the border of wickvane.scheduler: typed events, endings, and the writer it is handed.
+"""The border of the decision modules: typed events in, typed commands out.
 
-Any protocol can stand on the other side. It turns its own messages into events, calls
-``Scheduler.round(now, events, out)`` once for all that came in, and carries out what is written into ``out``.
-Times are whole tenths of a millisecond, queries and engines are small indices that the caller may use again
-once a query has ended with every attempt's ending told, or an engine is gone with none of its attempts open.
+A protocol adapter turns its own messages into events, calls ``Scheduler.round(now, events, writer)`` once for
+all that have arrived, and carries out the commands that the scheduler gives the writer. Times are ticks (see
+wickvane.units); work is the time of one thread, in ticks. Queries and engines go by small indices; the caller
+may reuse one after the query has its final answer and every attempt has ended, or after the engine has left
+the endpoint list and no attempt is in flight there.
 """
 
 from enum import IntEnum
 from typing import NamedTuple, Protocol
 
+from wickvane.units import TICKS_PER_SECOND
+
 FOREVER = 1 << 62  # a time that never comes
 
 
@@ -26,7 +29,7 @@
 
 
 class EngineState(IntEnum):
-    """What the engine list says of an engine."""
+    """The state of an engine in the endpoint list."""
 
     READY = 0
     DRAINING = 1
@@ -36,13 +39,13 @@
 class Effect(IntEnum):
     """What running a query of a resource group twice would do."""
 
-    READ_ONLY = 0  # nothing: it is safe to repeat
-    IDEMPOTENCY_KEY = 1  # nothing where its idempotency key is known
-    MUTATING = 2  # its effect, twice
+    READ_ONLY = 0  # nothing: idempotent
+    IDEMPOTENCY_KEY = 1  # nothing at engines that know its idempotency key
+    MUTATING = 2  # its effect twice: not idempotent
 
 
 class KeyScope(IntEnum):
-    """Which engines know an idempotency key that another has seen."""
+    """Which engines know an idempotency key that one of them has seen."""
 
     ANY_ENGINE = 0
     SAME_ZONE = 1
@@ -50,14 +53,14 @@
 
 
 class Budget(IntEnum):
-    """What may be leased between dispatcher_count."""
+    """Limits of the whole fleet, quotas of which dispatchers lease to each other."""
 
     CONCURRENCY = 0  # threads in flight on engines
-    SLOW_START = 1  # work that engines get while they warm up
+    SLOW_START = 1  # work sent to engines that warm up
 
 
 class Progress(IntEnum):
-    """What a running attempt tells of itself."""
+    """What an engine reports of a running attempt."""
 
     FRACTION_DONE = 1
     SPILLS = 2
@@ -65,21 +68,21 @@
 
 
 class QueryArrived(NamedTuple):
-    """A query that a client is promised an answer to."""
+    """A query was admitted: its client gets exactly one final answer."""
 
     query: int
     group: int
     tenant: int
-    cost: int  # estimated work of all threads; 0: none told
-    memory: float  # in MB; 0: none told
+    cost: int  # estimated work of all threads; 0: unknown
+    memory: float  # in MB; 0: unknown
     table_group: int
     key: int | None
-    time_left: int  # until the client gives up
-    is_retry: bool = False  # of what was lately deferred here, as far as anybody looks
+    time_left: int  # until the client times out
+    is_retry: bool = False  # of a query that was rejected here lately, where this is tracked
 
 
 class AttemptEnded(NamedTuple):
-    """The one ending of an attempt."""
+    """An attempt has ended; there is one such event for each attempt."""
 
     query: int
     attempt: int
@@ -87,25 +90,25 @@
     ending: Ending
     elapsed: int
     complete: bool  # the client has its whole answer
-    work: int  # 0: not told
-    memory: float  # 0: not told
-    report: dict[str, float] | None  # the engine's load
+    work: int  # 0: not reported
+    memory: float  # in MB; 0: not reported
+    report: dict[str, float] | None  # the engine's load report
 
 
 class ClientGone(NamedTuple):
-    """The client has gone; nothing is owed."""
+    """The client has disconnected or cancelled; no answer is needed."""
 
     query: int
 
 
 class TimerFired(NamedTuple):
-    """An alarm that was set by the writer."""
+    """A timer that was set by Writer.set_timer has expired."""
 
     token: int
 
 
 class AttemptProgressed(NamedTuple):
-    """A note of a running attempt."""
+    """A progress report of a running attempt."""
 
     query: int
     attempt: int
@@ -115,30 +118,30 @@
 
 
 class EngineUpdated(NamedTuple):
-    """An engine is new, or its entry in the list has changed."""
+    """An engine is new in the endpoint list, or its entry has changed."""
 
     engine: int
-    rank: bytes  # the wire id, the same at every dispatcher, for the shared hash order
+    rank: bytes  # its id on the wire, the same at every dispatcher: the input of the shared hash order
     state: EngineState
     zone: int
     kind: int
     cell: int
-    started: int  # 0: it was there from the beginning
+    started: int  # when its process started; 0: before the dispatcher
     weight: float
 
 
 class EndpointListLost(NamedTuple):
-    """The list of engines could not be had."""
+    """The endpoint list could not be read."""
 
 
 class ShutdownStarted(NamedTuple):
-    """This process may be ended in `time_left`, with all that it has not answered."""
+    """The process may be killed in `time_left`, and with it every query without an answer."""
 
     time_left: int
 
 
 class InFlightElsewhere(NamedTuple):
-    """Threads that all other dispatcher_count hold on an engine, as was last heard, `age` ago in the mean."""
+    """Threads in flight on an engine from all other dispatchers, as last heard, `age` ago in the mean."""
 
     engine: int
     threads: int
@@ -146,7 +149,7 @@
 
 
 class LeaseChanged(NamedTuple):
-    """Of a budget, `part` times what is configured may be used until `until`, `then` times from there on."""
+    """A new lease: `part` of the configured budget may be used until `until`, `then` of it afterwards."""
 
     budget: Budget
     part: float
@@ -155,25 +158,25 @@
 
 
 class TenantsCharged(NamedTuple):
-    """By tenant, the work that other dispatcher_count gave it since the last such event."""
+    """Work that other dispatchers gave each tenant since the last such event."""
 
     works: list[int]
 
 
 class EngineJudged(NamedTuple):
-    """What several other dispatcher_count found of an engine, `age` ago."""
+    """What several other dispatchers agree on about an engine, `age` ago."""
 
     engine: int
-    bad: bool  # it fails their attempts
-    slow: float  # by how much more than the usual engine; 0: not told
+    bad: bool  # attempts fail there
+    slow: float  # its latency over the usual engine's; 0: unknown
     age: int
 
 
 class ResourceGroup(NamedTuple):
-    """What the settings say of one class of queries; times are tenths of a millisecond."""
+    """The settings of one class of queries; times are ticks."""
 
     effect: int
-    key_scope: int  # the engines that know a tokened query again
+    key_scope: int  # the engines that share idempotency keys
     idempotency_window: int
     latency_objective: int
     objective_stretch: float
@@ -189,15 +192,15 @@
 
 
 class Deployment(NamedTuple):
-    """What the settings say of the whole, for one dispatcher."""
+    """The settings of the whole deployment, for one dispatcher; times are ticks."""
 
     groups: list[ResourceGroup]
-    tenants: list[tuple[float, float]]  # share, queries a second within it over all gateways
+    tenants: list[tuple[float, float]]  # share, queries a second within it over all dispatchers
     cores: list[int]  # by kind
     memory: list[float]
     dispatcher_count: int
     zone: int
-    cross_zone_cost: float  # the price of a submission to another location
+    cross_zone_cost: float  # the price of an attempt in another zone
     max_attempts: int
     can_cancel: bool
     memory_grants: bool
@@ -214,22 +217,20 @@
     slow_start_duration: int
     collapse_multiple: float
     collapse_window: int
-    max_retry_after: int  # how long a client may be asked to stay away; 0: it is not told, and stay_away is 0
+    max_retry_after: int  # 0: clients get no Retry-After
     reports: list[str]
-    idle_connection_timeout: int = (
-        240_000  # how long a connection to an engine is kept that nothing is asked on
-    )
-    uses_engine_weights: bool = False  # an engine's weight tells the part of it that may be used, 1 being all
+    idle_connection_timeout: int = 24 * TICKS_PER_SECOND  # of connections to engines
+    uses_engine_weights: bool = False  # an engine's weight is the part of its capacity that may be used
 
 
 class Writer(Protocol):
     """Takes the scheduler's decisions; queries and engines by their indices."""
 
     def start_attempt(self, query: int, engine: int, max_wait: int, start_by: int) -> None:
-        """An attempt on an engine.
+        """Sends an attempt to an engine.
 
-        max_wait: ticks until it is given up, 0 for until the client gives up. It must not begin at the
-        time start_by or later, whatever holds it up.
+        max_wait: ticks after which it is abandoned, 0 for the client's own timeout. It must not begin at
+        the time start_by or later, whatever delays it.
         """
 
     def reject(self, query: int, retry_after: int) -> None:
@@ -245,10 +246,10 @@
         """A query's priority and its memory grant in MB (0: none), also for an attempt in flight."""
 
     def set_timer(self, token: int, at: int) -> None:
-        """A round is wanted at a time; TimerFired brings the token back."""
+        """Asks for a round at a time; TimerFired carries the token."""
 
-    def watch_endpoints(self, on: bool) -> None:
-        """Whether changes of the endpoint list are wanted, where they have to be subscribed to."""
+    def watch_endpoints(self, enabled: bool) -> None:
+        """Subscribes to changes of the endpoint list, or ends the subscription."""
 
     def log_note(self, text: str) -> None:
         """A line for the log."""
--- a/wickvane/files.py
+++ b/wickvane/files.py
@@ -1,14 +1,20 @@
-"""Reading small files that operators write: whole, and never more than a bound."""
+"""Reads small files that operators write, up to a maximum size."""
+
+import os
 
 from wickvane.errors import WickvaneError
 
 
 class FileError(WickvaneError):
-    """A file that cannot be used, with its path and why."""
+    """A file that cannot be used; the message names its path and the reason."""
+
 
+def read_bounded(path: str | os.PathLike, most: int) -> bytes:
+    """A file's bytes.
 
-def read_bounded(path, most):
-    """A file's bytes; FileError where it cannot be read or has more than `most`."""
+    Raises:
+        FileError: it cannot be read, or has more than `most` bytes.
+    """
     try:
         with open(path, "rb") as file:
             data = file.read(most + 1)
--- a/wickvane/net/decider.py
+++ b/wickvane/net/decider.py
@@ -84,7 +84,7 @@
             return
         self.decide(iter(events))
         over = [self.registry.queries.names[q] for q in self.registry.over if not self.registry.open[q]]
-        for name in self.registry.settle():
+        for name in self.registry.release():
             self.close(name)
         for pending in over:
             self.exchange.forget(pending)
@@ -134,7 +134,7 @@
 
     def taken(self, pending, again=False):
         """A query of a client."""
-        pending.q = self.registry.take(pending)
+        pending.q = self.registry.add_query(pending)
         pending.stages["taken"] = self.now
         self.events.append(
             QueryArrived(
@@ -153,7 +153,7 @@
     def ended(self, attempt, ending, elapsed, complete):
         """The ending of an attempt."""
         pending = attempt.pending
-        self.registry.ended(pending.q, attempt.queue.name)
+        self.registry.attempt_ended(pending.q, attempt.queue.name)
         self.events.append(
             AttemptEnded(
                 pending.q,
@@ -181,12 +181,12 @@
     def listed(self, whole, entries):
         """A change of the engine list, or all of it."""
         if whole:
-            gone = list(self.registry.unlisted({entry[0] for entry in entries}))
+            gone = list(self.registry.remove_missing({entry[0] for entry in entries}))
             self.events.extend(gone)
             for event in gone:
                 self.change_queue(event.rank.decode(), EngineState.GONE, None, 0)
         for name, address, state, zone, kind, cell, started, weight in entries:
-            event = self.registry.list_engine(name, state, zone, kind, cell, started, weight)
+            event = self.registry.update_engine(name, state, zone, kind, cell, started, weight)
             if event:
                 self.events.append(event)
                 self.change_queue(name, state, address, event.started, self.speaks.get(kind))
@@ -232,7 +232,7 @@
         queue = self.queues.get(name)
         pending.attempt = Attempt(pending, pending.count, engine, queue, self.now, until, start_by)
         pending.count += 1
-        self.registry.submitted(q, name)
+        self.registry.attempt_started(q, name)
         pending.stages.setdefault("submitted", self.now)
         self.counters.add("submissions")
         if queue is None or not queue.put(("ask", pending.attempt)):
@@ -268,7 +268,7 @@
         """Writer: a round is wanted at a time."""
         heappush(self.alarms, (at, token))
 
-    def watch_endpoints(self, on):
+    def watch_endpoints(self, enabled):
         """Writer: the stream is always followed."""
         pass  # the stream is always followed
 
--- a/wickvane/net/lines/links.py
+++ b/wickvane/net/lines/links.py
@@ -149,7 +149,7 @@
         self.exchange, self.clock, self.log, self.counters = exchange, clock, log, counters
         self.accounts, self.attention_time, self.threads = accounts, 50_000, threads
         self.streams = limits.count("streams_per_conn", STREAMS)
-        self.connect_s = max(0.01, limits.ms("dial_timeout_ms", 250) / 1000)
+        self.connect_s = max(0.01, limits.milliseconds("dial_timeout_ms", 250) / 1000)
         self.idle_time = idle_connection_timeout(limits)
         self.lock, self.all, self.most, self.stopping, self.ended = Lock(), {}, most, False, Event()
         self.stale = FOREVER  # after which what was decided does not leave any more: a part sets it
--- a/wickvane/net/service.py
+++ b/wickvane/net/service.py
@@ -27,7 +27,7 @@
 from wickvane.net.postgres.session import Session
 from wickvane.net.statement import Reader
 from wickvane.net.threads import Stopped, Threads
-from wickvane.settings import Section, SettingsError, settings_of
+from wickvane.settings import Section, SettingsError, root_section
 
 STACK = 128 * 1024
 # Each of many threads that wait for the interpreter wakes as often as this to ask for it: with a hundred of
@@ -82,7 +82,7 @@
             registry.deployment = registry.deployment._replace(uses_engine_weights=True)
         return Config(
             registry,
-            settings_of(settings).section("limits"),
+            root_section(settings).section("limits"),
             address_of(found["listen"]),
             limits.count("sockets", SOCKETS),
             coordinator,
--- a/wickvane/net/statement.py
+++ b/wickvane/net/statement.py
@@ -4,7 +4,7 @@
 
 from wickvane.errors import RequestRejected
 from wickvane.events import Effect
-from wickvane.settings import tenths
+from wickvane.settings import ticks
 
 FIELD_MOST, LIMIT_MOST = 256, 86_400_000
 
@@ -213,7 +213,7 @@
         txn = found.get("txn", "")
         if not TXN.match(txn):
             raise RequestRejected("22023", "txn is not 16 hex digits")
-        limit = tenths(number(found, "limit", LIMIT_MOST))
+        limit = ticks(number(found, "limit", LIMIT_MOST))
         if not limit:
             raise RequestRejected("22023", "limit is missing or no time")
         tenant = self.tenants.get(found["team"]) if "team" in found else 0
@@ -238,7 +238,7 @@
             "tenant": tenant,
             "token": token.encode() if token else None,
             "key": int.from_bytes(key.encode(), "big") if key and self.of[resource_group].ordered else None,
-            "cost": tenths(number(found, "cpu", 1e9)),
+            "cost": ticks(number(found, "cpu", 1e9)),
             "memory": number(found, "memory", 1e9),
             "table_group": table_group(body),
             "body": body,
--- a/wickvane/rehearsal/host.py
+++ b/wickvane/rehearsal/host.py
@@ -271,7 +271,7 @@
     def set_timer(self, token, at):
         self.world.at(at, self.tell, TimerFired(token))
 
-    def watch_endpoints(self, on):
+    def watch_endpoints(self, enabled):
         pass
 
     def log_note(self, text):
--- a/wickvane/settings.py
+++ b/wickvane/settings.py
@@ -1,208 +1,242 @@
-"""The settings of a deployment, read into the typed values of wickvane.events and checked on the way.
+"""Reads the settings of a deployment into the typed values of wickvane.events.
 
-What is missing or null has its default, and so has a zero where none can be meant. Anything else that cannot
-be used is named, with the value found and what was expected; keys that are not known here are skipped.
+The names of the settings' keys end here: this module maps them to the standard names. A missing or null
+setting has its default, and so has a zero where a zero makes no sense. Any other unusable value raises
+SettingsError with the setting's path, the value and what was expected; unknown keys are skipped.
 """
 
 import math
+from collections.abc import Callable, Iterator
 from itertools import chain, repeat
+from typing import Any
 
+from wickvane.errors import WickvaneError
 from wickvane.events import Deployment, Effect, KeyScope, ResourceGroup
+from wickvane.units import TICKS_PER_MILLISECOND
 
-IDLE_PART, IDLE_MS = 0.8, 30_000  # of an engine's own idle time: a request must not cross the engine's close
+# Connections are closed ahead of the engine's own idle timeout: no request may cross the engine's close.
+IDLE_TIMEOUT_FRACTION = 0.8
+DEFAULT_IDLE_TIMEOUT_MS = 30_000
 EFFECTS = {"safe": Effect.READ_ONLY, "keyed": Effect.IDEMPOTENCY_KEY, "unsafe": Effect.MUTATING}
-REPEATS = {"all": KeyScope.ANY_ENGINE, "zone": KeyScope.SAME_ZONE, "cell": KeyScope.SAME_CELL}
-MS_MOST, FIGURE_MOST, COUNT_MOST = 1e9, 1e9, 1e6
-SHOWN_MOST = 60  # characters of a value that is quoted
+KEY_SCOPES = {"all": KeyScope.ANY_ENGINE, "zone": KeyScope.SAME_ZONE, "cell": KeyScope.SAME_CELL}
+MAX_MILLISECONDS = 1e9
+MAX_FIGURE = 1e9
+MAX_COUNT = 1e6
+MAX_QUOTED_CHARACTERS = 60
+ROUNDING_ERROR = 1e-6  # of a time in ticks, from decimal milliseconds
 
 
-class SettingsError(ValueError):
-    """A setting that cannot be used: where it stands, what was found, what was expected."""
+class SettingsError(WickvaneError, ValueError):
+    """A setting that cannot be used: its path, the value found, and what was expected."""
 
-    def __init__(self, path, value, expected):
-        shown = repr(value)
-        if len(shown) > SHOWN_MOST:
-            shown = shown[:SHOWN_MOST] + "…"
-        super().__init__(f"{path} is {shown}, where {expected} is expected")
-        self.path, self.expected = path, expected
+    def __init__(self, path: str, value: Any, expected: str) -> None:
+        quoted = repr(value)
+        if len(quoted) > MAX_QUOTED_CHARACTERS:
+            quoted = quoted[:MAX_QUOTED_CHARACTERS] + "…"
+        super().__init__(f"{path} is {quoted}, where {expected} is expected")
+        self.path = path
+        self.expected = expected
 
 
-def tenths(ms):
-    """Milliseconds as whole tenths of them."""
-    return int(ms * 10 + 1e-6) if ms else 0
+def ticks(milliseconds: float | None) -> int:
+    """Milliseconds as whole ticks, rounded down; 0 for none."""
+    return int(milliseconds * TICKS_PER_MILLISECOND + ROUNDING_ERROR) if milliseconds else 0
 
 
-def at_least(ms):
-    """Milliseconds as tenths, rounded up: one more, since the clock is cut at both ends of a wait."""
-    return math.ceil(ms * 10 - 1e-6) + 1 if ms else 0
+def ticks_at_least(milliseconds: float | None) -> int:
+    """Milliseconds as whole ticks, rounded up, for a wait that must not end early; 0 for none.
+
+    One tick more, since both ends of a wait are rounded down by the clock.
+    """
+    return math.ceil(milliseconds * TICKS_PER_MILLISECOND - ROUNDING_ERROR) + 1 if milliseconds else 0
 
 
 class Section:
-    """One object of the settings, whose values are asked for by name."""
+    """One object of the settings; its methods read one value by name, and raise SettingsError."""
 
-    def __init__(self, values, path):
+    def __init__(self, values: Any, path: str) -> None:
         if not isinstance(values, dict):
             raise SettingsError(path, values, "an object")
-        self.values, self.path = values, path
+        self.values = values
+        self.path = path
 
-    def at(self, name):
+    def path_of(self, name: str) -> str:
         """The full path of a setting, for messages."""
         return f"{self.path}.{name}" if self.path else name
 
-    def has(self, name):
-        """Whether a setting is there and not null."""
+    def has(self, name: str) -> bool:
+        """Whether a setting is present and not null."""
         return self.values.get(name) is not None
 
-    def needed(self, name):
-        """A setting that has to be there."""
+    def required(self, name: str) -> Any:
+        """A setting that has to be present, of any type."""
         if not self.has(name):
-            raise SettingsError(self.at(name), self.values.get(name), "a value")
+            raise SettingsError(self.path_of(name), self.values.get(name), "a value")
         return self.values[name]
 
-    def figure(self, name, default, most=FIGURE_MOST):
-        """A number from 0 to `most`; the default for none."""
-        return checked_number(self.values[name], self.at(name), most) if self.has(name) else default
+    def number_or_zero(self, name: str, default: float, maximum: float = MAX_FIGURE) -> float:
+        """A number from 0 to `maximum`; the default where it is absent."""
+        if not self.has(name):
+            return default
+        return checked_number(self.values[name], self.path_of(name), maximum)
 
-    def number(self, name, default=0.0, most=FIGURE_MOST):
-        """The same where a zero cannot be meant, and has the default too."""
-        return self.figure(name, default, most) or default
+    def number(self, name: str, default: float = 0.0, maximum: float = MAX_FIGURE) -> float:
+        """A number up to `maximum`; the default where it is 0 or absent."""
+        return self.number_or_zero(name, default, maximum) or default
 
-    def ms(self, name, default=0.0):
-        """A time in milliseconds."""
-        return self.number(name, default, MS_MOST)
+    def milliseconds(self, name: str, default: float = 0.0) -> float:
+        """A time in milliseconds; the default where it is 0 or absent."""
+        return self.number(name, default, MAX_MILLISECONDS)
 
-    def count(self, name, default):
+    def count(self, name: str, default: int) -> int:
         """A whole number; the default where it is 0 or absent."""
-        return int(self.number(name, default, COUNT_MOST)) or default
+        return int(self.number(name, default, MAX_COUNT)) or default
 
-    def flag(self, name):
+    def flag(self, name: str) -> bool:
         """Whether a setting is set."""
         return bool(self.values.get(name))
 
-    def text(self, name):
-        """A setting that is a name."""
-        value = self.needed(name)
+    def text(self, name: str) -> str:
+        """A required setting that is a name."""
+        value = self.required(name)
         if not isinstance(value, str) or not value:
-            raise SettingsError(self.at(name), value, "a name")
+            raise SettingsError(self.path_of(name), value, "a name")
         return value
 
-    def choice(self, name, choices, default=None):
-        """What a word stands for."""
+    def choice(self, name: str, choices: dict[str, Any], default: str | None = None) -> Any:
+        """The value that one of several words stands for."""
         value = self.values.get(name) or default
         if not isinstance(value, str) or value not in choices:
-            raise SettingsError(self.at(name), value, "one of " + ", ".join(choices))
+            raise SettingsError(self.path_of(name), value, "one of " + ", ".join(choices))
         return choices[value]
 
-    def items(self, name):
-        """A list; empty for none."""
+    def items(self, name: str) -> list:
+        """A list; empty where it is absent."""
         values = self.values.get(name)
         if values is None:
             return []
         if not isinstance(values, list):
-            raise SettingsError(self.at(name), values, "a list")
+            raise SettingsError(self.path_of(name), values, "a list")
         return values
 
-    def names(self, name):
-        """A list of words."""
-        values = self.items(name)
-        for n, value in enumerate(values):
+    def indexed_items(self, name: str) -> Iterator[tuple[str, Any]]:
+        """The items of a list, each with its path."""
+        for index, value in enumerate(self.items(name)):
+            yield f"{self.path_of(name)}[{index}]", value
+
+    def names(self, name: str) -> list[str]:
+        """A list of names."""
+        for path, value in self.indexed_items(name):
             if not isinstance(value, str):
-                raise SettingsError(f"{self.at(name)}[{n}]", value, "a name")
-        return values
+                raise SettingsError(path, value, "a name")
+        return self.items(name)
 
-    def counts(self, name):
+    def counts(self, name: str) -> list[int]:
         """A list of whole numbers, where a zero or null stands for 1."""
         return [
-            int(checked_number(value or 1, f"{self.at(name)}[{n}]", COUNT_MOST)) or 1
-            for n, value in enumerate(self.items(name))
+            int(checked_number(value or 1, path, MAX_COUNT)) or 1 for path, value in self.indexed_items(name)
         ]
 
-    def figures(self, name):
-        """A list of numbers."""
-        return [
-            checked_number(value or 0.0, f"{self.at(name)}[{n}]", FIGURE_MOST)
-            for n, value in enumerate(self.items(name))
-        ]
+    def numbers(self, name: str) -> list[float]:
+        """A list of numbers, where null stands for 0."""
+        return [checked_number(value or 0.0, path, MAX_FIGURE) for path, value in self.indexed_items(name)]
+
+    def section(self, name: str) -> "Section":
+        """An object within this one; empty where it is absent."""
+        return Section(self.values.get(name) or {}, self.path_of(name))
 
-    def section(self, name):
-        """An object in it; empty for none."""
-        return Section(self.values.get(name) or {}, self.at(name))
+    def sections(self, name: str) -> list["Section"]:
+        """A list of objects within this one, whose names differ."""
+        sections = [Section(value, path) for path, value in self.indexed_items(name)]
+        known: set[str] = set()
+        for section in sections:
+            section_name = section.text("name")
+            if section_name in known:
+                raise SettingsError(section.path_of("name"), section_name, "a name that stands once")
+            known.add(section_name)
+        return sections
 
-    def sections(self, name):
-        """A list of objects in it, each with a name of its own."""
-        found = [Section(value, f"{self.at(name)}[{n}]") for n, value in enumerate(self.items(name))]
-        known = set()
-        for section in found:
-            called = section.text("name")
-            if called in known:
-                raise SettingsError(section.at("name"), called, "a name that stands once")
-            known.add(called)
-        return found
 
+def checked_number(value: Any, path: str, maximum: float) -> float:
+    """The value, if it is a finite number from 0 to `maximum`.
 
-def checked_number(value, path, most):
-    """The value, if it is a finite number from 0 to `most`; else SettingsError."""
+    Raises:
+        SettingsError: it is anything else.
+    """
     usable = isinstance(value, (int, float)) and not isinstance(value, bool)
-    if not usable or not math.isfinite(value) or not 0 <= value <= most:
-        raise SettingsError(path, value, f"a number from 0 to {most:g}")
+    if not usable or not math.isfinite(value) or not 0 <= value <= maximum:
+        raise SettingsError(path, value, f"a number from 0 to {maximum:g}")
     return value
 
 
-def settings_of(values):
-    """The settings as a whole."""
+def root_section(values: Any) -> Section:
+    """All settings."""
     return Section(values, "settings")
 
 
-def idle_connection_timeout(limits):
-    """How long a connection to an engine is kept that nothing is asked on."""
-    return int(limits.ms("conn_idle_ms", IDLE_MS) * 10 * IDLE_PART)
+def idle_connection_timeout(limits: Section) -> int:
+    """Ticks after which an idle connection to an engine is closed; limits: the settings' limits."""
+    engine_timeout_ms = limits.milliseconds("conn_idle_ms", DEFAULT_IDLE_TIMEOUT_MS)
+    return int(engine_timeout_ms * TICKS_PER_MILLISECOND * IDLE_TIMEOUT_FRACTION)
 
 
-def resource_group(group, threads, loads, yields_to_bulk_loads, zones, kinds):
-    """A class as the decision module knows it."""
+def resource_group(
+    group: Section,
+    threads: int,
+    is_bulk_load: Any,
+    yields_to_bulk_loads: Any,
+    zones: Callable[[str], int],
+    kinds: Callable[[str], int],
+) -> ResourceGroup:
+    """One class of queries. zones, kinds: their names to small indices."""
 
-    def placed(name, indices):
-        return frozenset(map(indices, group.names(name))) if group.has(name) else None
+    def allowed_indices(name: str, index_of: Callable[[str], int]) -> frozenset[int] | None:
+        return frozenset(map(index_of, group.names(name))) if group.has(name) else None
 
     return ResourceGroup(
         effect=group.choice("effect", EFFECTS),
-        key_scope=group.choice("group", REPEATS, "all"),
-        idempotency_window=max(0, tenths(group.ms("repeat_window_ms")) - 1),
-        latency_objective=tenths(group.ms("promise_ms")),
+        key_scope=group.choice("group", KEY_SCOPES, "all"),
+        idempotency_window=max(0, ticks(group.milliseconds("repeat_window_ms")) - 1),
+        latency_objective=ticks(group.milliseconds("promise_ms")),
         objective_stretch=group.number("aim_stretch"),
-        timeout=tenths(group.ms("deadline_ms")),
-        priority_weight=group.figure("worth", 1.0),
+        timeout=ticks(group.milliseconds("deadline_ms")),
+        priority_weight=group.number_or_zero("worth", 1.0),
         late_priority_weight=group.number("late_worth"),
         ordered=group.flag("sequential"),
-        zones=placed("zones_only", zones),
-        kinds=placed("host_types_open", kinds),
+        zones=allowed_indices("zones_only", zones),
+        kinds=allowed_indices("host_types_open", kinds),
         threads=threads,
-        is_bulk_load=bool(loads),
+        is_bulk_load=bool(is_bulk_load),
         yields_to_bulk_loads=bool(yields_to_bulk_loads),
     )
 
 
-def resource_groups(settings, family, zones, kinds):
-    """The classes in order; those past the end of one of the family's lists have its default."""
+def resource_groups(
+    settings: Section, family: Section, zones: Callable[[str], int], kinds: Callable[[str], int]
+) -> list[ResourceGroup]:
+    """The classes of queries in order; one past the end of one of the family's lists has its default."""
     groups = settings.sections("classes")
     threads = chain(family.counts("class_threads"), repeat(1))
-    loads = chain(family.items("writes_tables"), repeat(False))
-    stands = chain(family.items("yields_to_loads"), repeat(False))
-    return [resource_group(*values, zones, kinds) for values in zip(groups, threads, loads, stands)]
-
-
-def deployment(settings, zones, kinds):
-    """All that the decision module is told of a deployment. zones, kinds: names to small indices."""
-    family, limits, rules = (settings.section(name) for name in ("family_info", "limits", "obligations"))
-    # A budget is kept where its window is named, whatever the figure.
-    budgeted = rules.has("budget_window_ms")
+    bulk_loads = chain(family.items("writes_tables"), repeat(False))
+    yields_to_bulk_loads = chain(family.items("yields_to_loads"), repeat(False))
+    rows = zip(groups, threads, bulk_loads, yields_to_bulk_loads)
+    return [resource_group(*row, zones, kinds) for row in rows]
+
+
+def deployment(settings: Section, zones: Callable[[str], int], kinds: Callable[[str], int]) -> Deployment:
+    """The settings as the decision modules take them. zones, kinds: their names to small indices."""
+    family = settings.section("family_info")
+    limits = settings.section("limits")
+    rules = settings.section("obligations")
+    # A budget holds where its window is named, whatever the figure.
+    has_retry_budget = rules.has("budget_window_ms")
     return Deployment(
         groups=resource_groups(settings, family, zones, kinds),
         tenants=[
             (tenant.number("share"), tenant.number("quota_per_s")) for tenant in settings.sections("accounts")
         ],
         cores=family.counts("size_cores"),
-        memory=family.figures("size_mb"),
+        memory=family.numbers("size_mb"),
         dispatcher_count=settings.count("fleet_size", 1),
         zone=zones(settings.text("az")),
         cross_zone_cost=settings.section("tariffs").number("cross_zone"),
@@ -211,18 +245,18 @@
         memory_grants=family.flag("memory_heeded"),
         priorities=family.flag("priorities"),
         max_memory_grant=family.number("most_grant", 1.0),
-        progress_interval=tenths(family.ms("note_period_ms")),
+        progress_interval=ticks(family.milliseconds("note_period_ms")),
         subscribes_to_endpoints=settings.values.get("membership_mode") == "subscribe",
-        poll_deadline=tenths(rules.ms("ask_within_ms")),
-        key_quarantine=at_least(rules.ms("key_rest_ms")),
+        poll_deadline=ticks(rules.milliseconds("ask_within_ms")),
+        key_quarantine=ticks_at_least(rules.milliseconds("key_rest_ms")),
         retry_budget_minimum=rules.number("extra_free"),
         retry_budget_ratio=rules.number("further_ratio"),
-        retry_budget_window=at_least(rules.ms("budget_window_ms")) if budgeted else 0,
+        retry_budget_window=ticks_at_least(rules.milliseconds("budget_window_ms")) if has_retry_budget else 0,
         slow_start_fraction=rules.number("cold_from", 1.0, 1.0),
-        slow_start_duration=at_least(rules.ms("cold_ms")),
+        slow_start_duration=ticks_at_least(rules.milliseconds("cold_ms")),
         collapse_multiple=rules.number("fall_multiple", 1.0),
-        collapse_window=at_least(rules.ms("fall_ms")),
-        max_retry_after=tenths(limits.ms("max_retry_after_ms")) if limits.flag("retry_after") else 0,
+        collapse_window=ticks_at_least(rules.milliseconds("fall_ms")),
+        max_retry_after=ticks(limits.milliseconds("max_retry_after_ms")) if limits.flag("retry_after") else 0,
         reports=settings.section("report").names("fields"),
         idle_connection_timeout=idle_connection_timeout(limits),
     )
--- a/wickvane/wirehost/host.py
+++ b/wickvane/wirehost/host.py
@@ -14,7 +14,7 @@
 )
 from wickvane.id_registry import IdRegistry
 from wickvane.scheduler import Scheduler
-from wickvane.settings import tenths
+from wickvane.settings import ticks
 
 ENDINGS = {
     "served": Ending.FINISHED,
@@ -48,14 +48,14 @@
         tenant = item.get("client_group")
         self.events.append(
             QueryArrived(
-                self.registry.take(item["id"]),
+                self.registry.add_query(item["id"]),
                 self.registry.groups.index[item["profile"]],
                 self.registry.tenants(tenant) if tenant else 0,
-                tenths(item.get("expected_ms")),
+                ticks(item.get("expected_ms")),
                 item.get("ram_mb") or 0,
                 item.get("source_set") or 0,
                 item.get("table"),
-                tenths(item["remaining_ms"]),
+                ticks(item["remaining_ms"]),
             )
         )
 
@@ -63,7 +63,7 @@
         q, node = self.registry.queries.of.get(item["id"]), item["node"]
         if q is None or node not in self.registry.engines.of:
             return
-        self.registry.ended(q, node)
+        self.registry.attempt_ended(q, node)
         stats = int(item.get("stats") or 0)
         self.events.append(
             AttemptEnded(
@@ -71,7 +71,7 @@
                 item["attempt"],
                 self.registry.engines.of[node],
                 ENDINGS[item["result"]],
-                tenths(item.get("delay_seen_ms")),
+                ticks(item.get("delay_seen_ms")),
                 bool(item.get("complete")),
                 (stats >> 12) * 10,
                 (stats & 4095) * 4,
@@ -102,9 +102,9 @@
             return
         entries = lists[item["table"]]
         if item["mode"] != "changes":
-            self.events.extend(self.registry.unlisted({entry["node"] for entry in entries}))
+            self.events.extend(self.registry.remove_missing({entry["node"] for entry in entries}))
         for entry in entries:
-            event = self.registry.list_engine(
+            event = self.registry.update_engine(
                 entry["node"],
                 STATES[entry["phase"]],
                 entry.get("failure_domain"),
@@ -135,7 +135,7 @@
                 at = at.tb_next
             text = f"{type(error).__name__}: {error} (line {at.tb_lineno})"
             return [{"type": "panic", "note_text": text}]
-        self.registry.settle()
+        self.registry.release()
         return self.actions
 
     # Decisions
@@ -148,7 +148,7 @@
 
     def start_attempt(self, q, engine, max_wait, start_by):  # on the wire a decision acts at once
         node = self.registry.engines.names[engine]
-        self.registry.submitted(q, node)
+        self.registry.attempt_started(q, node)
         self.act("hand_off", id=self.name(q), node=node, max_wait_ms=max_wait / 10)
 
     def reject(self, q, retry_after):
@@ -168,15 +168,15 @@
     def set_timer(self, token, at):
         self.act("set_alarm", token=token, at_ms=at / 10)
 
-    def watch_endpoints(self, on):
-        self.act("stream_changes", on=on)
+    def watch_endpoints(self, enabled):
+        self.act("stream_changes", on=enabled)
 
     def log_note(self, text):
         self.act("journal_line", note_text=text)
 
 
 def answer(batch, instances, lists):
-    now, groups, acted = tenths(batch["now_ms"]), [], []
+    now, groups, acted = ticks(batch["now_ms"]), [], []
     for group in batch["groups"]:
         name = group["dispatcher"]
         for item in group["items"]:
