--- a/tests/test_flow_spool.py
+++ b/tests/test_flow_spool.py
@@ -2,6 +2,7 @@
 
 import os
 import shutil
+from hashlib import sha256
 from random import Random
 
 import pytest
@@ -294,3 +295,19 @@
     made.write(segment, found[1][0])
     made.close()
     assert read_back(str(tmp_path))[0] == [found[0][0], found[1][0]]
+
+
+# SHA-256 of the messages in the spool that c5b2902 wrote, in order, cut to 16 digits.
+STORED_MESSAGES = ["bcfcad723b39d5a0", "7a450014ed414f53", "cc1427226af11538", "ee37c509d9ebe2a1"]
+
+
+def test_a_spool_and_cursor_of_the_version_before_are_read(tmp_path):
+    shutil.copytree(os.path.join(os.path.dirname(__file__), "data/flow-spool-c5b2902"), tmp_path / "spool")
+    messages, following, sequence, faults = read_back(str(tmp_path / "spool"))
+    assert [sha256(message).hexdigest()[:16] for message in messages] == STORED_MESSAGES
+    assert (following, sequence, faults) == (4, 16, [])
+    found = collected(ipfix.Reader(PEN).feed, [SETS] + messages)
+    assert (found.records, found.malformed) == (12, 0)
+    stored = spool.Spool(str(tmp_path / "spool"))
+    assert stored.cursor("a") == 2
+    stored.close()
