--- /dev/null
+++ b/tests/quotas/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of leased quotas and shared counts."""
--- /dev/null
+++ b/tests/quotas/test_stored_formats.py
@@ -0,0 +1,81 @@
+"""Wire messages and state folders written by commit c5b2902 are read and written to the same bytes."""
+
+import hashlib
+import json
+from pathlib import Path
+
+import pytest
+
+from wickvane.quotas import tool, wire
+from wickvane.rehearsal import script as scripts
+from wickvane.rehearsal.shared import Shared
+
+DATA = Path(__file__).parents[1] / "data" / "quotas-c5b2902"
+REHEARSAL = json.loads((DATA / "rehearsal.json").read_text())
+MESSAGES = {
+    case["case"]: case for case in map(json.loads, (DATA / "messages.jsonl").read_text().splitlines())
+}
+# Fields of the payload, in the order in which they stand on the wire.
+FIELDS = ("levels", "sums", "words", "opinions", "works")
+
+
+def as_lists(value):
+    """Tuples of any kind as lists, as JSON has them."""
+    return [as_lists(item) for item in value] if isinstance(value, list | tuple) else value
+
+
+def test_all_cases_of_the_fixture_are_there():
+    assert set(MESSAGES) == {"empty", "levels", "sums", "words", "opinions", "works", "all"}
+    assert len(REHEARSAL["samples"]) == 6
+
+
+@pytest.mark.parametrize("case", MESSAGES)
+def test_a_message_is_read_literally_and_written_to_the_same_bytes(case):
+    payload = bytes.fromhex(MESSAGES[case]["payload"])
+    message = wire.unseal(payload)
+    assert message.version == 1
+    for field in FIELDS:
+        assert as_lists(getattr(message, field)) == MESSAGES[case]["fields"].get(field, [])
+    assert wire.ENCODER.encode(message) == payload
+
+
+@pytest.mark.parametrize("sample", REHEARSAL["samples"], ids=lambda sample: sample[0])
+def test_a_message_of_a_rehearsal_is_written_to_the_same_bytes(sample):
+    parts, payload = sample[0].split("+"), bytes.fromhex(sample[1])
+    message = wire.unseal(payload)
+    assert [field for field in sorted(FIELDS) if getattr(message, field)] == parts
+    assert wire.ENCODER.encode(message) == payload
+
+
+def test_every_message_of_a_rehearsal_is_as_it_was(monkeypatch):
+    digest, lengths, seal = hashlib.sha256(), [], wire.seal
+
+    def recorded(**parts):
+        payload = seal(**parts)
+        digest.update(payload)
+        lengths.append(len(payload))
+        return payload
+
+    monkeypatch.setattr(wire, "seal", recorded)
+    world = Shared(
+        scripts.read_text(REHEARSAL["day"]),
+        REHEARSAL["seed"],
+        loss=0.1,
+        uneven=0.8,
+        blocked=[(n, "e2") for n in range(6)],
+    )
+    # The recording run looked at every status at these times, which advances leases.
+    for at in range(20_000, 110_000, 1_000):
+        world.at(at, lambda: [member.spread.status() for member in world.members])
+    outcome = world.play()
+    assert outcome.service(0, 12) == REHEARSAL["served"]
+    assert len(lengths) == REHEARSAL["messages"]
+    assert digest.hexdigest() == REHEARSAL["sha256"]
+    assert world.members[1].spread.status() == REHEARSAL["last_status"]
+
+
+@pytest.mark.parametrize("case", ["held", "lent"])
+@pytest.mark.parametrize("as_json, output", [(False, "output.txt"), (True, "output-json.txt")])
+def test_a_state_folder_is_shown_as_it_was(case, as_json, output, capsys):
+    assert tool.main({"--state": str(DATA / case), "--json": as_json}) == 0
+    assert capsys.readouterr().out == (DATA / case / output).read_text()
--- a/wickvane/quotas/deciding.py
+++ b/wickvane/quotas/deciding.py
@@ -79,7 +79,9 @@
                     self.box.met.append((engine, failed, slow))
 
         def tally(self, what, pending):
-            self.box.count(f"{what}/{self.registry.group_names[pending.rg]}/{self.tenant(pending)}")
+            self.box.count(
+                f"{what}/{self.registry.group_names[pending.resource_group]}/{self.tenant(pending)}"
+            )
 
         def round(self, items):
             super().round(items)
