--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -161,6 +161,7 @@
 def sharing(peer):
     """Rides on a peer as the part `shares` does: three engines with work, and what it did for one tenant."""
     from wickvane.cluster.shell import now
+    from wickvane.quotas.lease_broker import BudgetConfig
     from wickvane.quotas.spread import Offer, Spread
 
     peer.node.rider = Spread(
@@ -175,7 +176,7 @@
             ready=["e1", "e2", "e3"],
         ),
         Quiet(),
-        budgets=((10_000, True, False),) * 2,
+        budgets=(BudgetConfig(10_000, True, False),) * 2,
     )
 
 
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -109,7 +109,9 @@
         "covers": min(h[3] for h in held),
         # They go on until the last query's time is over, past the day's end.
         "octets_s": statistics.fmean(m.octets for m in made.members) * 10_000 / made.now,
-        "lent": sum(b.lent for m in made.members for b in m.spread.broker.budgets) if "lends" in heeds else 0,
+        "lent": sum(b.granted_total for m in made.members for b in m.spread.broker.budgets)
+        if "lends" in heeds
+        else 0,
     }
 
 
--- a/tests/quotas/test_stored_formats.py
+++ b/tests/quotas/test_stored_formats.py
@@ -15,8 +15,14 @@
 MESSAGES = {
     case["case"]: case for case in map(json.loads, (DATA / "messages.jsonl").read_text().splitlines())
 }
-# Fields of the payload, in the order in which they stand on the wire.
-FIELDS = ("levels", "sums", "words", "opinions", "works")
+# Fields of a message: as the fixture calls them, and as the code does.
+FIELDS = {
+    "levels": "levels",
+    "sums": "counters",
+    "words": "leases",
+    "opinions": "engine_reports",
+    "works": "tenant_usage",
+}
 
 
 def as_lists(value):
@@ -32,31 +38,31 @@
 @pytest.mark.parametrize("case", MESSAGES)
 def test_a_message_is_read_literally_and_written_to_the_same_bytes(case):
     payload = bytes.fromhex(MESSAGES[case]["payload"])
-    message = wire.unseal(payload)
+    message = wire.decode(payload)
     assert message.version == 1
-    for field in FIELDS:
-        assert as_lists(getattr(message, field)) == MESSAGES[case]["fields"].get(field, [])
-    assert wire.ENCODER.encode(message) == payload
+    for recorded, field in FIELDS.items():
+        assert as_lists(getattr(message, field)) == MESSAGES[case]["fields"].get(recorded, [])
+    assert wire.encode(message) == payload
 
 
 @pytest.mark.parametrize("sample", REHEARSAL["samples"], ids=lambda sample: sample[0])
 def test_a_message_of_a_rehearsal_is_written_to_the_same_bytes(sample):
     parts, payload = sample[0].split("+"), bytes.fromhex(sample[1])
-    message = wire.unseal(payload)
-    assert [field for field in sorted(FIELDS) if getattr(message, field)] == parts
-    assert wire.ENCODER.encode(message) == payload
+    message = wire.decode(payload)
+    assert sorted(recorded for recorded, field in FIELDS.items() if getattr(message, field)) == parts
+    assert wire.encode(message) == payload
 
 
 def test_every_message_of_a_rehearsal_is_as_it_was(monkeypatch):
-    digest, lengths, seal = hashlib.sha256(), [], wire.seal
+    digest, lengths, encode = hashlib.sha256(), [], wire.encode
 
-    def recorded(**parts):
-        payload = seal(**parts)
+    def recorded(message):
+        payload = encode(message)
         digest.update(payload)
         lengths.append(len(payload))
         return payload
 
-    monkeypatch.setattr(wire, "seal", recorded)
+    monkeypatch.setattr(wire, "encode", recorded)
     world = Shared(
         scripts.read_text(REHEARSAL["day"]),
         REHEARSAL["seed"],
@@ -79,3 +85,11 @@
 def test_a_state_folder_is_shown_as_it_was(case, as_json, output, capsys):
     assert tool.main({"--state": str(DATA / case), "--json": as_json}) == 0
     assert capsys.readouterr().out == (DATA / case / output).read_text()
+
+
+def test_lease_messages_are_written_to_the_entries_that_they_were_read_from():
+    for entry in wire.decode(bytes.fromhex(MESSAGES["words"]["payload"])).leases:
+        message = wire.lease_message(entry)
+        assert message.budget == entry.budget and message.number == entry.number
+        # Of a release neither units nor a time are used; the last entry of the fixture is a request.
+        assert wire.lease_entry(message) == entry
--- a/tests/test_opinions.py
+++ b/tests/test_opinions.py
@@ -91,7 +91,9 @@
     assert all(max(row[1:]) <= FIGURE_MOST for row in mine.told(2))
     for _ in range(9):
         page, room = all_said.page(300)
-        data = wire.seal(opinions=[(1 << 31, t + (1 << 60), rows) for _, t, rows in page])
+        data = wire.encode(
+            wire.GossipMessage(engine_reports=[(1 << 31, t + (1 << 60), rows) for _, t, rows in page])
+        )
         assert len(data) <= 300 - room + 16
     assert all_said.page(300)[0] == []  # sent on often enough
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -118,17 +118,17 @@
         counts.sum(1, life, "k" * chance.randrange(1, 120), chance.randrange(1, 1 << 40))
     for _ in range(20):
         levels, sums = [[(0xFFFFFFFF, *rest) for _, *rest in part] for part in counts.page(ROOM)]
-        payload = wire.seal(levels=levels, sums=sums)
+        payload = wire.encode(wire.GossipMessage(levels=levels, counters=sums))
         assert len(payload) <= ROOM
-        read = wire.unseal(payload)
-        assert read.levels == levels and read.sums == sums
+        read = wire.decode(payload)
+        assert read.levels == levels and read.counters == sums
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=300))
 def test_hostile_octets_are_nothing(data):
-    found = wire.unseal(data)
-    assert found is None or wire.ENCODER.encode(found)
+    found = wire.decode(data)
+    assert found is None or wire.encode(found)
 
 
 # The decision module
--- a/wickvane/quotas/counts.py
+++ b/wickvane/quotas/counts.py
@@ -25,7 +25,7 @@
 FLOORS = 4096
 NEW_MOST, SLOW_MOST = 64, 4  # keys of one page: what is new, and of the slow round: it is against the rare
 KEY_RELAYS = 3  # the same of sums, times the digits of the number of lives
-# Octets of one life's levels and of a sum beside what wire.size() counts, and of a page.
+# Octets of one life's levels and of a sum beside what wire.row_size() counts, and of a page.
 LEVEL, SUM, HEAD = 17, 7, 12
 
 
@@ -187,7 +187,7 @@
         levels, sums, room = [], [], room - HEAD
         for life in list(self.fresh):
             found = self.lives[life]
-            size = LEVEL + sum(wire.size(*row) for row in found.levels.items())
+            size = LEVEL + sum(wire.row_size(*row) for row in found.levels.items())
             if size > room - 100:
                 break
             room -= size
@@ -198,7 +198,7 @@
             else:
                 self.fresh.move_to_end(life)
         for life, key in self.next_keys():
-            size = SUM + wire.size(key, self.lives[life].sums[key])
+            size = SUM + wire.row_size(key, self.lives[life].sums[key])
             if size > room:
                 break
             room -= size
--- a/wickvane/quotas/deciding.py
+++ b/wickvane/quotas/deciding.py
@@ -12,6 +12,7 @@
     TenantsCharged,
 )
 from wickvane.quotas import fleet
+from wickvane.quotas.lease_broker import BudgetUse
 from wickvane.quotas.spread import NOTHING, Offer
 
 BUSY = 10_000  # without a query for so long, what others hold is nothing to this dispatcher
@@ -99,7 +100,8 @@
                     for e, state in enumerate(scheduler.engines.state)
                     if state == EngineState.READY and names[e]
                 ]
-                box.needs, box.needs_at = self.fleet.needs(), self.now
+                box.needs = [BudgetUse(*use) for use in self.fleet.needs()]
+                box.needs_at = self.now
 
         def taken(self, pending, again=False):
             super().taken(pending, again)
--- a/wickvane/quotas/escrow.py
+++ b/wickvane/quotas/escrow.py
@@ -1,159 +1,217 @@
-"""Budgets in parts that are lent for a time: never over, whoever hears whom. No socket, clock or thread.
-
-A whole of units is split once, by the configured count: each dispatcher owns its part for good. A unit is
-spent by one holder at a time (escrow; O'Neil 1986; bounded counters, Balegas and others 2015). An owner lends
-what it does not need for a term (a lease; Gray and Cheriton 1989) and cannot call it back: it has it again
-when the holder says that it has stopped, or when the term is surely over.
-
-Why no unit is ever two's:
-- The holder counts its term from when it *asked*, the owner from when it granted, which is later; and the
-  owner waits longer by the stated drift of clocks. So the holder has stopped, by its own clock, before the
-  owner begins, however long any datagram was under way. A holder that stood still finds its term over when
-  it next looks at its clock, which it does before it spends.
-- What is spent is counted in windows. A unit that changes hands rests one window, so that no window sees it
-  spent twice: lent units are used a window after the grant, and come back a window after the stop.
-- An owner that starts anew does not know what its former life lent. It uses and lends what it always keeps,
-  and the rest once a term, its drift and a window are over. Nor does it know what its former life spent just
-  before: where that counts, it spends nothing for a window.
-- A loan has a number of the holder's life and own counting; one that was ended is never taken up again by
-  that number, whatever comes late or twice.
-
-Whoever hears nobody has its own part back within a term for good, and nobody else ever touches what it keeps.
-Times are tenths of a millisecond by the clock of whoever is asked, and never step.
+"""Leased units of one budget, each of which at most one dispatcher may spend at a time. Free of I/O.
+
+The units of a budget are divided once, by the configured number of dispatchers: each owns its units for good
+(escrow transactions, O'Neil 1986; bounded counters, Balegas and others 2015). As a *lessor*, a dispatcher
+grants units that it does not need for one term (leases, Gray and Cheriton 1989). It cannot revoke a lease: it
+has the units again when the holder releases them, or when the lease has certainly expired.
+
+Why no unit is ever spent by two dispatchers:
+- The holder counts the term from its *request*, the lessor from its grant, which is later; and the lessor
+  waits longer by the maximum drift of clocks. So the holder's lease has expired, by the holder's own clock,
+  before the lessor spends the units again, however long any datagram was delayed. A holder whose process was
+  suspended finds its lease expired when it next reads its clock, which it does before it spends.
+- Spending is limited per rate window. Units that change hands are unused for one window, so that no window
+  counts them twice: leased units are usable one window after the grant, released units one window after the
+  release.
+- After a restart, a lessor does not know what its former incarnation granted. It spends and grants only its
+  reserved units, which are never leased out, until a term, the drift and a window have passed. Nor does it
+  know what its former incarnation spent just before: where that matters, it spends nothing for one window.
+- A lease is identified by its holder's incarnation and a number of the holder's own. The lessor fences
+  numbers that have ended: a delayed or duplicated datagram never grants them again.
+
+A dispatcher that receives nothing has its own units back within one term, and nobody else ever spends its
+reserved units. Times are ticks of the local monotonic clock.
 """
 
-HOLDERS_MOST = 4096
-LOANS_MOST = 64  # that one owner has out, and one holder has
+from collections.abc import Hashable
+from typing import NamedTuple
+
+MAX_FENCED_HOLDERS = 4096
+MAX_LEASES = 64  # granted by one lessor, and requested by one holder
+
+
+class GrantedLease(NamedTuple):
+    """A lease on the lessor's side; at `expires_at` its holder has certainly stopped spending."""
+
+    units: int
+    expires_at: int
+
+
+class HeldLease(NamedTuple):
+    """A lease on the holder's side."""
+
+    lessor: Hashable
+    units: int
+    usable_from: int
+    expires_at: int
+
+
+class PendingRequest(NamedTuple):
+    """A request or a renewal; an answer must name a time from the first to the latest request."""
+
+    lessor: Hashable
+    first_requested_at: int
+    last_requested_at: int
+
+
+class ReleasedUnits(NamedTuple):
+    """Units that a holder has released, which their owner may use from `usable_from` on."""
+
+    units: int
+    usable_from: int
 
 
 class Escrow:
-    """own: units of this dispatcher; kept: of them, never lent; term: of a loan; drift: parts of a thousand
-    by which two clocks may differ; window: in which what is spent is counted; at_once: whether a new life may
-    spend within its first window."""
-
-    def __init__(self, now, own, kept, term, window, drift=10, at_once=True):
-        self.own, self.kept, self.term, self.window = own, kept, term, window
-        self.grace = term * drift // 1000 + 1
-        self.whole_at = now + self.term + self.grace + window  # what a former life lent is surely over then
-        self.rests_until = now if at_once else now + window
-        self.lent = {}  # (holder, number): (units, surely over at)
-        self.coming = []  # (units, from when they are mine again)
-        self.ended = {}  # holder: the highest number that was ended
-        self.number = 0
-        self.asked = {}  # my number: (owner, first asked at, latest asked at)
-        self.held = {}  # my number: (owner, units, from, until)
-
-    # What may be spent
-
-    def away(self):
-        """Units of mine that are lent or rest."""
-        return sum(units for units, _ in self.lent.values()) + sum(units for units, _ in self.coming)
-
-    def settle(self, now):
-        """What time has brought back: looked at before anything is spent, lent or told."""
-        for loan in list(self.lent):
-            if now >= self.lent[loan][1]:
-                # The holder had stopped a window before: the rest is in the time that was waited.
-                self.end(loan)
-        self.coming = [(units, at) for units, at in self.coming if now < at]
-        for number, (_, _, _, until) in list(self.held.items()):
-            if now >= until:
+    """One dispatcher's units of one budget, as a lessor and as a holder of leases."""
+
+    def __init__(
+        self,
+        now: int,
+        owned_units: int,
+        reserved_units: int,
+        term: int,
+        rate_window: int,
+        drift_permille: int = 10,
+        usable_at_once: bool = True,
+    ) -> None:
+        """Starts with no leases.
+
+        reserved_units: of the owned ones, never leased out. drift_permille: by how much two clocks may differ
+        over a term. usable_at_once: whether a new incarnation may spend within its first rate window.
+        """
+        self.owned_units = owned_units
+        self.reserved_units = reserved_units
+        self.term = term
+        self.rate_window = rate_window
+        self.grace = term * drift_permille // 1000 + 1
+        # By then all leases that a former incarnation granted have expired.
+        self.recovered_at = now + self.term + self.grace + rate_window
+        self.usable_from = now if usable_at_once else now + rate_window
+        self.granted: dict[tuple[Hashable, int], GrantedLease] = {}  # by holder and number
+        self.released: list[ReleasedUnits] = []
+        self.fenced: dict[Hashable, int] = {}  # by holder: the highest number that has ended
+        self.last_number = 0
+        self.requests: dict[int, PendingRequest] = {}  # by own number
+        self.held: dict[int, HeldLease] = {}  # by own number
+
+    def leased_out_units(self) -> int:
+        """Owned units that are leased out, or were released less than a rate window ago."""
+        granted = sum(lease.units for lease in self.granted.values())
+        return granted + sum(units for units, _ in self.released)
+
+    def expire(self, now: int) -> None:
+        """Ends leases and requests whose time is over; every decision calls this first."""
+        for lease_id in list(self.granted):
+            if now >= self.granted[lease_id].expires_at:
+                # The wait included the rate window, so the units are usable at once.
+                self._end_grant(lease_id)
+        self.released = [released for released in self.released if now < released.usable_from]
+        for number, lease in list(self.held.items()):
+            if now >= lease.expires_at:
                 del self.held[number]
-                self.asked.pop(number, None)
-        for number, (_, _, asked) in list(self.asked.items()):
-            if now >= asked + self.term:
-                self.asked.pop(number)
-
-    def mine(self, now):
-        """Units of my own part that I may spend now."""
-        self.settle(now)
-        free = self.own - self.away() if now >= self.rests_until else 0
-        return free if now >= self.whole_at else min(free, self.kept)
-
-    def usable(self, now):
-        """Units that I may spend now: my own, and what others lent."""
-        found = self.mine(now)
-        return found + sum(units for _, units, begins, until in self.held.values() if begins <= now < until)
-
-    # Asking
-
-    def ask(self, now, owner):
-        """The number to ask an owner by; None where enough is asked for."""
-        self.settle(now)
-        if len(self.asked) >= LOANS_MOST:
+                self.requests.pop(number, None)
+        for number, request in list(self.requests.items()):
+            if now >= request.last_requested_at + self.term:
+                self.requests.pop(number)
+
+    def own_usable_units(self, now: int) -> int:
+        """Owned units that may be spent now."""
+        self.expire(now)
+        free = self.owned_units - self.leased_out_units() if now >= self.usable_from else 0
+        return free if now >= self.recovered_at else min(free, self.reserved_units)
+
+    def usable_units(self, now: int) -> int:
+        """Units that may be spent now: owned and leased from others."""
+        own = self.own_usable_units(now)
+        leased = sum(
+            lease.units for lease in self.held.values() if lease.usable_from <= now < lease.expires_at
+        )
+        return own + leased
+
+    # As a holder
+
+    def request(self, now: int, lessor: Hashable) -> int | None:
+        """The number of a new lease to request from a lessor; None where MAX_LEASES are requested."""
+        self.expire(now)
+        if len(self.requests) >= MAX_LEASES:
             return None
-        self.number += 1
-        self.asked[self.number] = owner, now, now
-        return self.number
-
-    def again(self, now, number):
-        """Asks for the same loan's term anew; False where it is over. The answer bears this time."""
-        self.settle(now)
-        if number not in self.asked:
+        self.last_number += 1
+        self.requests[self.last_number] = PendingRequest(lessor, now, now)
+        return self.last_number
+
+    def renew(self, now: int, number: int) -> bool:
+        """Records a renewal of a request or lease, which must bear this time; False where it has expired."""
+        self.expire(now)
+        request = self.requests.get(number)
+        if request is None:
             return False
-        owner, first, _ = self.asked[number]
-        self.asked[number] = owner, first, now
+        self.requests[number] = request._replace(last_requested_at=now)
         return True
 
-    def granted(self, now, owner, number, units, asked_at):
-        """An owner's answer to what was asked by this life at `asked_at`, by this life's own clock."""
-        self.settle(now)
-        known = self.asked.get(number)
-        if known is None or known[0] != owner or not known[1] <= asked_at <= known[2] or units <= 0:
+    def accept_grant(self, now: int, lessor: Hashable, number: int, units: int, requested_at: int) -> bool:
+        """Takes a lessor's grant; False where it does not answer a request of this incarnation or is too
+        late. requested_at: the time that the request bore, by this dispatcher's clock."""
+        self.expire(now)
+        request = self.requests.get(number)
+        if request is None or request.lessor != lessor or units <= 0:
+            return False
+        if not request.first_requested_at <= requested_at <= request.last_requested_at:
             return False
-        until = asked_at + self.term
-        if now >= until:
+        expires_at = requested_at + self.term
+        if now >= expires_at:
             return False
-        before = self.held.get(number)
-        if before is None:
-            self.held[number] = owner, units, now + self.window, until
+        lease = self.held.get(number)
+        if lease is None:
+            self.held[number] = HeldLease(lessor, units, now + self.rate_window, expires_at)
         else:
-            self.held[number] = owner, before[1], before[2], max(before[3], until)
+            self.held[number] = lease._replace(expires_at=max(lease.expires_at, expires_at))
         return True
 
-    def stop(self, now, number):
-        """Gives a loan back: from now on it is not spent, and the owner may be told so."""
-        self.asked.pop(number, None)
+    def release(self, now: int, number: int) -> bool:
+        """Stops spending a lease, after which its lessor may be notified; whether it was held."""
+        self.requests.pop(number, None)
         return self.held.pop(number, None) is not None
 
-    # Lending
-
-    def lend(self, now, holder, number, units, need):
-        """Another asks for up to `units`; what it gets, 0 for nothing. need: what this one wants itself."""
-        mine = self.mine(now)
-        until = now + self.term + self.grace + self.window
-        known = self.lent.get((holder, number))
-        if known is not None:
-            self.lent[holder, number] = known[0], max(known[1], until)
-            return known[0]
-        if number <= self.ended.get(holder, 0):
+    # As a lessor
+
+    def grant(self, now: int, holder: Hashable, number: int, units: int, needed_units: int) -> int:
+        """Grants or renews a lease; returns its units, 0 where nothing is granted.
+
+        units: requested at most. needed_units: what this dispatcher needs itself.
+        """
+        own = self.own_usable_units(now)
+        expires_at = now + self.term + self.grace + self.rate_window
+        lease = self.granted.get((holder, number))
+        if lease is not None:
+            self.granted[holder, number] = lease._replace(expires_at=max(lease.expires_at, expires_at))
+            return lease.units
+        if number <= self.fenced.get(holder, 0):
             return 0
-        if now < self.whole_at or len(self.lent) >= LOANS_MOST:
+        if now < self.recovered_at or len(self.granted) >= MAX_LEASES:
             return 0
-        units = min(units, mine - max(self.kept, need))
+        units = min(units, own - max(self.reserved_units, needed_units))
         if units <= 0:
             return 0
-        self.lent[holder, number] = units, until
+        self.granted[holder, number] = GrantedLease(units, expires_at)
         return units
 
-    def back(self, now, holder, number):
-        """The holder has said that it stopped; the units rest a window."""
-        self.settle(now)
-        known = self.lent.get((holder, number))
-        if known is None:
-            self.closed(holder, number)
+    def accept_release(self, now: int, holder: Hashable, number: int) -> bool:
+        """Ends a lease that its holder has released; its units are usable after one rate window."""
+        self.expire(now)
+        lease = self.granted.get((holder, number))
+        if lease is None:
+            self._fence(holder, number)
             return False
-        self.end((holder, number))
-        self.coming.append((known[0], now + self.window))
+        self._end_grant((holder, number))
+        self.released.append(ReleasedUnits(lease.units, now + self.rate_window))
         return True
 
-    def end(self, loan):
-        holder, number = loan
-        del self.lent[loan]
-        self.closed(holder, number)
+    def _end_grant(self, lease_id: tuple[Hashable, int]) -> None:
+        del self.granted[lease_id]
+        self._fence(*lease_id)
 
-    def closed(self, holder, number):
-        # A number forgotten here could at most put units out of use for a term, when it comes late.
-        self.ended[holder] = max(number, self.ended.pop(holder, 0))
-        if len(self.ended) > HOLDERS_MOST:
-            del self.ended[next(iter(self.ended))]
+    def _fence(self, holder: Hashable, number: int) -> None:
+        # Forgetting a fence at the bound may at most cost units for one term, by a delayed request.
+        self.fenced[holder] = max(number, self.fenced.pop(holder, 0))
+        if len(self.fenced) > MAX_FENCED_HOLDERS:
+            del self.fenced[next(iter(self.fenced))]
--- a/wickvane/quotas/latest.py
+++ b/wickvane/quotas/latest.py
@@ -39,7 +39,7 @@
             t, rows = self.said[life]
             left, fit = room - HEAD, 0
             for row in rows:
-                left -= wire.size(*row)
+                left -= wire.row_size(*row)
                 if left < 0:
                     break
                 fit += 1
--- a/wickvane/quotas/part.py
+++ b/wickvane/quotas/part.py
@@ -36,8 +36,13 @@
 
 
 def budgets(deployment):
-    """Of bounds on engines, and of what cold engines get, as a Broker takes them."""
-    return (SETTLED, True, False), (deployment.collapse_window + FENCE, False, True)
+    """How the limits of engines, and what engines get while they warm up, are leased."""
+    from wickvane.quotas.lease_broker import BudgetConfig
+
+    return (
+        BudgetConfig(SETTLED, True, False),
+        BudgetConfig(deployment.collapse_window + FENCE, False, True),
+    )
 
 
 class At(shape.Part):
--- a/wickvane/quotas/spread.py
+++ b/wickvane/quotas/spread.py
@@ -10,9 +10,9 @@
 from wickvane.cluster.membership import ALIVE, SUSPECT, mark
 from wickvane.cluster.standing import divisor
 from wickvane.quotas import wire
-from wickvane.quotas.broker import Broker
 from wickvane.quotas.charges import Charges
 from wickvane.quotas.counts import Counts
+from wickvane.quotas.lease_broker import BudgetUse, LeaseBroker
 from wickvane.quotas.opinions import Evidence, Opinions, merge
 from wickvane.units import TICKS_PER_SECOND
 
@@ -22,7 +22,7 @@
 ROOM = 860  # octets of a datagram that are a rider's, beside its sender's own entry
 WORKS_ROOM, FRAMES = 300, 16  # of them, for what was given to tenants; and for what frames it all
 LASTS = 2 * TICKS_PER_SECOND  # levels older than that are not counted
-NOTHING = ((0.0, False),) * 2  # is needed of any budget
+NOTHING = (BudgetUse(0.0, False),) * 2  # is needed of any budget
 CANDIDATES = 8  # members by lot, of which those with least at work are asked for parts
 
 
@@ -52,12 +52,12 @@
 class Spread:
     """node: the peers' node. offered(): this dispatcher's Offer, or None. out: the decider's side, told
     others(totals, mean age, oldest age, counted, left out), charged(works by tenant), parts(number, figures)
-    and judged(found, the pool's slowness, spared). budgets: as a Broker's; none: nothing is lent."""
+    and judged(found, the pool's slowness, spared). budgets: a BudgetConfig of each; none: nothing is lent."""
 
     def __init__(self, now, node, offered, out, every=EVERY, budgets=()):
         self.node, self.offered, self.out, self.every = node, offered, out, every
         self.counts = Counts(now, self.life(), node.table.most)
-        self.broker = Broker(now, budgets, node.configured) if budgets else None
+        self.broker = LeaseBroker(now, budgets, node.configured) if budgets else None
         self.evidence, self.opinions = Evidence(), Opinions(node.table.most)
         self.charges = Charges(node.table.most)
         self.next_at = now + node.chance.randrange(every)
@@ -71,29 +71,29 @@
         return self.node.table.name[0], self.node.table.epoch[0]
 
     def came(self, now, row, payload):
-        found = wire.unseal(payload)
+        found = wire.decode(payload)
         if found is None:
             self.malformed += 1
             return
         for short, t, levels in found.levels:
             if (life := self.named.get(short)) is not None:
                 self.counts.levels(now, life, t, levels)
-        for short, key, n in found.sums:
+        for short, key, n in found.counters:
             if (life := self.named.get(short)) is not None:
                 self.counts.sum(now, life, key, n)
-        for short, t, rows in found.opinions:
+        for short, t, rows in found.engine_reports:
             if (life := self.named.get(short)) is not None and life != self.counts.life:
                 self.opinions.says(life, t, rows)
-        for short, t, works in found.works:
+        for short, t, works in found.tenant_usage:
             if (life := self.named.get(short)) is not None and life != self.counts.life:
                 self.charges.hears(life, t, works)
-        if found.words and self.broker:
+        if found.leases and self.broker:
             table = self.node.table
-            for word in found.words:
-                self.broker.came(now, (table.name[row], table.epoch[row]), word)
+            for entry in found.leases:
+                self.broker.receive(now, (table.name[row], table.epoch[row]), wire.lease_message(entry))
 
     def round(self, now):
-        if self.broker and self.broker.out:
+        if self.broker and self.broker.outbox:
             self.say_words()
         if now < self.next_at:
             return
@@ -127,8 +127,8 @@
         if self.broker:
             if now >= self.look_at:
                 self.look_at = now + LOOK
-                self.broker.look(now, offer.needs, self.owners(), self.charges.weight())
-            self.broker.took(offer.taken)
+                self.broker.request_leases(now, offer.needs, self.owners(), self.charges.weight())
+            self.broker.acknowledge(offer.taken)
             self.tell_parts(now)
             self.say_words()
         if now >= self.opine_at:
@@ -139,7 +139,8 @@
                 works, room = self.charges.page(WORKS_ROOM)
                 said, _ = self.opinions.page(ROOM - FRAMES - WORKS_ROOM + room)
                 if works or said:
-                    self.node.carry(row, wire.seal(opinions=short(said), works=short(works)))
+                    page = wire.GossipMessage(engine_reports=short(said), tenant_usage=short(works))
+                    self.node.carry(row, wire.encode(page))
             if charges := self.charges.take(offer.asked):
                 self.out.charged(charges)
             me = self.life()
@@ -159,26 +160,28 @@
         return sorted(found, key=lambda life: sum(lives[life].levels.values()) if life in lives else 0)
 
     def tell_parts(self, now):
-        found = self.broker.tell(now, divisor(self.node.configured, self.node.table))
+        found = self.broker.next_update(now, divisor(self.node.configured, self.node.table))
         if found:
             self.out.parts(*found)
 
     def say_words(self):
         by = {}
-        for life, word in self.broker.sent():
-            by.setdefault(life, []).append(word)
+        for life, word in self.broker.take_outbox():
+            by.setdefault(life, []).append(wire.lease_entry(word))
         for life, words in by.items():
             row = self.node.table.rows.get(life)
             if row is not None:
-                for at in range(0, len(words), wire.WORDS_MOST):
-                    self.node.carry(row, wire.seal(words=words[at : at + wire.WORDS_MOST]))
+                for at in range(0, len(words), wire.MAX_LEASE_MESSAGES):
+                    page = wire.GossipMessage(leases=words[at : at + wire.MAX_LEASE_MESSAGES])
+                    self.node.carry(row, wire.encode(page))
 
     # Counts
 
     def tell(self, many):
         for row in self.node.detector.some(many):
             levels, sums = self.counts.page(ROOM)
-            self.node.carry(row, wire.seal(levels=short(levels), sums=short(sums)))
+            page = wire.GossipMessage(levels=short(levels), counters=short(sums))
+            self.node.carry(row, wire.encode(page))
 
     def last(self, now, out):
         """The end: what was counted until now, to a few more at once, and what others lent is given back."""
@@ -186,7 +189,7 @@
         self.node.round(now, [], out)
         self.node.out = out
         if self.broker:
-            self.broker.end(now)
+            self.broker.release_all(now)
             self.say_words()
         self.tell(LAST_TOLD)
         self.node.out = None
--- a/wickvane/rehearsal/shared.py
+++ b/wickvane/rehearsal/shared.py
@@ -17,6 +17,7 @@
 )
 from wickvane.quotas.deciding import FAILED, SETTLING, newly_ejected
 from wickvane.quotas.fleet import join
+from wickvane.quotas.lease_broker import BudgetUse
 from wickvane.quotas.part import budgets
 from wickvane.quotas.spread import EVERY, Offer, Spread
 from wickvane.rehearsal.peers import fill
@@ -80,7 +81,7 @@
             list(sums.items()),
             {tenant: int(work) // 10 for tenant, work in self.works.items()},
             self.asked // 10,
-            self.fleet.needs(),
+            [BudgetUse(*use) for use in self.fleet.needs()],
             met,
             [
                 engines[e].name
