--- /dev/null
+++ b/tests/scheduling/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of wickvane.scheduling, the decisions of the request path."""
--- /dev/null
+++ b/tests/scheduling/test_command_stream.py
@@ -0,0 +1,155 @@
+"""The commands written on generated days are, one by one, those that commit c5b2902 wrote.
+
+A change of a decision that is meant changes digests: they are then recorded anew, and the commit says why.
+"""
+
+import pytest
+
+from scheduling.generated_days import Day, Settings
+from wickvane.events import Effect, KeyScope
+from wickvane.quotas.fleet import join
+from wickvane.scheduler import Scheduler
+
+LOOKUP = dict()
+REPORT = dict(threads=2, latency_objective=30_000, late_priority_weight=0.3, priority_weight=6.0)
+CHANGE = dict(effect=Effect.MUTATING, late_priority_weight=0.5, timeout=200_000)
+LOAD = dict(
+    effect=Effect.IDEMPOTENCY_KEY,
+    idempotency_window=40_000,
+    threads=2,
+    priority_weight=5.0,
+    late_priority_weight=0.5,
+    ordered=True,
+    is_bulk_load=True,
+)
+BY_ZONE = dict(effect=Effect.IDEMPOTENCY_KEY, key_scope=KeyScope.SAME_ZONE, idempotency_window=60_000)
+BY_CELL = dict(effect=Effect.IDEMPOTENCY_KEY, key_scope=KeyScope.SAME_CELL, late_priority_weight=0.2)
+ORDERED_CHANGE = dict(
+    effect=Effect.MUTATING, ordered=True, late_priority_weight=0.4, latency_objective=30_000
+)
+NEAR = dict(zones=frozenset([0]), priority_weight=2.0)
+BIG = dict(kinds=frozenset([0]), threads=4)
+
+BUDGET = dict(retry_budget_window=50_000)
+MIXED = [LOOKUP, REPORT, CHANGE, LOAD, BY_ZONE, BY_CELL, ORDERED_CHANGE, NEAR, BIG]
+
+DAYS = {
+    "one dispatcher": Settings(1, groups=MIXED),
+    "one dispatcher, calm": Settings(2, groups=[LOOKUP, REPORT], fault_rate=0.002),
+    "overload with Retry-After": Settings(
+        3, groups=[LOOKUP, REPORT, CHANGE], deployment=dict(max_retry_after=40_000), queries_a_round=4.0
+    ),
+    "retry budget": Settings(4, groups=MIXED, deployment=BUDGET, fault_rate=0.06),
+    "no cancels": Settings(5, groups=MIXED, deployment=BUDGET | dict(can_cancel=False), fault_rate=0.04),
+    "ordered keys": Settings(6, groups=[LOAD, ORDERED_CHANGE], fault_rate=0.04, queries_a_round=0.4),
+    "bulk loads": Settings(7, groups=[LOAD, dict(is_bulk_load=True)], queries_a_round=1.0, engine_count=5),
+    "memory grants, no priorities": Settings(
+        8, groups=MIXED, deployment=dict(memory_grants=True, priorities=False)
+    ),
+    "grants and priorities": Settings(
+        9, groups=MIXED, deployment=dict(memory_grants=True, max_retry_after=20_000)
+    ),
+    "neither grants nor priorities": Settings(10, groups=MIXED, deployment=dict(priorities=False)),
+    "three dispatchers across zones": Settings(
+        11, groups=MIXED, deployment=BUDGET | dict(dispatcher_count=3, cross_zone_cost=1.0)
+    ),
+    "forty dispatchers": Settings(
+        12, groups=MIXED, deployment=BUDGET | dict(dispatcher_count=40), engine_count=14
+    ),
+    "forty dispatchers, restarts": Settings(
+        13,
+        groups=[LOOKUP, NEAR],
+        deployment=dict(dispatcher_count=40, collapse_window=10_000),
+        engine_count=10,
+        fault_rate=0.1,
+    ),
+    "engine weights and endpoint subscription": Settings(
+        14,
+        groups=MIXED,
+        deployment=dict(uses_engine_weights=True, subscribes_to_endpoints=True),
+        fault_rate=0.08,
+    ),
+    "few attempts, many faults": Settings(15, groups=MIXED, deployment=dict(max_attempts=2), fault_rate=0.2),
+    "shutdown": Settings(16, rounds=1200, groups=MIXED, deployment=BUDGET, stops=True),
+    "silent engines and long queues of one key": Settings(
+        20,
+        groups=[ORDERED_CHANGE, ORDERED_CHANGE | dict(latency_objective=100_000)],
+        engine_count=3,
+        fault_kinds=(0,),
+        fault_rate=0.03,
+        costs=(1000, 4000),
+        times_left=(70_000, 200_000),
+        queries_a_round=0.3,
+    ),
+    "silent engines and nothing else": Settings(
+        21,
+        groups=[LOOKUP | dict(effect=Effect.MUTATING, late_priority_weight=0.5, timeout=400_000)],
+        engine_count=4,
+        fault_kinds=(0,),
+        fault_rate=0.2,
+        costs=(200, 1000),
+        times_left=(200_000,),
+    ),
+    "ever new table groups": Settings(
+        22,
+        rounds=3000,
+        groups=[LOOKUP],
+        table_groups=1 << 30,
+        queries_a_round=2.5,
+        costs=(200,),
+        fault_kinds=(1, 8),
+    ),
+    "late queries of a group without late worth": Settings(
+        23,
+        groups=[LOOKUP | dict(latency_objective=2_000, objective_stretch=0.1), REPORT],
+        deployment=dict(can_cancel=False),
+        fault_kinds=(1, 2, 7, 8),
+        fault_rate=0.08,
+        costs=(200, 1000, 4000),
+    ),
+    "a fleet": Settings(
+        17, groups=MIXED, deployment=BUDGET | dict(dispatcher_count=4), in_fleet=True, queries_a_round=0.5
+    ),
+    "a fleet of thirty with restarts": Settings(
+        18,
+        groups=[LOOKUP, REPORT, LOAD],
+        deployment=BUDGET | dict(dispatcher_count=30, max_retry_after=30_000),
+        engine_count=8,
+        in_fleet=True,
+        fault_rate=0.08,
+        queries_a_round=0.4,
+    ),
+    "a fleet without faults": Settings(
+        19, groups=[LOOKUP, REPORT], deployment=dict(dispatcher_count=2), in_fleet=True, fault_rate=0.0
+    ),
+}
+DIGESTS = {  # recorded from commit c5b2902
+    "one dispatcher": "2a8523f66336519aa37860b3a99aebb3",
+    "one dispatcher, calm": "2707d67956d7b7aa9d810482e41ff916",
+    "overload with Retry-After": "27ea5f80e1e166622ff3f3ba44cba7b8",
+    "retry budget": "925305bd55d0a007ea83f3fef8792e7c",
+    "no cancels": "4fad3941d6f1a5d8f56ca88f857f3728",
+    "ordered keys": "0d99a401fa8ed4cb6c312400c3b695f1",
+    "bulk loads": "bd2b320cd4eff4eb1e9a330d0495bb9f",
+    "memory grants, no priorities": "9ab51f8861917ae552ac086832f0c1fd",
+    "grants and priorities": "43f2d23dffbe3ed42e7becbfd627ea95",
+    "neither grants nor priorities": "e9d4733e0a5667121219d7a06bf83c4a",
+    "three dispatchers across zones": "9bc9c5a5f85bb0a977a75e5d31b16fa3",
+    "forty dispatchers": "c97c41b8b4dd520dc43eccd6f28dbfc0",
+    "forty dispatchers, restarts": "63aabf327f03e4c5c17fa5f00a21a47d",
+    "engine weights and endpoint subscription": "563b8ac98ac0f45ee70293a7f0c13160",
+    "few attempts, many faults": "9b8139780445fbcb56f17381491b1e90",
+    "shutdown": "6db438d2fc21dbc0ff0a6642ac5f2690",
+    "silent engines and long queues of one key": "f90adb9b87feebe3f425a54a33ff659b",
+    "silent engines and nothing else": "ad63de1755c00c9717841e5ba6bb7128",
+    "ever new table groups": "4345475c042c9fea7b1d2330300c73d3",
+    "late queries of a group without late worth": "90683fb15e19fe170c6cd9cc0198fad9",
+    "a fleet": "1d0787392be9f0517e53a1e4fc710ef1",
+    "a fleet of thirty with restarts": "c5f07377f58fc1348cfdbdc1ebff9863",
+    "a fleet without faults": "2bcdea8df79d2ee91182dbf55a14119b",
+}
+
+
+@pytest.mark.parametrize("name", DAYS)
+def test_the_commands_of_a_generated_day_are_those_of_commit_c5b2902(name):
+    assert Day(DAYS[name], Scheduler, join).play().value() == DIGESTS[name]
