--- /dev/null
+++ b/tests/cluster/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of wickvane.cluster: membership between dispatchers."""
