--- /dev/null
+++ b/tests/config_log/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of wickvane.config_log, the replicated configuration."""
