--- a/tests/config_log/test_message_digest.py
+++ b/tests/config_log/test_message_digest.py
@@ -9,212 +9,249 @@
 
 import pytest
 
-from wickvane.config_log.agreement import LEADER, VOTERS, Voter
-from wickvane.config_log.course import Change, Course
-from wickvane.config_log.lease import Holder, Lender
+from config_log.plain_records import plain, plain_effect, plain_entry
+from wickvane.config_log.log_entry import ChangeVoters, Command, LogEntry
+from wickvane.config_log.messages import CommitEntry, Effect, PersistState, SendMessage
+from wickvane.config_log.policy_lease import LeaseGrantor, LeaseHolder
+from wickvane.config_log.raft_node import RaftNode
+from wickvane.config_log.rollout import Rollout, RolloutStep
+from wickvane.config_log.state_machine import PolicyStateMachine
 
 NAMES = ("n1", "n2", "n3", "n4", "n5")
 ROUND = 100  # ticks
-STEP_NAMES = ("checking", "agreeing", "closing", "opening", "done", "refused", "abandoned")
-
-
-def plain(value):
-    """Named tuples and lists as the bare tuples that are hashed."""
-    if isinstance(value, (tuple, list)):
-        return tuple(map(plain, value))
-    return value
+# What c5b2902 called the steps of a rollout, as they were hashed.
+STEP_NAMES = {
+    RolloutStep.VALIDATING: "checking",
+    RolloutStep.REPLICATING: "agreeing",
+    RolloutStep.DRAINING_LEASES: "closing",
+    RolloutStep.ACTIVATING: "opening",
+    RolloutStep.ACTIVE: "done",
+    RolloutStep.REJECTED: "refused",
+    RolloutStep.ABANDONED: "abandoned",
+}
+FINAL_STEPS = (RolloutStep.ACTIVE, RolloutStep.REJECTED, RolloutStep.ABANDONED)
 
 
-class Node:
-    """One process: its voter, its state machine, both sides of its leases, and what its disk holds."""
+class Process:
+    """One process: its node, its state machine, both sides of its leases, and what its disk holds."""
 
-    def __init__(self, play, name):
-        self.play, self.name, self.life, self.disk = play, name, 0, None
-        self.mark = f"{name}/0"
-        self.down_until, self.refuses_until = 0, 0
+    def __init__(self, play: "Play", name: str) -> None:
+        self.play = play
+        self.name = name
+        self.incarnation = 0
+        self.disk = None
+        self.node_id = f"{name}/0"
+        self.down_until = 0
+        self.disk_refuses_until = 0
         self.start(0)
 
-    def start(self, now, lost_disk=False):
-        self.life += 1
+    def start(self, now: int, lost_disk: bool = False) -> None:
+        self.incarnation += 1
         if lost_disk:
-            self.disk, self.mark = None, f"{self.name}/{self.life}"
-        chance = Random(f"{self.play.seed}/{self.mark}/{self.life}")
-        first = [f"{name}/0" for name in NAMES]
-        self.voter = Voter(now, self.mark, first, chance, self.disk)
-        self.course = Course("first")
-        self.lender = Lender(now, 0)
-        self.holder = Holder(0)
-        self.change = None
-        self.next_ask = now
-        self.said_closed = None
-
-    def carry_out(self, now, effects):
-        for kind, *rest in effects:
-            self.play.record(now, self.mark, kind, plain(rest))
-            if kind == "save":
-                if now < self.refuses_until:
-                    self.voter.failed_to_save()
-                    self.play.record(now, self.mark, "muted")
-                    return
-                self.disk = rest[0]
-            elif kind == "send":
-                self.play.send(now, self.mark, rest[0], ("raft", rest[1]))
-            else:
-                self.committed(now, *rest)
-
-    def committed(self, now, index, entry):
-        changed = self.course.apply(index, entry)
-        at_work, follows = self.course.lending()
-        self.play.record(now, self.mark, "applied", index, changed, at_work, follows)
-        self.lender.open(at_work)
-        if follows is not None:
-            self.lender.close(follows)
-        self.holder.take(at_work)
-
-    def add(self, now, kind, what):
-        self.voter.out = []
-        index = self.voter.add(kind, what)
-        effects, self.voter.out = self.voter.out, []
-        self.play.record(now, self.mark, "added", kind, plain(what), index)
-        self.carry_out(now, effects)
-        return index
-
-    def round(self, now, came):
-        self.carry_out(now, self.voter.round(now, [(s, m[1]) for s, m in came if m[0] == "raft"]))
-        for sender, message in came:
-            if message[0] != "raft":
-                self.other(now, sender, message)
-        self.leases(now)
-        if self.voter.role != LEADER:
-            self.change = None
-        else:
+            self.disk = None
+            self.node_id = f"{self.name}/{self.incarnation}"
+        random = Random(f"{self.play.seed}/{self.node_id}/{self.incarnation}")
+        initial_voters = [f"{name}/0" for name in NAMES]
+        self.node = RaftNode(now, self.node_id, initial_voters, random, self.disk)
+        self.state_machine = PolicyStateMachine("first")
+        self.grantor = LeaseGrantor(now, 0)
+        self.holder = LeaseHolder(0)
+        self.rollout = None
+        self.next_lease_request_at = now
+        self.reported_drained = None
+
+    def record(self, now: int, kind: str, *rest: object) -> None:
+        self.play.record(now, self.node_id, kind, *rest)
+
+    def send(self, now: int, recipient: str, *message: object) -> None:
+        self.play.send(now, self.node_id, recipient, message)
+
+    def carry_out(self, now: int, effects: list[Effect]) -> None:
+        for effect in effects:
+            kind, *rest = plain_effect(effect)
+            self.record(now, kind, tuple(rest))
+            match effect:
+                case PersistState(state):
+                    if now < self.disk_refuses_until:
+                        self.node.halt()
+                        self.record(now, "muted")
+                        return
+                    self.disk = state
+                case SendMessage(recipient, message):
+                    self.send(now, recipient, "raft", message)
+                case CommitEntry(index, entry):
+                    self.apply(now, index, entry)
+
+    def apply(self, now: int, index: int, entry: LogEntry) -> None:
+        changed = self.state_machine.apply(index, entry)
+        active, successor = self.state_machine.lease_numbers()
+        self.record(now, "applied", index, changed, active, successor)
+        self.grantor.activate(active)
+        if successor is not None:
+            self.grantor.drain(successor)
+        self.holder.switch_to(active)
+
+    def propose(self, now: int, command: Command) -> None:
+        proposal = self.node.propose(command)
+        _, kind, payload = plain_entry(LogEntry(0, command))
+        self.record(now, "added", kind, payload, proposal and proposal.index)
+        self.carry_out(now, proposal.effects if proposal else [])
+
+    def process(self, now: int, received: list[tuple[str, tuple]]) -> None:
+        raft_messages = [(sender, message[1]) for sender, message in received if message[0] == "raft"]
+        self.carry_out(now, self.node.process_messages(now, raft_messages))
+        for sender, message in received:
+            self.handle(now, sender, message)
+        self.renew_leases(now)
+        if self.node.is_leader:
             self.lead(now)
-
-    def other(self, now, sender, message):
-        kind, *rest = message
-        if kind == "lease":
-            yes = self.lender.lend(now, sender, rest[0])
-            self.play.send(now, self.mark, sender, ("leased", rest[0], rest[1], yes))
-        elif kind == "leased" and rest[2]:
-            self.holder.granted(sender, rest[0], rest[1])
-        elif kind == "released":
-            self.lender.back(sender)
-        elif kind == "closed" and self.change is not None:
-            self.change.is_closed(sender, rest[0])
-        elif kind == "checked" and self.change is not None:
-            self.change.checked(now, rest[0], rest[1])
-
-    def leases(self, now):
-        voters = self.voter.voters()
-        if now >= self.next_ask:
-            self.next_ask = now + 5_000
-            if self.play.chance.random() < 0.03:
-                for voter in self.holder.give_up():
-                    self.play.send(now, self.mark, voter, ("released",))
+        else:
+            self.rollout = None
+
+    def handle(self, now: int, sender: str, message: tuple) -> None:
+        match message:
+            case "lease", number, requested_at:
+                granted = self.grantor.grant(now, sender, number)
+                self.send(now, sender, "leased", number, requested_at, granted)
+            case "leased", number, requested_at, True:
+                self.holder.record_grant(sender, number, requested_at)
+            case ("released",):
+                self.grantor.release(sender)
+            case "closed", number if self.rollout is not None:
+                self.rollout.record_drained(sender, number)
+            case "checked", name, None if self.rollout is not None:
+                self.rollout.record_acceptance(name)
+            case "checked", name, reason if self.rollout is not None:
+                self.rollout.record_rejection(name, reason)
+
+    def renew_leases(self, now: int) -> None:
+        voters = self.node.voters()
+        if now >= self.next_lease_request_at:
+            self.next_lease_request_at = now + 5_000
+            if self.play.random.random() < 0.03:
+                for voter in self.holder.release():
+                    self.send(now, voter, "released")
             for voter in voters:
-                self.play.send(now, self.mark, voter, ("lease", self.holder.number, now))
-            self.play.record(now, self.mark, "holds", self.holder.number, self.holder.until(voters))
-        if self.lender.closed(now) and self.voter.leader is not None and now % 1_000 == 0:
-            self.play.send(now, self.mark, self.voter.leader, ("closed", self.lender.closing))
-            if self.said_closed != self.lender.closing:
-                self.said_closed = self.lender.closing
-                self.play.record(now, self.mark, "closed", self.lender.closing)
-
-    def lead(self, now):
-        chance = self.play.chance
-        self.admit_new_marks(now)
-        if self.change is None:
-            self.change = Change.taken_over(now, self.course)
-        if self.change is None and chance.random() < 0.01:
-            number = self.course.last + 1
-            self.change = Change(now, number, f"text {number}", self.name, "because", NAMES)
-            for name in NAMES:
-                if chance.random() < 0.97:
-                    why = "no such group" if chance.random() < 0.04 else None
-                    self.play.later(
-                        now + chance.randrange(100, 15_000), name, self.mark, ("checked", name, why)
-                    )
-        if self.change is None:
+                self.send(now, voter, "lease", self.holder.number, now)
+            self.record(now, "holds", self.holder.number, self.holder.expires_at(voters))
+        if self.grantor.is_drained(now) and self.node.leader is not None and now % 1_000 == 0:
+            successor = self.grantor.successor
+            self.send(now, self.node.leader, "closed", successor)
+            if self.reported_drained != successor:
+                self.reported_drained = successor
+                self.record(now, "closed", successor)
+
+    def lead(self, now: int) -> None:
+        self.replace_lost_voters(now)
+        if self.rollout is None:
+            self.rollout = Rollout.resume(now, self.state_machine)
+        if self.rollout is None and self.play.random.random() < 0.01:
+            self.start_rollout(now)
+        if self.rollout is None:
             return
-        if chance.random() < 0.002:
-            self.play.record(now, self.mark, "abort", self.change.abort(now, "by hand"))
-        command = self.change.due(now, self.voter, self.course)
-        step = STEP_NAMES[self.change.step]
-        self.play.record(now, self.mark, step, self.change.number, self.change.reason, self.change.down())
+        rollout = self.rollout
+        if self.play.random.random() < 0.002:
+            self.record(now, "abort", rollout.abort(now, "by hand"))
+        command = rollout.next_command(now, self.state_machine, self.node.is_quorum)
+        step = rollout.step
+        self.record(now, STEP_NAMES[step], rollout.number, rollout.reason, rollout.unreachable())
         if command is not None:
-            self.add(now, *command)
-        if step in ("done", "refused", "abandoned"):
-            self.play.counts[step] += 1
-            self.change = None
-
-    def admit_new_marks(self, now):
-        """Lets in the new mark of a node that lost its disk, and takes the old one out."""
-        voters = self.voter.voters()
-        marks = [node.mark for node in self.play.nodes.values()]
+            self.propose(now, command)
+        if step in FINAL_STEPS:
+            self.play.counts[STEP_NAMES[step]] += 1
+            self.rollout = None
+
+    def start_rollout(self, now: int) -> None:
+        random = self.play.random
+        number = self.state_machine.last_number + 1
+        self.rollout = Rollout(now, number, f"text {number}", self.name, "because", NAMES)
+        for name in NAMES:
+            if random.random() < 0.97:
+                reason = "no such group" if random.random() < 0.04 else None
+                answered_at = now + random.randrange(100, 15_000)
+                self.play.deliver_at(answered_at, name, self.node_id, ("checked", name, reason))
+
+    def replace_lost_voters(self, now: int) -> None:
+        """Adds the new identity of a node that lost its disk, then removes the old one."""
         if now % 5_000:
             return
-        new = [mark for mark in marks if mark not in voters]
-        old = [mark for mark in voters if mark not in marks]
-        if new:
-            self.add(now, VOTERS, (*voters, new[0]))
-        elif old:
-            self.add(now, VOTERS, tuple(mark for mark in voters if mark != old[0]))
+        voters = self.node.voters()
+        node_ids = [process.node_id for process in self.play.processes.values()]
+        added = [node_id for node_id in node_ids if node_id not in voters]
+        removed = [node_id for node_id in voters if node_id not in node_ids]
+        if added:
+            self.propose(now, ChangeVoters((*voters, added[0])))
+        elif removed:
+            self.propose(now, ChangeVoters(tuple(voter for voter in voters if voter != removed[0])))
 
 
 class Play:
     """A fleet in virtual time with losses, partitions, restarts, lost disks and disks that refuse."""
 
-    def __init__(self, seed, loss):
-        self.seed, self.loss, self.chance = seed, loss, Random(f"play {seed}")
-        self.hash, self.counts = blake2b(digest_size=16), Counter()
-        self.wire, self.serial, self.cut = [], 0, ()
-        self.nodes = {name: Node(self, name) for name in NAMES}
-
-    def record(self, now, mark, kind, *rest):
+    def __init__(self, seed: int, loss: float) -> None:
+        self.seed = seed
+        self.loss = loss
+        self.random = Random(f"play {seed}")
+        self.hash = blake2b(digest_size=16)
+        self.counts = Counter()
+        self.in_flight = []
+        self.message_count = 0
+        self.partitioned = ()
+        self.processes = {name: Process(self, name) for name in NAMES}
+
+    def record(self, now: int, node_id: str, kind: str, *rest: object) -> None:
         self.counts[kind] += 1
-        self.hash.update(f"{now} {mark} {kind} {plain(rest)!r}\n".encode())
+        self.hash.update(f"{now} {node_id} {kind} {plain(rest)!r}\n".encode())
 
-    def later(self, at, sender, to, message):
-        self.serial += 1
-        self.wire.append((at, self.serial, sender, to, message))
+    def deliver_at(self, time: int, sender: str, recipient: str, message: tuple) -> None:
+        self.message_count += 1
+        self.in_flight.append((time, self.message_count, sender, recipient, message))
 
-    def send(self, now, sender, to, message):
-        copies = 0 if self.chance.random() < self.loss else 2 if self.chance.random() < 0.02 else 1
-        if (sender.split("/")[0] in self.cut) != (to.split("/")[0] in self.cut):
+    def send(self, now: int, sender: str, recipient: str, message: tuple) -> None:
+        copies = 0 if self.random.random() < self.loss else 2 if self.random.random() < 0.02 else 1
+        if self.is_partitioned(sender) != self.is_partitioned(recipient):
             copies = 0
         for _ in range(copies):
-            late = 3_000 if self.chance.random() < 0.02 else 400
-            self.later(now + self.chance.randrange(100, late), sender, to, message)
-
-    def faults(self, now):
-        chance = self.chance
-        if chance.random() < 0.002:
-            self.cut = tuple(chance.sample(NAMES, chance.choice((0, 0, 1, 2))))
-            self.record(now, "-", "cut", *self.cut)
-        for node in self.nodes.values():
-            if now < node.down_until:
-                continue
-            if node.down_until:
-                node.down_until = 0
-                # With two new marks at once the old ones may lose their majority for good.
-                lost = chance.random() < 0.3 and all(n.mark in n.voter.voters() for n in self.nodes.values())
-                node.start(now, lost)
-                self.record(now, node.mark, "restart", lost)
-            elif chance.random() < 0.0003 or node.voter.mute and chance.random() < 0.05:
-                node.down_until = now + chance.randrange(1_000, 60_000)
-                self.record(now, node.mark, "down")
-            elif chance.random() < 0.0004:
-                node.refuses_until = now + 5_000
-
-    def run(self, until):
+            max_delay = 3_000 if self.random.random() < 0.02 else 400
+            self.deliver_at(now + self.random.randrange(100, max_delay), sender, recipient, message)
+
+    def is_partitioned(self, node_id: str) -> bool:
+        return node_id.split("/")[0] in self.partitioned
+
+    def cause_faults(self, now: int) -> None:
+        random = self.random
+        if random.random() < 0.002:
+            self.partitioned = tuple(random.sample(NAMES, random.choice((0, 0, 1, 2))))
+            self.record(now, "-", "cut", *self.partitioned)
+        for process in self.processes.values():
+            if now >= process.down_until:
+                self.cause_process_faults(now, process)
+
+    def cause_process_faults(self, now: int, process: Process) -> None:
+        random = self.random
+        if process.down_until:
+            process.down_until = 0
+            # With two new identities at once the old ones may lose their majority for good.
+            lost = random.random() < 0.3 and all(
+                other.node_id in other.node.voters() for other in self.processes.values()
+            )
+            process.start(now, lost)
+            self.record(now, process.node_id, "restart", lost)
+        elif random.random() < 0.0003 or process.node.is_halted and random.random() < 0.05:
+            process.down_until = now + random.randrange(1_000, 60_000)
+            self.record(now, process.node_id, "down")
+        elif random.random() < 0.0004:
+            process.disk_refuses_until = now + 5_000
+
+    def run(self, until: int) -> "Play":
         for now in range(ROUND, until, ROUND):
-            self.faults(now)
-            due = sorted(entry for entry in self.wire if entry[0] <= now)
-            self.wire = [entry for entry in self.wire if entry[0] > now]
-            for node in self.nodes.values():
-                came = [(sender, message) for _, _, sender, to, message in due if to == node.mark]
-                if not node.down_until:
-                    node.round(now, came)
+            self.cause_faults(now)
+            due = sorted((sent for sent in self.in_flight if sent[0] <= now), key=lambda sent: sent[:2])
+            self.in_flight = [sent for sent in self.in_flight if sent[0] > now]
+            for process in self.processes.values():
+                if not process.down_until:
+                    received = [(sent[2], sent[4]) for sent in due if sent[3] == process.node_id]
+                    process.process(now, received)
         return self
 
 
@@ -224,8 +261,8 @@
 @pytest.mark.parametrize(("seed", "loss"), [(1, 0.0), (2, 0.02), (3, 0.1), (4, 0.3), (5, 0.05)])
 def test_played_elections_and_rollouts_are_those_of_c5b2902(seed, loss):
     play = Play(seed, loss).run(4_000_000)
-    found = {word: play.counts[word] for word in SEEN}
-    assert (play.hash.hexdigest(), found) == DIGESTS[seed]
+    counts = {word: play.counts[word] for word in SEEN}
+    assert (play.hash.hexdigest(), counts) == DIGESTS[seed]
 
 
 # seed: (digest, how much of what happened)
--- /dev/null
+++ b/tests/config_log/test_policy_lease.py
@@ -0,0 +1,99 @@
+"""Leases on policy numbers searched through: messages in any order, crashes, clocks that stand still.
+
+A mutation of each guard must break them."""
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from config_log.lease_model import replay, search
+from config_log.mutation import mutated
+from config_log.raft_model import VOTERS
+from wickvane.config_log import policy_lease
+from wickvane.config_log.policy_lease import LeaseGrantor, LeaseHolder
+
+
+def test_no_interleaving_makes_the_old_number_valid_after_the_new():
+    violation, states = search(20_000)
+    print(f"{states} states")
+    assert violation is None and states >= 20_000
+
+
+TICKS = ", ".join(["tick"] * 4)
+MUTATIONS = {  # the guard changed; steps by which that breaks, and the guard itself does not
+    "a voter forgets what it granted": (
+        "self.earlier_leases_expire_at = now + duration + self.drift_allowance",
+        "self.earlier_leases_expire_at = now",
+        "lease x a b, drain a b, crash a b, commit a b, activate a b, lease y a b",
+    ),
+    "drained with a valid lease": (
+        "            and all(now >= expiry for expiry in self.expires_at.values())\n",
+        "",
+        "lease x a b, drain a b, commit a b, activate a b, lease y a b",
+    ),
+    "grants while it drains": (
+        "if number != self.active_number or self.successor is not None:",
+        "if number != self.active_number:",
+        "drain a b, commit a b, lease x a b, activate a b, lease y a b",
+    ),
+    "counts longer than was granted": (
+        "max(requested_at + self.duration,",
+        "max(requested_at + 2 * self.duration,",
+        f"lease x a b, {TICKS}, drain a b, commit a b, activate a b, lease y a b",
+    ),
+    "no majority is needed": (
+        "expiries[len(voters) // 2]",
+        "expiries[0]",
+        "lease x a, drain b c, commit b c, activate b c, lease y b c",
+    ),
+}
+
+
+@pytest.mark.parametrize("name", MUTATIONS)
+def test_a_mutation_of_each_guard_of_leases_is_caught(name):
+    before, after, script = MUTATIONS[name]
+    assert replay(policy_lease, script) is None
+    assert replay(mutated(policy_lease, before, after), script) is not None
+
+
+@settings(max_examples=200, deadline=None)
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["grant", "release", "drain", "activate", "wait"]),
+            st.integers(0, 4),
+            st.integers(0, 3),
+        ),
+        max_size=40,
+    )
+)
+def test_a_grantor_never_activates_a_lower_number_nor_grants_two(steps):
+    grantor = LeaseGrantor(0, 0, duration=10)
+    now = 100
+    highest = 0
+    for step, number, holder in steps:
+        now += number
+        match step:
+            case "grant":
+                may_grant = number == grantor.active_number and grantor.successor is None
+                assert grantor.grant(now, holder, number) is may_grant
+            case "wait":
+                now += 10 * number
+            case "release":
+                grantor.release(holder)
+            case "drain":
+                grantor.drain(number)
+            case "activate":
+                grantor.activate(number)
+        highest = max(highest, grantor.active_number)
+        assert grantor.active_number == highest
+
+
+def test_a_holder_needs_the_grants_of_a_majority():
+    holder = LeaseHolder(1, 10)
+    holder.record_grant("a", 1, 100)
+    assert not holder.is_valid(100, VOTERS)
+    holder.record_grant("b", 1, 95)
+    holder.record_grant("c", 2, 100)
+    assert holder.is_valid(104, VOTERS) and not holder.is_valid(105, VOTERS) and holder.expires_at(()) == 0
+    assert sorted(holder.release()) == ["a", "b"] and not holder.is_valid(100, VOTERS)
--- a/tests/config_log/test_vote_store_format.py
+++ b/tests/config_log/test_vote_store_format.py
@@ -9,15 +9,15 @@
 
 import pytest
 
-from config_log.test_message_digest import plain
-from wickvane.config_log.store import Store
+from config_log.plain_records import plain_state
+from wickvane.config_log.vote_store import VoteStore
 
 FIXTURES = Path(__file__).parents[1] / "data" / "vote-store-c5b2902"
 
 
-def opened(tmp_path: Path, name: str) -> Store:
+def opened(tmp_path: Path, name: str) -> VoteStore:
     shutil.copytree(FIXTURES / name, tmp_path / name)
-    return Store(tmp_path / name, "other")
+    return VoteStore(tmp_path / name, "other")
 
 
 def policy(number: int) -> tuple:
@@ -32,8 +32,8 @@
 
 def test_a_file_with_every_kind_of_entry_is_read(tmp_path):
     store = opened(tmp_path, "all-commands")
-    assert not store.fresh and store.lost is None and store.mark == "n1/0123456789abcdef"
-    assert plain(store.record) == (
+    assert not store.is_new and store.discard_reason is None and store.node_id == "n1/0123456789abcdef"
+    assert plain_state(store.state) == (
         7,
         "n2/fedcba9876543210",
         (
@@ -53,26 +53,26 @@
 
 def test_a_file_of_a_new_voter_is_read(tmp_path):
     store = opened(tmp_path, "new-voter")
-    assert not store.fresh and store.lost is None and store.mark == "n4/0123456789abcdef"
-    assert plain(store.record) == (0, None, ())
+    assert not store.is_new and store.discard_reason is None and store.node_id == "n4/0123456789abcdef"
+    assert plain_state(store.state) == (0, None, ())
 
 
 def test_a_file_of_a_played_fleet_is_read(tmp_path):
     store = opened(tmp_path, "played")
-    assert not store.fresh and store.lost is None and store.mark == "n1/0"
-    term, voted_for, log = plain(store.record)
+    assert not store.is_new and store.discard_reason is None and store.node_id == "n1/0"
+    term, voted_for, log = plain_state(store.state)
     assert (term, voted_for, len(log)) == (27, "n2/10", 160)
     assert log[-3:] == (
         (26, 3, (57, "by hand")),
         (27, 0, None),
         (27, 1, (58, "692e7869be71b02c83b5f5ae6e37f382", "text 58", "n2", "because")),
     )
-    digest = blake2b(repr(plain(store.record)).encode(), digest_size=16).hexdigest()
+    digest = blake2b(repr(plain_state(store.state)).encode(), digest_size=16).hexdigest()
     assert digest == "ee258a4fd5e2038578585f59c1f14e8d"
 
 
 @pytest.mark.parametrize("name", ["all-commands", "new-voter", "played"])
 def test_what_was_read_is_written_byte_for_byte(tmp_path, name):
     store = opened(tmp_path, name)
-    store.save(store.record)
+    store.save(store.state)
     assert (tmp_path / name / "vote").read_bytes() == (FIXTURES / name / "vote").read_bytes()
--- a/wickvane/__main__.py
+++ b/wickvane/__main__.py
@@ -85,7 +85,7 @@
 # Commands that stand alone, and the modules whose main() takes docopt's words; imported only where asked for.
 COMMANDS = {
     "peers": "wickvane.cluster.tool",
-    "policy": "wickvane.config_log.tool",
+    "policy": "wickvane.config_log.command",
     "shares": "wickvane.quotas.tool",
     "members": "wickvane.endpoints.tool",
     "flows": "wickvane.flows.tool",
--- a/wickvane/config_log/__init__.py
+++ b/wickvane/config_log/__init__.py
@@ -1,1 +1,1 @@
-"""One policy everywhere or nowhere: an agreed log, leases on its numbers, taking hold, undoing."""
+"""Replicated configuration: policies in a Raft log, rolled out to all dispatchers or none, under leases."""
--- /dev/null
+++ b/wickvane/config_log/policy_document.py
@@ -0,0 +1,199 @@
+"""Reads a policy, a KDL document that overrides settings of a deployment, and validates it; no I/O.
+
+    policy {
+        group "lookup" { target "1500ms"; timeout "5s"; value 2.0; late 0.2 }
+        tenant "acme" share=0.5
+        further free=2 share=0.05
+        cold multiple=2.0
+    }
+
+What a document leaves out stays as the settings have it. Where the settings bound what a dispatcher may do
+(rules 1, 4 and 7 of the service) a policy may only be stricter: a shorter timeout, a smaller retry budget, a
+lower load on engines that are warming up. A policy cannot override effects, idempotency keys, placement or
+idempotency windows, since a query admitted under one policy may complete under the next.
+
+This module alone knows the document's node names; the records that it returns have the settings' field names.
+"""
+
+from collections.abc import Sequence
+from typing import NamedTuple
+
+from wickvane import parts
+from wickvane.events import Deployment, ResourceGroup
+from wickvane.parts import Node, Unusable
+from wickvane.units import to_milliseconds
+
+MAX_DOCUMENT_CHARACTERS = 65_536
+MAX_SHARE_SUM = 1.0001  # 1 with room for rounding
+
+_DURATION = parts.duration("1ms", "1h")
+_PRIORITY_WEIGHT = parts.share(0.001, 1e6)
+_FRACTION = parts.share(0.0, 1.0)
+_TENANT_SHARE = parts.share(0.0001, 1.0)
+_RETRY_BUDGET_MINIMUM = parts.share(0, 1e6)
+_COLLAPSE_MULTIPLE = parts.share(0.01, 1e6)
+
+# The document's name of each setting that a policy can override.
+GROUP_NODES = {
+    "latency_objective": "target",
+    "timeout": "timeout",
+    "priority_weight": "value",
+    "late_priority_weight": "late",
+}
+DEPLOYMENT_NODES = {
+    "retry_budget_minimum": ("further", "free"),
+    "retry_budget_ratio": ("further", "share"),
+    "collapse_multiple": ("cold", "multiple"),
+}
+
+
+class GroupOverrides(NamedTuple):
+    """What a policy overrides of one resource group; None keeps the setting. Times in ticks."""
+
+    latency_objective: int | None
+    timeout: int | None
+    priority_weight: float | None
+    late_priority_weight: float | None
+
+
+class RetryBudgetOverrides(NamedTuple):
+    """What a policy overrides of the retry budget; None keeps the setting."""
+
+    minimum: float | None = None
+    ratio: float | None = None
+
+
+class Policy(NamedTuple):
+    """A document that was read; groups and tenant_shares by name, None keeps the setting."""
+
+    groups: dict[str, GroupOverrides]
+    tenant_shares: dict[str, float]
+    retry_budget: RetryBudgetOverrides
+    collapse_multiple: float | None
+
+
+def parse_policy(
+    text: str, group_names: Sequence[str], tenant_names: Sequence[str], deployment: Deployment
+) -> Policy:
+    """Reads a document and checks it against the deployment that it is to override.
+
+    group_names, tenant_names: names in the deployment's order. Raises Unusable, which names the place in the
+    document and what was expected there.
+    """
+    if len(text) > MAX_DOCUMENT_CHARACTERS:
+        raise Unusable(f"it is longer than {MAX_DOCUMENT_CHARACTERS} characters")
+    import ckdl
+
+    try:
+        document = ckdl.parse(text, version=2)
+    except (ValueError, RecursionError) as error:
+        raise Unusable(f"no KDL 2: {error}") from None
+    if [node.name for node in document.nodes] != ["policy"]:
+        raise Unusable("expected one node policy")
+    node = Node(document.nodes[0], "policy", text)
+    if document.nodes[0].args:
+        raise node.wrong("no value of its own")
+    policy = Policy(
+        groups=_read_groups(node, group_names, deployment),
+        tenant_shares=_read_tenants(node, tenant_names),
+        retry_budget=_read_retry_budget(node, deployment),
+        collapse_multiple=_read_collapse_multiple(node, deployment),
+    )
+    node.done()
+    return policy
+
+
+def _read_name(node: Node, known_names: Sequence[str], description: str) -> str:
+    """The node's argument, which must be one of the settings' names."""
+    return node.argument(
+        parts.Kind(
+            f"{description} of the settings: {', '.join(known_names) or 'none'}",
+            lambda value: value if value in known_names else parts.refuse(),
+        )
+    )
+
+
+def _require_first(read: dict, name: str, node: Node) -> None:
+    """Raises Unusable where an earlier node had the same name."""
+    if name in read:
+        raise node.wrong("each by one node", name)
+
+
+def _read_groups(
+    policy_node: Node, group_names: Sequence[str], deployment: Deployment
+) -> dict[str, GroupOverrides]:
+    groups = {}
+    for node in policy_node.children("group"):
+        name = _read_name(node, group_names, "a resource group")
+        _require_first(groups, name, node)
+        settings = deployment.groups[list(group_names).index(name)]
+        overrides = GroupOverrides(
+            latency_objective=node.value(GROUP_NODES["latency_objective"], _DURATION),
+            timeout=node.value(GROUP_NODES["timeout"], _DURATION),
+            priority_weight=node.value(GROUP_NODES["priority_weight"], _PRIORITY_WEIGHT),
+            late_priority_weight=node.value(GROUP_NODES["late_priority_weight"], _FRACTION),
+        )
+        _check_group_bounds(node, overrides, settings)
+        node.done()
+        groups[name] = overrides
+    return groups
+
+
+def _check_group_bounds(node: Node, overrides: GroupOverrides, settings: ResourceGroup) -> None:
+    timeout = settings.timeout if overrides.timeout is None else overrides.timeout
+    if timeout > settings.timeout:
+        limit = f"at most the settings' {to_milliseconds(settings.timeout):g}ms (rule 1)"
+        raise node.wrong(limit, name=GROUP_NODES["timeout"])
+    objective = overrides.latency_objective
+    if objective is None:
+        objective = settings.latency_objective
+    if objective > timeout:
+        raise node.wrong("a target within the timeout", name=GROUP_NODES["latency_objective"])
+
+
+def _read_tenants(policy_node: Node, tenant_names: Sequence[str]) -> dict[str, float]:
+    shares = {}
+    for node in policy_node.children("tenant"):
+        name = _read_name(node, tenant_names, "a tenant")
+        _require_first(shares, name, node)
+        share = node.property("share", _TENANT_SHARE)
+        if share is None:
+            raise node.wrong("a property share")
+        node.done()
+        shares[name] = share
+    if sum(shares.values()) > MAX_SHARE_SUM:
+        raise policy_node.wrong("shares of at most 1 together", name="tenant")
+    return shares
+
+
+def _read_retry_budget(policy_node: Node, deployment: Deployment) -> RetryBudgetOverrides:
+    node_name, minimum_name = DEPLOYMENT_NODES["retry_budget_minimum"]
+    _, ratio_name = DEPLOYMENT_NODES["retry_budget_ratio"]
+    node = policy_node.child(node_name)
+    if node is None:
+        return RetryBudgetOverrides()
+    minimum = node.property(minimum_name, _RETRY_BUDGET_MINIMUM)
+    ratio = node.property(ratio_name, _FRACTION)
+    node.done()
+    if not deployment.retry_budget_window:
+        raise node.wrong("settings with a window of further submissions")
+    _check_limit(node, minimum_name, minimum, deployment.retry_budget_minimum, rule=7)
+    _check_limit(node, ratio_name, ratio, deployment.retry_budget_ratio, rule=7)
+    return RetryBudgetOverrides(minimum, ratio)
+
+
+def _read_collapse_multiple(policy_node: Node, deployment: Deployment) -> float | None:
+    node_name, multiple_name = DEPLOYMENT_NODES["collapse_multiple"]
+    node = policy_node.child(node_name)
+    if node is None:
+        return None
+    multiple = node.property(multiple_name, _COLLAPSE_MULTIPLE)
+    node.done()
+    _check_limit(node, multiple_name, multiple, deployment.collapse_multiple, rule=4)
+    return multiple
+
+
+def _check_limit(node: Node, name: str, value: float | None, limit: float, rule: int) -> None:
+    """Raises Unusable where a policy would be less strict than the settings."""
+    if value is not None and value > limit:
+        raise node.wrong(f"at most the settings' {limit:g} (rule {rule})", value, name)
