--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -132,22 +132,29 @@
 
 
 def decided(count, changes=300):
-    """Milliseconds of CPU that one engine's change costs from the Roster on, journal and all; no file."""
-    from wickvane.endpoints import checks, membership
-    from wickvane.endpoints import roster as ro
-
-    facts = checks.Facts({"old": 8}, None, (("lookup", None, None),), 0.3, 150_000)
-    roster = ro.whole(0, [ro.Member(f"e{n}", ("10.0.0.1", n + 1), None, "old") for n in range(count)])
-    members = membership.Membership(facts, membership.Terms())
-    members.candidate(1_000_000, roster, None)
-    members.effects()
+    """Milliseconds of CPU that one engine's change costs from the snapshot on, with its records; no file."""
+    from wickvane.endpoints.change_policy import ChangePolicy
+    from wickvane.endpoints.effects import AppendRecord
+    from wickvane.endpoints.endpoint_list import EndpointList
+    from wickvane.endpoints.records import encode_record
+    from wickvane.endpoints.snapshot import Endpoint, make_snapshot, update_snapshot
+    from wickvane.endpoints.topology import GroupPlacement, Topology
+
+    topology = Topology({"old": 8}, None, (GroupPlacement("lookup", None, None),), 0.3, 150_000)
+    snapshot = make_snapshot(0, [Endpoint(f"e{n}", ("10.0.0.1", n + 1), None, "old") for n in range(count)])
+    endpoint_list = EndpointList(topology, ChangePolicy())
+    endpoint_list.submit(1_000_000, snapshot, None)
+    endpoint_list.take_effects()
     began = time.process_time()
     for n in range(changes):
         name = f"e{n % count}"
-        one = roster.members[name]
-        roster = ro.changed(roster, 0, [one._replace(weight=0.5 if one.weight == 1.0 else 1.0)])
-        members.candidate(1_000_000 + n, roster, None)
-        members.effects()
+        endpoint = snapshot.endpoints[name]
+        weight = 0.5 if endpoint.weight == 1.0 else 1.0
+        snapshot = update_snapshot(snapshot, 0, [endpoint._replace(weight=weight)])
+        endpoint_list.submit(1_000_000 + n, snapshot, None)
+        for effect in endpoint_list.take_effects():
+            if isinstance(effect, AppendRecord):
+                encode_record(effect.record)
     return round((time.process_time() - began) * 1000 / changes, 4)
 
 
@@ -164,9 +171,9 @@
         made = service(path, None, 'still "20ms"; linger "5s"\nlimits { share-removed 1 past="note" }')
         seen, lock = Seen(Figures({0: "read-only"}, grace=2.0)), threading.Lock()
         began = time.monotonic()
-        members = made.members.membership
+        source = made.parts[0].source
         made.found = {"listen": "{}:{}".format(*made.address)}
-        listed = made.members.told
+        listed = source.sink
 
         def told(number, whole, entries, back):
             with lock:
@@ -177,7 +184,8 @@
                     seen.listed(time.monotonic() - began, name, word, "old")
             listed(number, whole, entries, back)
 
-        made.members.told, gone = told, set()
+        source.sink = told
+        gone = set()
         ended, answers = threading.Event(), []
         for name, engine in engines.items():
 
@@ -212,10 +220,15 @@
         for _ in range(count):
             if chance.random() < 0.3:
                 text, code = chance.choice(sorted(BAD.items()))
-                members.refused = None
+                source.endpoint_list.last_rejection = None
                 put(path, text)
                 try:
-                    until(lambda code=code: members.refused and code in members.refused[2], 2)
+                    until(
+                        lambda code=code: (
+                            (rejection := source.endpoint_list.last_rejection) and code in rejection.codes
+                        ),
+                        2,
+                    )
                 except RuntimeError:
                     unnamed += 1
             else:
--- a/tests/endpoints/test_effect_digest.py
+++ b/tests/endpoints/test_effect_digest.py
@@ -5,54 +5,61 @@
 classes or fields. They were recorded from commit c5b2902.
 """
 
-from collections.abc import Iterable
 from hashlib import blake2b
 from random import Random
 
 import orjson
 import pytest
 
-from wickvane.endpoints import checks, findings, membership, roster
+from wickvane.endpoints.change_policy import ChangeLimits, ChangePolicy
+from wickvane.endpoints.effects import AppendRecord, Effect, PublishUpdate, WriteLogEvent
+from wickvane.endpoints.endpoint_list import EndpointList
+from wickvane.endpoints.findings import Finding, Location, Severity
+from wickvane.endpoints.records import decode_record, encode_record
+from wickvane.endpoints.snapshot import FIELDS_BY_WORD, Endpoint, Snapshot, make_snapshot
+from wickvane.endpoints.status import status_document
+from wickvane.endpoints.topology import GroupPlacement, Topology
 from wickvane.events import EngineState
 from wickvane.units import TICKS_PER_SECOND
 
-TOPOLOGY = checks.Facts(
+TOPOLOGY = Topology(
     {"old": 8, "new": 4},
     frozenset(("a", "b")),
-    (("lookup", None, None), ("load", None, frozenset(("new",)))),
+    (GroupPlacement("lookup", None, None), GroupPlacement("load", None, frozenset(("new",)))),
     0.3,
     15 * TICKS_PER_SECOND,
 )
 POLICIES = {
-    "usual": membership.Terms(linger=20 * TICKS_PER_SECOND, hold=60 * TICKS_PER_SECOND),
-    "staged": membership.Terms(
-        checks.Limits(share=0.25, share_past=findings.STEPS, factor=2.0),
-        step=TICKS_PER_SECOND,
-        linger=5 * TICKS_PER_SECOND,
+    "usual": ChangePolicy(drain_timeout=20 * TICKS_PER_SECOND, confirmation_timeout=60 * TICKS_PER_SECOND),
+    "staged": ChangePolicy(
+        ChangeLimits(removed_fraction=0.25, removed_fraction_severity=Severity.STAGE, weight_factor=2.0),
+        step_interval=TICKS_PER_SECOND,
+        drain_timeout=5 * TICKS_PER_SECOND,
     ),
-    "strict": membership.Terms(
-        checks.Limits(
-            share=0.2,
-            share_past=findings.REFUSE,
-            capacity_past=findings.STEPS,
-            last_past=findings.HOLD,
-            factor_past=findings.HOLD,
-            empty_past=findings.HOLD,
+    "strict": ChangePolicy(
+        ChangeLimits(
+            removed_fraction=0.2,
+            removed_fraction_severity=Severity.REJECT,
+            load_fraction_severity=Severity.STAGE,
+            last_of_group_severity=Severity.HOLD,
+            weight_factor_severity=Severity.HOLD,
+            empty_severity=Severity.HOLD,
         ),
-        hold=30 * TICKS_PER_SECOND,
+        confirmation_timeout=30 * TICKS_PER_SECOND,
     ),
-    "lenient": membership.Terms(
-        checks.Limits(
-            share_past=findings.NOTE,
-            capacity_past=findings.NOTE,
-            last_past=findings.NOTE,
-            factor_past=findings.NOTE,
-            empty_past=findings.NOTE,
+    "lenient": ChangePolicy(
+        ChangeLimits(
+            removed_fraction_severity=Severity.NOTE,
+            load_fraction_severity=Severity.NOTE,
+            last_of_group_severity=Severity.NOTE,
+            weight_factor_severity=Severity.NOTE,
+            empty_severity=Severity.NOTE,
         ),
-        step=TICKS_PER_SECOND // 2,
+        step_interval=TICKS_PER_SECOND // 2,
     ),
-    "overrides": membership.Terms(
-        checks.Limits(share_past=findings.STEPS, factor_past=findings.STEPS), overrides=True
+    "overrides": ChangePolicy(
+        ChangeLimits(removed_fraction_severity=Severity.STAGE, weight_factor_severity=Severity.STAGE),
+        overrides_coordinator=True,
     ),
 }
 ACTIONS = 160
@@ -85,79 +92,78 @@
 }
 
 
-def make_list(policy_name: str) -> membership.Membership:
+def make_list(policy_name: str) -> EndpointList:
     """An empty endpoint list under a named policy."""
-    return membership.Membership(TOPOLOGY, POLICIES[policy_name])
+    return EndpointList(TOPOLOGY, POLICIES[policy_name])
 
 
 def make_endpoint(
     name: str, address: tuple[str, int] | None, weight: float, kind: str | None, zone: str, **stated: object
-) -> roster.Member:
+) -> Endpoint:
     """An endpoint as a document lists it; weight 0 drains it."""
     state = EngineState.DRAINING if weight == 0 else stated.pop("state", EngineState.READY)
-    return roster.Member(name, address, zone, kind, 0, 0, weight, state, **stated)
-
-
-def make_snapshot(endpoints: Iterable[roster.Member]) -> roster.Roster:
-    """A snapshot of these endpoints, without a generation."""
-    return roster.whole(0, endpoints)
+    return Endpoint(name, address, zone, kind, 0, 0, weight, state, **stated)
 
 
 def submit(
-    endpoint_list: membership.Membership,
+    endpoint_list: EndpointList,
     now: int,
-    snapshot: roster.Roster,
+    snapshot: Snapshot,
     generation: int | None,
     is_broken: bool,
     load: float | None,
 ) -> None:
     """Offers a document that was read, or one that could not be."""
-    found = [findings.Finding("no-document", findings.REFUSE, "cut", "m.kdl", 3)] if is_broken else []
-    endpoint_list.candidate(now, snapshot, generation, found, "test", load, lambda name: ("m.kdl", 7))
+    findings = [Finding("no-document", Severity.REJECT, "cut", "m.kdl", 3)] if is_broken else []
+    location = Location("m.kdl", 7)
+    endpoint_list.submit(now, snapshot, generation, findings, "test", load, lambda name: location)
+
 
+def rendered(effect: Effect) -> list:
+    """An effect in plain values."""
+    match effect:
+        case AppendRecord(record):
+            return ["record", orjson.dumps(encode_record(record)).decode()]
+        case PublishUpdate(number, is_full, entries, readmitted):
+            return ["update", str(number), is_full, [list(entry) for entry in entries], list(readmitted)]
+        case WriteLogEvent(event, fields):
+            return ["log", event, sorted(fields.items())]
 
-def rendered_effects(endpoint_list: membership.Membership) -> list:
+
+def rendered_effects(endpoint_list: EndpointList) -> list:
     """The effects since the last call, in plain values; takes them."""
-    rendered = []
-    for kind, *rest in endpoint_list.effects():
-        if kind == "journal":
-            rendered.append(["record", orjson.dumps(rest[0]).decode()])
-        elif kind == "tell":
-            number, is_full, entries, back = rest
-            rendered.append(["update", str(number), is_full, [list(entry) for entry in entries], list(back)])
-        else:
-            rendered.append(["log", rest[0], sorted(rest[1].items())])
-    return rendered
+    return [rendered(effect) for effect in endpoint_list.take_effects()]
 
 
-def apply_record(endpoint_list: membership.Membership, record: dict) -> None:
+def apply_record(endpoint_list: EndpointList, stored: dict) -> None:
     """Recovers one record of the journal, in its stored form."""
-    endpoint_list.apply(record)
+    endpoint_list.apply(decode_record(stored))
 
 
-def checkpoint(endpoint_list: membership.Membership, now: int) -> dict:
+def checkpoint(endpoint_list: EndpointList, now: int) -> dict:
     """The one record that replaces all before it, in its stored form."""
-    return endpoint_list.whole(now)
+    return encode_record(endpoint_list.checkpoint(now))
 
 
-def stream(endpoint_list: membership.Membership, now: int, number: int, is_full: bool, entries: list) -> None:
+def stream(endpoint_list: EndpointList, now: int, number: int, is_full: bool, entries: list) -> None:
     """An event of the coordinator's stream."""
-    endpoint_list.streamed(now, number, is_full, entries)
+    endpoint_list.apply_stream_event(now, number, is_full, entries)
 
 
-def operate(endpoint_list: membership.Membership, now: int, order: str, generation: int) -> bool:
+def operate(endpoint_list: EndpointList, now: int, order: str, generation: int) -> bool:
     """An operator's order."""
     if order == "stop":
-        return endpoint_list.stop(now, "anna")
+        return endpoint_list.pause(now, "anna")
     if order == "confirm":
         return endpoint_list.confirm(now, generation, "anna")
     return endpoint_list.rollback(now, generation, "anna", 20.0)
 
 
-def held_generation(endpoint_list: membership.Membership) -> int:
+def held_generation(endpoint_list: EndpointList) -> int:
     """The generation that waits for its confirmation, or the current one."""
-    held = endpoint_list.status()["held"]
-    return held["generation"] if held else endpoint_list.status()["generation"]
+    status = status_document(endpoint_list)
+    held = status["held"]
+    return held["generation"] if held else status["generation"]
 
 
 class Player:
@@ -187,10 +193,10 @@
                 self.codes.update(self.journal[-1].get("codes", ()))
             elif effect[0] == "log":
                 self.codes.add(effect[1])
-        status = self.endpoint_list.status()
-        self.digest.update(orjson.dumps([self.now, effects, status, self.endpoint_list.next_at()]))
+        status = status_document(self.endpoint_list)
+        self.digest.update(orjson.dumps([self.now, effects, status, self.endpoint_list.next_wakeup()]))
 
-    def document(self) -> list[roster.Member]:
+    def document(self) -> list[Endpoint]:
         """Endpoints of a generated document: usually a small change, sometimes a large or wrong one."""
         random = self.random
         count = random.choice([0, 2, 5, 9, 10, 11, 11, 12, 12, 12])
@@ -203,8 +209,9 @@
                 address = ("10.0.0.1", 1000 + (n if random.random() < 0.97 else n + 1))
                 chosen.append(make_endpoint(f"e{n}", address, weight, kind, zone))
                 continue
-            fields = frozenset(random.choice([["weight"], ["weight", "zone"], ["weight", "since_ms"], []]))
-            chosen.append(make_endpoint(f"e{n}", None, weight, None, zone, given=fields))
+            words = random.choice([["weight"], ["weight", "zone"], ["weight", "since_ms"], []])
+            stated = frozenset(FIELDS_BY_WORD[word] for word in words)
+            chosen.append(make_endpoint(f"e{n}", None, weight, None, zone, stated_fields=stated))
         return chosen
 
     def stream_event(self) -> None:
@@ -246,9 +253,9 @@
         if self.is_overriding and choice < 0.25:
             self.stream_event()
         elif choice < 0.55:
-            generation = random.choice([None, None, None, self.endpoint_list.status()["generation"] + 1, 3])
+            generation = random.choice([None, None, None, self.endpoint_list.generations.number + 1, 3])
             load = random.choice([None, 5.0, 60.0])
-            document = make_snapshot(self.document())
+            document = make_snapshot(0, self.document())
             submit(self.endpoint_list, self.now, document, generation, random.random() < 0.08, load)
             if random.random() < 0.2:
                 submit(self.endpoint_list, self.now + 1, document, generation, False, load)
--- /dev/null
+++ b/tests/endpoints/test_journal.py
@@ -0,0 +1,248 @@
+"""The journal: cut anywhere, killed at each step, full disks, and recovery from it."""
+
+import os
+from itertools import count
+from pathlib import Path
+from random import Random
+from typing import NamedTuple
+
+import pytest
+from bench_free import until
+
+from endpoints.support import (
+    TOPOLOGY,
+    FollowedFile,
+    ListHarness,
+    make_endpoint,
+    make_endpoints,
+    names,
+    replace_document,
+)
+from wickvane.endpoints.change_policy import ChangePolicy
+from wickvane.endpoints.effects import AppendRecord, PublishUpdate
+from wickvane.endpoints.endpoint_list import EndpointList
+from wickvane.endpoints.findings import Severity
+from wickvane.endpoints.journal import (
+    JOURNAL_NAME,
+    MAGIC,
+    Disk,
+    Journal,
+    JournalError,
+    frame_record,
+    parse_journal,
+    read_journal,
+)
+from wickvane.endpoints.records import encode_record
+from wickvane.endpoints.snapshot import Snapshot, make_snapshot
+from wickvane.endpoints.state_folder import recover_records
+from wickvane.errors import ConfigError
+from wickvane.events import EngineState
+
+
+class StoredJournal(NamedTuple):
+    """A journal's octets, and its size after the magic and after each record."""
+
+    data: bytes
+    sizes: list[int]
+
+
+def write_generations(generation_count: int = 12) -> StoredJournal:
+    """The octets of a journal of some generations, each of whose records can be applied."""
+    harness = ListHarness(
+        removed_fraction_severity=Severity.STAGE, removed_fraction=0.3, step_interval=10_000
+    )
+    for n in range(generation_count):
+        harness.submit(make_endpoints(4 + n * 5 % 9))
+        harness.advance_time(15_000)
+    endpoint_list = EndpointList(harness.topology, harness.policy)
+    data = MAGIC
+    checksum = b""
+    sizes = [len(MAGIC)]
+    for stored in harness.journal:
+        octets, checksum = frame_record(checksum, stored)
+        data += octets
+        recover_records(endpoint_list, [stored])
+        sizes.append(len(data))
+    return StoredJournal(data, sizes)
+
+
+def test_a_journal_cut_at_any_byte_keeps_the_records_before_the_cut() -> None:
+    data, sizes = write_generations()
+    for size in range(len(data) + 1):
+        content = parse_journal(data[:size])
+        expected = max((n for n, end in enumerate(sizes) if end <= size), default=0)
+        assert len(content.records) == expected and content.size <= size
+    for position in Random(1).sample(range(len(MAGIC), len(data)), 300):
+        damaged = data[:position] + bytes((data[position] ^ 1,)) + data[position + 1 :]
+        content = parse_journal(damaged)
+        assert len(content.records) == max(n for n, end in enumerate(sizes) if end <= position)
+    # A record in another's position is invalid there.
+    first = data[sizes[0] : sizes[1]]
+    second = data[sizes[1] : sizes[2]]
+    assert parse_journal(MAGIC + second + first).records == []
+    with pytest.raises(JournalError):
+        parse_journal(b"something else")
+
+
+class ProcessKilledError(Exception):
+    """The process is killed here."""
+
+
+class KillingDisk(Disk):
+    """Kills the process at the n-th step, a write midway."""
+
+    def __init__(self, steps: int) -> None:
+        self.steps_left = steps
+
+    def _step(self) -> None:
+        self.steps_left -= 1
+        if self.steps_left < 0:
+            raise ProcessKilledError
+
+    def open(self, path: str) -> int:
+        """A step."""
+        self._step()
+        return super().open(path)
+
+    def write(self, descriptor: int, data: bytes, position: int) -> None:
+        """A step; half of the octets are written where the process is killed."""
+        try:
+            self._step()
+        except ProcessKilledError:
+            super().write(descriptor, data[: len(data) // 2], position)
+            raise
+        super().write(descriptor, data, position)
+
+    def truncate(self, descriptor: int, size: int) -> None:
+        """A step."""
+        self._step()
+        super().truncate(descriptor, size)
+
+    def sync(self, descriptor: int) -> None:
+        """A step."""
+        self._step()
+        super().sync(descriptor)
+
+    def replace(self, source: str, path: str) -> None:
+        """A step."""
+        self._step()
+        super().replace(source, path)
+
+    def sync_folder(self, folder: str) -> None:
+        """A step."""
+        self._step()
+        super().sync_folder(folder)
+
+
+def document_of(n: int) -> Snapshot:
+    """The n-th document."""
+    return make_snapshot(0, make_endpoints(6 + n % 3))
+
+
+def publish_six_documents(endpoint_list: EndpointList, journal: Journal, published: list[int]) -> bool:
+    """Journals and publishes six documents; False where the process was killed meanwhile."""
+    try:
+        journal.read()
+        for n in range(6):
+            endpoint_list.submit(1_000_000 + n, document_of(n), None)
+            for effect in endpoint_list.take_effects():
+                if isinstance(effect, AppendRecord):
+                    journal.append(encode_record(effect.record))
+                elif isinstance(effect, PublishUpdate):
+                    published.append(endpoint_list.generations.number)
+            if journal.needs_compaction():
+                journal.compact(encode_record(endpoint_list.checkpoint(1_000_000 + n)))
+    except ProcessKilledError:
+        return False
+    return True
+
+
+def test_a_process_killed_at_any_disk_step_recovers_what_it_published(tmp_path: Path) -> None:
+    """What was published is never newer than what a restart recovers, and that is a whole generation."""
+    for steps in count():
+        folder = str(tmp_path / f"s{steps}")
+        os.mkdir(folder)
+        endpoint_list = EndpointList(TOPOLOGY, ChangePolicy())
+        published: list[int] = []
+        journal = Journal(folder, KillingDisk(steps), 1500)
+        is_complete = publish_six_documents(endpoint_list, journal, published)
+        os.close(journal.lock)
+        recovered = EndpointList(TOPOLOGY, ChangePolicy())
+        reopened = Journal(folder)
+        recover_records(recovered, reopened.read())
+        generation = recovered.generations.number
+        last = endpoint_list.generations.number
+        assert generation >= (published[-1] if published else 0)
+        assert generation in (last, last - 1, 0)
+        if generation:
+            assert recovered.generations.target.endpoints == document_of(generation - 1).endpoints
+        reopened.append({"what": "stopped"})  # it can be written on
+        assert len(read_journal(folder).records) and reopened.size
+        reopened.close()
+        if is_complete:
+            assert steps > 20
+            return
+
+
+def test_a_restart_without_the_file_recovers_the_list_and_its_drains(tmp_path: Path, path: str) -> None:
+    state = str(tmp_path / "state")
+    replace_document(path, make_endpoints(4), 1)
+    followed = FollowedFile(path, state)
+    replace_document(path, [*make_endpoints(3), make_endpoint(3, weight=0.0)], 2)
+    until(lambda: followed.published.get("e3") == EngineState.DRAINING)
+    with pytest.raises(ConfigError, match="another process"):
+        FollowedFile(path, state)
+    followed.stop()
+    for change_file in (lambda: os.unlink(path), lambda: replace_document(path, make_endpoints(4), 1)):
+        change_file()
+        again = FollowedFile(path, state)
+        assert again.published == {
+            "e0": EngineState.READY,
+            "e1": EngineState.READY,
+            "e2": EngineState.READY,
+            "e3": EngineState.DRAINING,
+        }
+        fields = again.log.of("members-from-journal")[-1]
+        assert fields["generation"] == 2 and again.source.status()["old"]
+        until(lambda again=again: again.log.of("members-refused"))
+        assert again.published["e3"] == EngineState.DRAINING
+        again.stop()
+    replace_document(path, make_endpoints(4), 3)
+    last = FollowedFile(path, state)
+    until(lambda: last.ready_names() == names(4))
+    assert not last.source.status()["old"]
+    last.stop()
+
+
+def test_a_failing_journal_stops_no_drain_and_is_compacted_later(tmp_path: Path, path: str) -> None:
+    state = str(tmp_path / "state")
+    replace_document(path, make_endpoints(4))
+    followed = FollowedFile(path, state)
+    disk = followed.source.journal.journal.disk
+
+    class FullDisk(Disk):
+        def write(self, descriptor: int, data: bytes, position: int) -> None:
+            raise OSError(28, "No space left on device")
+
+    followed.source.journal.journal.disk = FullDisk()
+    replace_document(path, make_endpoints(3))
+    until(lambda: followed.published.get("e3") == EngineState.DRAINING)
+    assert followed.log.of("members-journal-failed")
+    followed.source.journal.journal.disk = disk
+    replace_document(path, make_endpoints(5))
+    until(lambda: followed.ready_names() == names(5))
+    followed.stop()
+    again = FollowedFile(path, state)
+    assert again.ready_names() == names(5) and not again.log.of("members-refused")
+    again.stop()
+
+
+def test_an_unreadable_journal_is_set_apart(tmp_path: Path, path: str) -> None:
+    state = tmp_path / "state"
+    state.mkdir()
+    (state / JOURNAL_NAME).write_bytes(b"not a journal at all")
+    replace_document(path, make_endpoints(4))
+    followed = FollowedFile(path, str(state))
+    assert followed.ready_names() == names(4) and followed.log.of("members-journal-unreadable")
+    assert [name for name in os.listdir(state) if "unreadable" in name]
+    followed.stop()
--- /dev/null
+++ b/tests/endpoints/test_process_kill.py
@@ -0,0 +1,75 @@
+"""`wickvane serve` killed while its files change."""
+
+import json
+import os
+import subprocess
+import sys
+import threading
+import time
+from pathlib import Path
+from random import Random
+
+from bench_free import Events, found, until
+
+from endpoints.support import ROOT, make_endpoints, replace_document
+
+
+class Program:
+    """`wickvane serve` as it is, with what it logs."""
+
+    def __init__(self, folder: Path) -> None:
+        words = ["serve", f"--config={folder}/config.json", f"--parts={folder}/parts.kdl"]
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "wickvane", *words], cwd=ROOT, stdout=subprocess.PIPE
+        )
+        self.lines: list[dict] = []
+        threading.Thread(target=self._read, daemon=True).start()
+        until(lambda: self.of("ready"))
+
+    def _read(self) -> None:
+        for line in self.process.stdout:
+            try:
+                self.lines.append(json.loads(line))
+            except ValueError:
+                pass  # cut by the kill
+
+    def of(self, event: str) -> list[dict]:
+        """Log lines of an event."""
+        return [line for line in list(self.lines) if line["event"] == event]
+
+
+def test_sigkill_while_files_change_loses_no_applied_generation(path: str, tmp_path: Path) -> None:
+    chance = Random(3)
+    number = 1
+    config = found([], Events())
+    del config["coordinator"]
+    (tmp_path / "config.json").write_text(json.dumps(config))
+    (tmp_path / "parts.kdl").write_text(
+        f'members {{ file "{path}"; still "10ms"; poll "50ms"; state "{tmp_path}/state" }}'
+    )
+    replace_document(path, make_endpoints(5, zone="dc"), number)
+    applied = 0
+    for _ in range(3):
+        program = Program(tmp_path)
+        until(
+            lambda program=program, number=number: any(
+                line["generation"] == number for line in program.of("members-taken")
+            )
+        )
+        deadline = time.monotonic() + chance.uniform(0.2, 0.6)
+        while time.monotonic() < deadline:
+            number += 1
+            replace_document(path, make_endpoints(5 + number % 2, zone="dc"), number)
+            time.sleep(0.03)
+        program.process.kill()
+        program.process.wait()
+        applied = max(applied, *(line["generation"] for line in program.of("members-taken")))
+        os.unlink(path)
+        again = Program(tmp_path)
+        recovered = until(lambda again=again: again.of("members-from-journal"))[0]
+        assert applied <= recovered["generation"] <= number and recovered["engines"] in (5, 6)
+        until(lambda again=again: again.of("members-refused"))
+        again.process.kill()
+        again.process.wait()
+        number += 1
+        replace_document(path, make_endpoints(5 + number % 2, zone="dc"), number)
--- a/tests/endpoints/test_stored_journal.py
+++ b/tests/endpoints/test_stored_journal.py
@@ -6,37 +6,44 @@
 import orjson
 import pytest
 
-from wickvane.endpoints import checks, journal, membership
+from wickvane.endpoints.change_policy import ChangePolicy
+from wickvane.endpoints.endpoint_list import EndpointList
+from wickvane.endpoints.journal import MAGIC, Journal, frame_record, parse_journal, read_journal
+from wickvane.endpoints.records import decode_record, encode_record
+from wickvane.endpoints.snapshot import Endpoint
+from wickvane.endpoints.state_folder import recover_records
+from wickvane.endpoints.status import status_document
+from wickvane.endpoints.topology import Topology
 from wickvane.events import EngineState
 from wickvane.units import TICKS_PER_SECOND
 
 FIXTURES = Path(__file__).parent.parent / "data" / "endpoint-journal-c5b2902"
-TOPOLOGY = checks.Facts({"old": 8, "new": 4}, frozenset(("a", "b")), (), 0.3, 15 * TICKS_PER_SECOND)
+TOPOLOGY = Topology({"old": 8, "new": 4}, frozenset(("a", "b")), (), 0.3, 15 * TICKS_PER_SECOND)
 NOW = 17_000_001_000_000
 ALL_READY = {f"e{n}": (EngineState.READY, 1.0) for n in range(10)}
 DRAINED = (EngineState.DRAINING, 0.0)
 E1_AT_A_FIFTH = {"e1": (EngineState.READY, 0.2)}
 
 
-def recover(folder: Path) -> membership.Membership:
+def recover(folder: Path) -> EndpointList:
     """The endpoint list that the journal in a state folder describes."""
-    records, size, _ = journal.read(folder)
+    records, size, _ = read_journal(str(folder))
     assert size == (folder / "journal.wickvane").stat().st_size  # no record was cut off
-    endpoint_list = membership.Membership(TOPOLOGY, membership.Terms())
-    for record in records:
-        endpoint_list.apply(record)
+    endpoint_list = EndpointList(TOPOLOGY, ChangePolicy())
+    recover_records(endpoint_list, records)
     return endpoint_list
 
 
-def contents(endpoints: dict[str, membership.ro.Member]) -> dict[str, tuple[EngineState, float]]:
+def contents(endpoints: dict[str, Endpoint]) -> dict[str, tuple[EngineState, float]]:
     """State and weight by name."""
     return {name: (endpoint.state, endpoint.weight) for name, endpoint in endpoints.items()}
 
 
-def generations(endpoint_list: membership.Membership) -> dict[int, tuple]:
+def generations(endpoint_list: EndpointList) -> dict[int, tuple]:
     """Content digest, time and author of each generation that can be rolled back to."""
     return {
-        number: (taken.roster.digest, taken.at, taken.who) for number, taken in endpoint_list.history.items()
+        number: (generation.snapshot.digest, generation.at, generation.author)
+        for number, generation in endpoint_list.generations.history.items()
     }
 
 
@@ -52,16 +59,19 @@
     """Every kind of record is in the journal: a rollback to 1 is current, 9 waits for its confirmation."""
     endpoint_list = recover(FIXTURES / "records")
     assert generations(endpoint_list) == GENERATIONS
-    history = {number: contents(taken.roster.members) for number, taken in endpoint_list.history.items()}
+    history = {
+        number: contents(generation.snapshot.endpoints)
+        for number, generation in endpoint_list.generations.history.items()
+    }
     assert history == {
         1: ALL_READY,
         2: ALL_READY | E1_AT_A_FIFTH,
         5: ALL_READY | {"e2": DRAINED},
         7: {name: value for name, value in (ALL_READY | {"e2": DRAINED}).items() if name != "e9"},
     }
-    assert contents(endpoint_list.target.members) == ALL_READY
+    assert contents(endpoint_list.generations.target.endpoints) == ALL_READY
     endpoint_list.start(NOW)
-    assert endpoint_list.status() == {
+    assert status_document(endpoint_list) == {
         "generation": 7,
         "of": 1,
         "digest": "c1b8b6aa3f8bde74",
@@ -76,7 +86,7 @@
         "held": None,
         "refused": None,
     }
-    logged = [(row["what"], row.get("generation")) for row in endpoint_list.logged]
+    logged = [(row["what"], row.get("generation")) for row in endpoint_list.audit_log.rows]
     assert logged == [
         ("taken", 1),
         ("taken", 2),
@@ -99,8 +109,8 @@
     assert generations(endpoint_list) == GENERATIONS | {
         11: ("888c001e559bb21a", 17_000_000_918_000, "file of root")
     }
-    assert contents(endpoint_list.target.members) == ALL_READY | {"e3": DRAINED}
-    status = endpoint_list.status()
+    assert contents(endpoint_list.generations.target.endpoints) == ALL_READY | {"e3": DRAINED}
+    status = status_document(endpoint_list)
     assert (status["generation"], status["of"], status["number"]) == (11, None, 96_757_560_115_200)
     assert (status["engines"], status["ready"]) == (10, 9)
 
@@ -109,19 +119,19 @@
 def test_a_recovered_list_writes_the_same_bytes_as_the_journal_holds(name: str, tmp_path: Path) -> None:
     """Records that are read and written again keep their bytes, and the journal can be appended to."""
     written = (FIXTURES / name / "journal.wickvane").read_bytes()
-    found, _, _ = journal.records(written)
-    data = journal.MAGIC
+    found, _, _ = parse_journal(written)
+    data = MAGIC
     checksum = b""
     for record in found:
-        octets, checksum = journal.record_of(checksum, record)
+        octets, checksum = frame_record(checksum, encode_record(decode_record(record)))
         data += octets
     assert data == written
     shutil.copytree(FIXTURES / name, tmp_path / "state")
-    opened = journal.Journal(str(tmp_path / "state"))
+    opened = Journal(str(tmp_path / "state"))
     assert opened.read() == found
-    opened.keep({"what": "stopped", "at": NOW, "generation": 7, "who": "anna"})
+    opened.append({"what": "stopped", "at": NOW, "generation": 7, "who": "anna"})
     opened.close()
-    assert journal.read(tmp_path / "state")[0] == [
+    assert read_journal(str(tmp_path / "state")).records == [
         *found,
         orjson.loads(orjson.dumps({"what": "stopped", "at": NOW, "generation": 7, "who": "anna"})),
     ]
@@ -136,7 +146,7 @@
     endpoint_list = recover(FIXTURES / name)
     assert (status["generation"], status["digest"]) == (generation, digest)
     endpoint_list.start(NOW)
-    recovered = endpoint_list.status()
+    recovered = status_document(endpoint_list)
     # A held change is held again when its file is read; until a file agrees, the list counts as old.
     shared = [field for field in recovered if field not in ("held", "old")]
     assert {field: status[field] for field in shared} == {field: recovered[field] for field in shared}
--- a/wickvane/__main__.py
+++ b/wickvane/__main__.py
@@ -87,7 +87,7 @@
     "peers": "wickvane.cluster.tool",
     "policy": "wickvane.config_log.tool",
     "shares": "wickvane.quotas.tool",
-    "members": "wickvane.endpoints.tool",
+    "members": "wickvane.endpoints.command",
     "flows": "wickvane.flows.tool",
     "rehearse": "wickvane.rehearsal.command",
     "demo": "wickvane.rehearsal.command",
@@ -144,7 +144,12 @@
     from wickvane.net.service import Service, configuration
 
     config, members = configuration(path), (found or {}).get("members")
-    if not asked["serve"] and members and not members.terms.overrides and isinstance(config, dict):
+    if (
+        not asked["serve"]
+        and members
+        and not members.policy.overrides_coordinator
+        and isinstance(config, dict)
+    ):
         config.setdefault("coordinator", "127.0.0.1:1")  # files stand in its place
     return Service(config, parts=found if asked["serve"] else None)
 
--- a/wickvane/endpoints/__init__.py
+++ b/wickvane/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Membership from watched files: checked, applied whole, kept, rolled back. docs/members.md."""
+"""Endpoint lists from watched files: validation, staged rollout, confirmation, rollback."""
--- /dev/null
+++ b/wickvane/endpoints/capacity.py
@@ -0,0 +1,80 @@
+"""Sums over the ready engines of a list, kept up with each change; free of I/O."""
+
+from wickvane.endpoints.snapshot import Endpoint
+from wickvane.endpoints.topology import GroupPlacement, Topology
+from wickvane.scheduler import warm_part
+from wickvane.units import TICKS_PER_MILLISECOND
+
+
+def age_of(endpoint: Endpoint, now: int) -> float:
+    """Ticks since an engine's process started, where that is known."""
+    return now - endpoint.started_ms * TICKS_PER_MILLISECOND
+
+
+class CapacityTotals:
+    """Ready engines by kind and zone, their cores, and which of them are still in slow start."""
+
+    __slots__ = ("cores", "ready_by_placement", "ready_count", "topology", "warming")
+
+    def __init__(self, topology: Topology) -> None:
+        self.topology = topology
+        self.ready_by_placement: dict[tuple[str | None, str | None], int] = {}
+        self.ready_count = 0
+        self.cores = 0.0
+        self.warming: dict[str, Endpoint] = {}
+
+    def copy(self) -> "CapacityTotals":
+        """Totals that change on their own."""
+        copied = CapacityTotals(self.topology)
+        copied.ready_by_placement = dict(self.ready_by_placement)
+        copied.ready_count = self.ready_count
+        copied.cores = self.cores
+        copied.warming = dict(self.warming)
+        return copied
+
+    def cores_of(self, endpoint: Endpoint) -> float:
+        """Cores of an engine that may be used."""
+        return self.topology.cores_of(endpoint.kind) * min(1.0, endpoint.weight)
+
+    def add(self, endpoint: Endpoint, now: int) -> None:
+        """Counts an engine, if it is ready."""
+        if not endpoint.is_ready:
+            return
+        placement = endpoint.kind, endpoint.zone
+        self.ready_by_placement[placement] = self.ready_by_placement.get(placement, 0) + 1
+        self.ready_count += 1
+        self.cores += self.cores_of(endpoint)
+        if endpoint.started_ms and age_of(endpoint, now) < self.topology.slow_start_duration:
+            self.warming[endpoint.name] = endpoint
+
+    def remove(self, endpoint: Endpoint) -> None:
+        """Counts an engine no more that add() counted."""
+        if not endpoint.is_ready:
+            return
+        placement = endpoint.kind, endpoint.zone
+        self.ready_by_placement[placement] -= 1
+        if not self.ready_by_placement[placement]:
+            del self.ready_by_placement[placement]
+        self.ready_count -= 1
+        self.cores -= self.cores_of(endpoint)
+        self.warming.pop(endpoint.name, None)
+
+    def warm_cores(self, now: int) -> float:
+        """Cores that count now: engines in slow start by the fraction that they have reached."""
+        topology = self.topology
+        missing = 0.0
+        for name, endpoint in list(self.warming.items()):
+            fraction = warm_part(
+                age_of(endpoint, now), topology.slow_start_fraction, topology.slow_start_duration
+            )
+            if fraction >= 1.0:
+                del self.warming[name]
+            missing += (1 - fraction) * self.cores_of(endpoint)
+        return self.cores - missing
+
+    def serves(self, group: GroupPlacement) -> bool:
+        """Whether a ready engine is permitted to a resource group."""
+        return any(
+            (group.zones is None or zone in group.zones) and (group.kinds is None or kind in group.kinds)
+            for kind, zone in self.ready_by_placement
+        )
--- /dev/null
+++ b/wickvane/endpoints/command.py
@@ -0,0 +1,327 @@
+"""`wickvane members`: what a document would do, what was done, and operators' orders.
+
+What is shown comes from the state folder, which may be read while its dispatcher runs; orders are laid into
+it and answered by that dispatcher.
+"""
+
+import os
+import sys
+import time
+
+import orjson
+
+from wickvane.endpoints.change_policy import ChangePolicy
+from wickvane.endpoints.config import EndpointsConfig
+from wickvane.endpoints.dry_run import read_rules_of, submit_documents
+from wickvane.endpoints.endpoint_list import EndpointList
+from wickvane.endpoints.journal import JournalError, read_journal
+from wickvane.endpoints.operator_orders import ANSWER_TIMEOUT_S, DONE, OrderKind, send_order
+from wickvane.endpoints.records import RecordError
+from wickvane.endpoints.snapshot import Endpoint, Snapshot
+from wickvane.endpoints.state_folder import read_status, recover_records
+from wickvane.endpoints.status import status_document
+from wickvane.endpoints.topology import Topology, topology_of
+from wickvane.errors import ConfigError, WickvaneError
+from wickvane.events import EngineState
+from wickvane.net.clock import Clock
+from wickvane.units import to_seconds
+
+STATE_WORDS = {
+    EngineState.READY: "ready",
+    EngineState.DRAINING: "draining",
+    EngineState.GONE: "gone",
+}
+UNKNOWN_TOPOLOGY = Topology({}, None, (), 1.0, 0)
+DEFAULT_POLICY = ChangePolicy()
+MAX_GENERATION_DIGITS = 9
+NAMED_GENERATIONS = 10  # in one sentence
+
+
+class CommandError(WickvaneError):
+    """Why a call cannot be answered; exit 2."""
+
+
+def main(asked: dict) -> int:
+    """Runs the command with the arguments of its usage text; the exit status."""
+    try:
+        return _run(asked)
+    except (CommandError, JournalError) as error:
+        print(f"wickvane: {error}", file=sys.stderr)
+        return 2
+    except BrokenPipeError:
+        return 1
+
+
+def _run(asked: dict) -> int:
+    as_json = asked["--json"]
+    if asked["agree"]:
+        return agree(asked["DIR"], as_json)
+    config = _config_of(asked["--parts"])
+    if asked["check"]:
+        folder = _state_folder_of(asked, config, is_needed=False)
+        return check(asked["PATH"], config, asked["--config"], folder, as_json)
+    folder = _state_folder_of(asked, config)
+    if asked["log"]:
+        return print_history(folder, as_json)
+    if asked["show"]:
+        return show(folder, asked["GENERATION"], as_json)
+    if asked["diff"]:
+        return print_difference(folder, asked["FROM"], asked["TO"])
+    kind = next(kind for kind in OrderKind if asked[kind.value])
+    return give_order(folder, kind, asked["GENERATION"])
+
+
+def _config_of(path: str) -> EndpointsConfig | None:
+    """The node `members` of an extensions document, if there are both."""
+    path = os.environ.get("WICKVANE_PARTS") if path == "$WICKVANE_PARTS" else path
+    if not path:
+        return None
+    from wickvane import parts
+
+    try:
+        return parts.read(path).get("members")
+    except parts.Unusable as error:
+        raise CommandError(str(error)) from None
+
+
+def _state_folder_of(asked: dict, config: EndpointsConfig | None, is_needed: bool = True) -> str | None:
+    folder = asked["--state"] or config and config.state_folder
+    if not folder and is_needed:
+        raise CommandError("no folder of a journal: name one with --state, or a parts document that has one")
+    return folder
+
+
+def _parse_generation(text: str) -> int:
+    if not text.isascii() or not text.isdigit() or len(text) > MAX_GENERATION_DIGITS:
+        raise CommandError(f"{text[:40]} is no generation")
+    return int(text)
+
+
+def _recover(
+    folder: str, topology: Topology = UNKNOWN_TOPOLOGY, policy: ChangePolicy = DEFAULT_POLICY
+) -> EndpointList:
+    """The endpoint list that a state folder's journal describes."""
+    records = read_journal(folder).records
+    endpoint_list = EndpointList(topology, policy)
+    try:
+        recover_records(endpoint_list, records)
+    except RecordError as error:
+        raise CommandError(
+            f"the journal in {folder} has a record that cannot be used: {error.reason}"
+        ) from None
+    return endpoint_list
+
+
+def _topology_of(config_path: str) -> Topology:
+    """The topology of a dispatcher's configuration, if one is named."""
+    path = os.environ.get("LB_CONFIG") if config_path == "$LB_CONFIG" else config_path
+    if not path:
+        return UNKNOWN_TOPOLOGY
+    from wickvane.id_registry import IdRegistry
+    from wickvane.net.service import configuration
+
+    try:
+        return topology_of(IdRegistry(configuration(path)["settings"]))
+    except ConfigError as error:
+        raise CommandError(str(error)) from None
+    except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
+        raise CommandError(f"the configuration {path} cannot be used: {error}") from None
+
+
+def check(
+    path: str | None, config: EndpointsConfig | None, config_path: str, folder: str | None, as_json: bool
+) -> int:
+    """Prints what would be done with a file or directory; exit 1 where it would be rejected."""
+    path = path or config and config.path
+    if not path:
+        raise CommandError("no document: name one, or a parts document that does")
+    rules = read_rules_of(config)
+    topology = _topology_of(config_path)
+    if folder:
+        endpoint_list = _recover(folder, topology, rules.policy)
+    else:
+        endpoint_list = EndpointList(topology, rules.policy)
+    outcome = submit_documents(endpoint_list, path, rules, Clock().now())
+    if as_json:
+        _print_json(outcome.to_document())
+    else:
+        for sentence in outcome.reasons:
+            print(sentence)
+        print(outcome.summary)
+    return 1 if outcome.what == "refused" else 0
+
+
+def _print_json(document: dict) -> None:
+    print(orjson.dumps(document).decode())
+
+
+# The past
+
+
+def _time_text(ticks: int) -> str:
+    return time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(to_seconds(ticks)))
+
+
+def print_history(folder: str, as_json: bool) -> int:
+    """Prints the decisions that are kept, oldest first."""
+    for row in _recover(folder).audit_log.rows:
+        if as_json:
+            _print_json(row)
+        else:
+            _print_audit_row(row)
+    return 0
+
+
+def _print_audit_row(row: dict) -> None:
+    words = [f"{row.get('generation')}"] if row.get("generation") is not None else []
+    words += [f"({row['digest']})"] if row.get("digest") else []
+    words += [f"of {row['of']}"] if row.get("of") else []
+    words += [f"+{row['put']} -{row['drop']}"] if "put" in row else []
+    words += ["in steps"] if row.get("steps") else []
+    words += row.get("codes") or []
+    author = f"by {row['who']}" if row.get("who") else ""
+    print(_time_text(row["at"]), row["what"], *words, author)
+    for sentence in row.get("why") or []:
+        print("   ", sentence)
+
+
+def _snapshot_of(endpoint_list: EndpointList, generation: int) -> Snapshot:
+    history = endpoint_list.generations.history
+    if generation not in history:
+        known = ", ".join(map(str, list(history)[-NAMED_GENERATIONS:]))
+        raise CommandError(f"generation {generation} is not kept; the last ones are {known or 'none'}")
+    return history[generation].snapshot
+
+
+def print_difference(folder: str, from_text: str, to_text: str) -> int:
+    """Prints the engines in which two generations differ."""
+    endpoint_list = _recover(folder)
+    before = _snapshot_of(endpoint_list, _parse_generation(from_text)).endpoints
+    after = _snapshot_of(endpoint_list, _parse_generation(to_text)).endpoints
+    for name in sorted(set(before) | set(after)):
+        former = before.get(name)
+        current = after.get(name)
+        if former == current:
+            continue
+        if former is not None:
+            _print_endpoint(former, prefix="-")
+        if current is not None:
+            _print_endpoint(current, prefix="+")
+    return 0
+
+
+# The present
+
+
+def show(folder: str, generation: str | None, as_json: bool) -> int:
+    """Prints the published list, or an earlier generation."""
+    if generation is not None:
+        snapshot = _snapshot_of(_recover(folder), _parse_generation(generation))
+        _print_snapshot(snapshot, as_json)
+        return 0
+    endpoint_list = _recover(folder)
+    status = read_status(folder)
+    if status is None:
+        status = status_document(endpoint_list)
+    if as_json:
+        _print_json(status)
+        return 0
+    _print_status(status)
+    for _, endpoint in sorted(endpoint_list.rollout.published.items()):
+        _print_endpoint(endpoint)
+    return 0
+
+
+def _print_status(status: dict) -> None:
+    rollback = f", the content of {status['of']}" if status["of"] else ""
+    print(
+        f"generation {status['generation']}{rollback} ({status['digest']}): {status['ready']} ready of "
+        f"{status['engines']}"
+    )
+    if status["pending"] and status["stepping"]:
+        print(f"{status['pending']} engines change in steps" + (", stopped" if status["stopped"] else ""))
+    if status["leaving"]:
+        print("leaving: " + ", ".join(status["leaving"]))
+    if status["held"]:
+        held = status["held"]
+        print(
+            f"held: generation {held['generation']} ({', '.join(held['codes'])}); wickvane members confirm "
+            f"{held['generation']}"
+        )
+    if status["refused"]:
+        print("refused: " + ", ".join(status["refused"]))
+    if status["old"]:
+        print("from the journal; no file has agreed since")
+
+
+def _print_endpoint(endpoint: Endpoint, prefix: str = "") -> None:
+    address = f"{endpoint.address[0]}:{endpoint.address[1]}" if endpoint.address else "-"
+    print(
+        f"{prefix}  {endpoint.name:<24} {address:<22} {STATE_WORDS[endpoint.state]:<9} "
+        f"weight {endpoint.weight:g}"
+        + (f" {endpoint.kind}" if endpoint.kind else "")
+        + (f" {endpoint.zone}" if endpoint.zone else "")
+    )
+
+
+def _print_snapshot(snapshot: Snapshot, as_json: bool) -> None:
+    endpoints = [endpoint for _, endpoint in sorted(snapshot.endpoints.items())]
+    if as_json:
+        rows = [endpoint.to_row() for endpoint in endpoints]
+        _print_json({"digest": snapshot.digest, "engines": rows})
+        return
+    print(f"{len(endpoints)} engines ({snapshot.digest})")
+    for endpoint in endpoints:
+        _print_endpoint(endpoint)
+
+
+def agree(folders: list[str], as_json: bool) -> int:
+    """Prints whether dispatchers publish the same list, by their state folders; exit 1 where not."""
+    statuses = [(folder, _status_of(folder)) for folder in folders]
+    newest = max(status["generation"] for _, status in statuses)
+    digest = next(status["digest"] for _, status in statuses if status["generation"] == newest)
+    disagreeing = 0
+    for folder, status in statuses:
+        state = _agreement_of(status, newest, digest)
+        disagreeing += state != "same"
+        if as_json:
+            _print_json({"folder": folder, "state": state, **status})
+        else:
+            print(
+                f"{folder}: {state}, generation {status['generation']} ({status['digest']}), "
+                f"{status['ready']} ready of {status['engines']}"
+            )
+    return 1 if disagreeing else 0
+
+
+def _status_of(folder: str) -> dict:
+    status = read_status(folder)
+    return status_document(_recover(folder)) if status is None else status
+
+
+def _agreement_of(status: dict, newest: int, digest: str) -> str:
+    if status["generation"] < newest:
+        return "behind"
+    if status["digest"] != digest:
+        return "differs"
+    if status["pending"] or status["stopped"]:
+        return "on its way"
+    return "same"
+
+
+# Orders
+
+
+def give_order(folder: str, kind: OrderKind, generation: str | None) -> int:
+    """Gives an order to the dispatcher that runs with a state folder, and prints its answer."""
+    number = None if generation is None else _parse_generation(generation)
+    try:
+        answer = send_order(folder, kind, number)
+    except OSError as error:
+        raise CommandError(f"{folder}: {error.strerror}") from None
+    if answer is None:
+        raise CommandError(
+            f"nobody has taken the order within {ANSWER_TIMEOUT_S:g} s: does a dispatcher run with {folder}?"
+        )
+    print(answer)
+    return 0 if answer == DONE else 1
--- /dev/null
+++ b/wickvane/endpoints/config.py
@@ -0,0 +1,116 @@
+"""The node `members` of the extensions document, as plain values.
+
+Words of the document are mapped here to the names that the code uses.
+"""
+
+from typing import NamedTuple
+
+from wickvane import parts
+from wickvane.endpoints.change_policy import ChangeLimits, ChangePolicy
+from wickvane.endpoints.findings import Severity
+
+WATCH_EVENTS = "events"
+WATCH_POLL = "poll"
+DEFAULT_POLL_INTERVAL = 2_500  # ticks
+DEFAULT_SETTLE_TIME = 1_000  # ticks
+DEFAULT_MAX_FILE_SIZE = 16 << 20  # octets
+DEFAULT_MAX_ENGINES = 20_000
+DEFAULT_MAX_FILES = 1_000
+
+SEVERITY_WORDS = {
+    "note": Severity.NOTE,
+    "steps": Severity.STAGE,
+    "hold": Severity.HOLD,
+    "refuse": Severity.REJECT,
+}
+
+
+class EndpointsConfig(NamedTuple):
+    """Where the list comes from and how changes are treated. Durations are ticks.
+
+    path: of the file, or of a directory of files. state_folder: of the journal, None: no journal is kept.
+    settle_time: how long a file must have been unchanged before it is read. max_file_size: octets.
+    """
+
+    path: str
+    is_directory: bool
+    state_folder: str | None
+    is_seal_required: bool
+    watch: str
+    poll_interval: int
+    settle_time: int
+    max_file_size: int
+    max_engines: int
+    max_files: int
+    policy: ChangePolicy
+
+
+class _LimitNode(NamedTuple):
+    """A node within `limits`. kind: of its value; None: it has none, and no value_field."""
+
+    name: str
+    severity_field: str
+    value_field: str | None = None
+    kind: parts.Kind | None = None
+
+
+_LIMIT_NODES = (
+    _LimitNode("share-removed", "removed_fraction_severity", "removed_fraction", parts.share(0.001, 1)),
+    _LimitNode("capacity-left", "load_fraction_severity", "load_fraction", parts.share(0.01, 100)),
+    _LimitNode("weight-jump", "weight_factor_severity", "weight_factor", parts.share(1.01, 1000)),
+    _LimitNode("group-without-engine", "last_of_group_severity"),
+    _LimitNode("empty", "empty_severity"),
+)
+_SEVERITY_WORD = parts.word(*SEVERITY_WORDS)
+
+
+def read_config(node: parts.Node) -> EndpointsConfig:
+    """The configuration in a node. Raises parts.Unusable."""
+    file = node.value("file", parts.path)
+    directory = node.value("directory", parts.path)
+    if (file is None) == (directory is None):
+        raise node.wrong("either a node file or a node directory, with a path")
+    policy = _read_policy(node)
+    return EndpointsConfig(
+        path=directory or file,
+        is_directory=directory is not None,
+        state_folder=node.value("state", parts.path),
+        is_seal_required=node.value("sealed", parts.flag, False),
+        watch=node.value("watch", parts.word(WATCH_EVENTS, WATCH_POLL), WATCH_EVENTS),
+        poll_interval=node.value("poll", parts.duration("50ms", "10s"), DEFAULT_POLL_INTERVAL),
+        settle_time=node.value("still", parts.duration("10ms", "10s"), DEFAULT_SETTLE_TIME),
+        max_file_size=node.value("most", parts.size("1KiB", "64MiB"), DEFAULT_MAX_FILE_SIZE),
+        max_engines=node.value("engines", parts.whole(1, 100_000), DEFAULT_MAX_ENGINES),
+        max_files=node.value("parts", parts.whole(1, 10_000), DEFAULT_MAX_FILES),
+        policy=policy,
+    )
+
+
+def _read_policy(node: parts.Node) -> ChangePolicy:
+    usual = ChangePolicy()
+    return ChangePolicy(
+        limits=_read_limits(node),
+        step_interval=node.value("step", parts.duration("10ms", "1h"), usual.step_interval),
+        confirmation_timeout=node.value("hold", parts.duration("1s", "168h"), usual.confirmation_timeout),
+        drain_timeout=node.value("linger", parts.duration("1s", "24h"), usual.drain_timeout),
+        overrides_coordinator=node.value("overrides", parts.flag, False),
+    )
+
+
+def _read_limits(node: parts.Node) -> ChangeLimits:
+    limits = ChangeLimits()
+    limits_node = node.child("limits")
+    if limits_node is None:
+        return limits
+    for limit in _LIMIT_NODES:
+        child = limits_node.child(limit.name)
+        if child is None:
+            continue
+        if limit.kind is not None:
+            limits = limits._replace(**{limit.value_field: child.argument(limit.kind)})
+        word = child.property("past", _SEVERITY_WORD)
+        if word is not None:
+            limits = limits._replace(**{limit.severity_field: SEVERITY_WORDS[word]})
+        child.done()
+    limits_node.done()
+    return limits
--- a/wickvane/endpoints/document.py
+++ b/wickvane/endpoints/document.py
@@ -1,4 +1,4 @@
-"""One file's octets into members, whole or not at all; free of I/O.
+"""Parsing of one file of a list: all of it, or a DocumentError; free of I/O.
 
     members generation=7 {
         engine "e1" address="10.0.0.1:5001" zone="dc" type="old" weight=1.0 group=0 since-ms=0
@@ -7,234 +7,182 @@
     }
     //! length=312 blake2b=0f...
 
-or the same as JSON, in the coordinator's words: {"generation": 7, "engines": [{"name": ..., "address": ...,
-"zone": ..., "type": ..., "group": ..., "weight": ..., "since_ms": ..., "status": ...}]}. The last line, the
-seal, is optional: so many octets stand ahead of it, and that is their BLAKE2b of 16 octets. It holds in JSON
-too. Without it a strict beginning of a document is still none, since its last brace is missing.
+or the same as JSON with the coordinator's field names: {"generation": 7, "engines": [{"name": ..., "address":
+..., "zone": ..., "type": ..., "group": ..., "weight": ..., "since_ms": ..., "status": ...}]}. The last line,
+the seal, is optional in both: the number of octets ahead of it, and their BLAKE2b of 16 octets. Without it a
+truncated document is still rejected, since its last brace is missing.
 """
 
 import math
 import re
+from collections.abc import Callable
 from hashlib import blake2b
 from typing import NamedTuple
 
-import orjson
-
-from wickvane.endpoints.findings import Unfit
-from wickvane.endpoints.roster import Member
+from wickvane.endpoints.document_formats import MAX_NAME_LENGTH, line_numbers, read_rows
+from wickvane.endpoints.findings import DocumentError
+from wickvane.endpoints.snapshot import FIELDS_BY_WORD, Endpoint
 from wickvane.events import EngineState
 from wickvane.net.coordinator import STATES, address_of
 
-SEAL = re.compile(rb"(?:\A|\n)(//! length=(\d{1,12}) blake2b=([0-9a-f]{32})[ \t\r]*\n?)\Z")
-LIKE_SEAL = re.compile(rb"(?:\A|\n)//![^\n]*\n?\Z")
-DEEPEST, NAME_MOST, WEIGHT_MOST, GENERATION_MOST = 6, 256, 100.0, (1 << 20) - 1
-STRINGS = re.compile(r'"(?:[^"\\\n]|\\.)*"|//[^\n]*')
-WORDS = {"name", "address", "zone", "type", "group", "weight", "since_ms", "status"}
-ALIAS = {"since-ms": "since_ms"}
-ROOM = 400  # engines after which others get the interpreter
+SEAL_LINE = re.compile(rb"(?:\A|\n)(//! length=(\d{1,12}) blake2b=([0-9a-f]{32})[ \t\r]*\n?)\Z")
+DAMAGED_SEAL_LINE = re.compile(rb"(?:\A|\n)//![^\n]*\n?\Z")
+SEAL_DIGEST_SIZE = 16  # octets
+MAX_WEIGHT = 100.0
+MAX_GENERATION = (1 << 20) - 1
+MAX_STARTED_MS = 1e14
+MAX_CELL = (1 << 31) - 1
+DEFAULT_MAX_ENGINES = 20_000
+YIELD_INTERVAL = 400  # endpoints after which other threads may run
 
 
-class Part(NamedTuple):
-    """One file as it was read. lines: of the engines by name, where they are known."""
+class Document(NamedTuple):
+    """One file as it was read. lines: line numbers of the engines by name, where they are known."""
 
     file: str
     generation: int | None
-    members: tuple
-    lines: dict
+    endpoints: tuple[Endpoint, ...]
+    lines: dict[str, int]
 
 
-def seal(data):
-    """The octets with their seal."""
+def seal(data: bytes) -> bytes:
+    """The octets followed by their seal line."""
     if data and not data.endswith(b"\n"):
         data += b"\n"
-    return data + b"//! length=%d blake2b=%b\n" % (
-        len(data),
-        blake2b(data, digest_size=16).hexdigest().encode(),
-    )
-
-
-def opened(data, file, sealed):
-    """The octets ahead of the seal, once they match it."""
-    found = SEAL.search(data)
-    if found is None:
-        if LIKE_SEAL.search(data):
-            raise Unfit("length-wrong", "its seal is cut, or is none", file)
-        if sealed:
-            raise Unfit("seal-missing", "it ends without a seal", file)
+    digest = blake2b(data, digest_size=SEAL_DIGEST_SIZE).hexdigest()
+    return data + b"//! length=%d blake2b=%b\n" % (len(data), digest.encode())
+
+
+def unseal(data: bytes, file: str, is_seal_required: bool) -> bytes:
+    """The octets ahead of the seal line. Raises DocumentError where they do not match it."""
+    match = SEAL_LINE.search(data)
+    if match is None:
+        if DAMAGED_SEAL_LINE.search(data):
+            raise DocumentError("length-wrong", "its seal is cut, or is none", file)
+        if is_seal_required:
+            raise DocumentError("seal-missing", "it ends without a seal", file)
         return data
-    body = data[: found.start(1)]
-    if len(body) != int(found[2]):
-        raise Unfit(
-            "length-wrong", f"{len(body)} octets stand ahead of its seal, which says {int(found[2])}", file
-        )
-    if blake2b(body, digest_size=16).hexdigest().encode() != found[3]:
-        raise Unfit("checksum-wrong", "its octets are not those that were sealed", file)
+    body = data[: match.start(1)]
+    if len(body) != int(match[2]):
+        text = f"{len(body)} octets stand ahead of its seal, which says {int(match[2])}"
+        raise DocumentError("length-wrong", text, file)
+    if blake2b(body, digest_size=SEAL_DIGEST_SIZE).hexdigest().encode() != match[3]:
+        raise DocumentError("checksum-wrong", "its octets are not those that were sealed", file)
     return body
 
 
-def read(data, file, sealed=False, most=20_000, overrides=False, give_way=None):
-    """The Part in a file's octets; Unfit where it is none. overrides: engines need no address, and only what
-    is stated counts; give_way: called now and then, so that a long list holds up nobody."""
-    body = opened(data, file, sealed)
+def parse_document(
+    data: bytes,
+    file: str,
+    is_seal_required: bool = False,
+    max_engines: int = DEFAULT_MAX_ENGINES,
+    overrides_coordinator: bool = False,
+    yield_thread: Callable[[], None] | None = None,
+) -> Document:
+    """The document in a file's octets.
+
+    overrides_coordinator: engines need no address, and only the stated fields count. yield_thread: called
+    now and then, so that a long list does not hold up other threads. Raises DocumentError.
+    """
+    text = _decode(unseal(data, file, is_seal_required), file)
+    rows, generation = read_rows(text, file)
+    if len(rows) > max_engines:
+        raise DocumentError(
+            "too-many-engines", f"it lists {len(rows)} engines of {max_engines} at most", file
+        )
+    if generation is not None and not _is_integer_within(generation, 1, MAX_GENERATION):
+        raise DocumentError("generation-wrong", f"generation {str(generation)[:40]} is none", file)
+    lines = line_numbers(text, file)
+    endpoints: dict[str, Endpoint] = {}
+    for index, row in enumerate(rows):
+        if yield_thread is not None and index % YIELD_INTERVAL == YIELD_INTERVAL - 1:
+            yield_thread()
+        endpoint = _RowParser(row, file, lines).parse(overrides_coordinator)
+        name = endpoint.name
+        if name in endpoints:
+            raise DocumentError("name-twice", "it is named twice in this file", file, lines.get(name), name)
+        endpoints[name] = endpoint
+    return Document(file, generation, tuple(endpoints.values()), lines)
+
+
+def _decode(body: bytes, file: str) -> str:
     try:
-        text = body.decode()
+        return body.decode()
     except UnicodeDecodeError as error:
-        raise Unfit(
-            "not-utf8", f"octet {error.start} is no UTF-8", file, body.count(b"\n", 0, error.start) + 1
-        ) from None
-    deep(text, file)
-    rows, generation = (read_json if file.endswith(".json") else read_kdl)(text, file)
-    if len(rows) > most:
-        raise Unfit("too-many-engines", f"it lists {len(rows)} engines of {most} at most", file)
-    if generation is not None and not (
-        isinstance(generation, int)
-        and not isinstance(generation, bool)
-        and 1 <= generation <= GENERATION_MOST
-    ):
-        raise Unfit("generation-wrong", f"generation {str(generation)[:40]} is none", file)
-    lines = lines_of(text, file)
-    members, names = [], set()
-    for n, row in enumerate(rows):
-        if give_way and n % ROOM == ROOM - 1:
-            give_way()
-        member = member_of(row, file, lines, overrides)
-        if member.name in names:
-            raise Unfit(
-                "name-twice", "it is named twice in this file", file, lines.get(member.name), member.name
-            )
-        names.add(member.name)
-        members.append(member)
-    return Part(file, generation, tuple(members), lines)
-
-
-def deep(text, file):
-    """Against nesting that a reader would follow down its own stack."""
-    if text.count("{") + text.count("[") <= DEEPEST:
-        return
-    depth = 0
-    for found in re.finditer(r"[{}\[\]]", STRINGS.sub("", text)):
-        depth += 1 if found[0] in "{[" else -1
-        if depth > DEEPEST:
-            raise Unfit("too-deep", f"it nests deeper than {DEEPEST} levels", file)
-
-
-def lines_of(text, file):
-    """Where engines stand, for messages: readers tell no lines."""
-    if file.endswith(".json"):
-        named = re.compile(r'"name"\s*:\s*"([^"\n]{1,256})"')
-    else:
-        named = re.compile(r'^[ \t]*engine[ \t]+"?([^"\s{]{1,256})"?', re.M)
-    found, line, at = {}, 1, 0
-    for one in named.finditer(text):
-        line += text.count("\n", at, one.start(1))
-        at = one.start(1)
-        found.setdefault(one[1], line)
-    return found
-
-
-def read_json(text, file):
-    try:
-        found = orjson.loads(text)
-    except orjson.JSONDecodeError as error:
-        raise Unfit("no-document", f"it is no JSON: {error.msg}", file, error.lineno) from None
-    if not isinstance(found, dict) or not isinstance(found.get("engines"), list):
-        raise Unfit("no-document", "it has no list `engines`", file)
-    for name in found:
-        if name not in ("generation", "engines"):
-            raise Unfit("unknown-node", f"{name[:80]} is no field of it", file)
-    for row in found["engines"]:
-        if not isinstance(row, dict):
-            raise Unfit("no-document", "an engine is no object", file)
-        for name in row:
-            if name not in WORDS:
-                raise Unfit(
-                    "unknown-node", f"{name[:80]} is no field of an engine", file, None, engine_named(row)
-                )
-    return found["engines"], found.get("generation")
-
-
-def engine_named(row):
-    name = row.get("name")
-    return name[:NAME_MOST] if isinstance(name, str) else None
-
-
-def read_kdl(text, file):
-    try:
-        import ckdl
-    except ImportError:
-        raise Unfit("no-document", "KDL needs the package ckdl (requirements-parts.txt)", file) from None
-    try:
-        document = ckdl.parse(text, version=2)
-    except (ValueError, RecursionError, OverflowError) as error:
-        raise Unfit("no-document", f"it is no KDL 2: {error}", file) from None
-    if [node.name for node in document.nodes] != ["members"]:
-        other = next((node.name for node in document.nodes if node.name != "members"), None)
-        if other is not None:
-            raise Unfit("unknown-node", f"{other[:80]} is no node of it", file)
-        raise Unfit("no-document", "it has no node members, or several", file)
-    top, rows = document.nodes[0], []
-    if top.args or set(top.properties) - {"generation"}:
-        raise Unfit("unknown-node", "members has no values but generation", file)
-    if not top.children and "{" not in STRINGS.sub("", text):
-        raise Unfit("no-document", "members has no braces: it is cut, or means nothing", file)
-    for node in top.children:
-        if node.name != "engine":
-            raise Unfit("unknown-node", f"{node.name[:80]} is no node of members", file)
-        if len(node.args) != 1 or node.children:
-            raise Unfit("no-document", "an engine has one value, its name, and properties", file)
-        row = {"name": plain(node.args[0])}
-        for name, value in node.properties.items():
-            if name not in (WORDS | set(ALIAS)) - {"name"}:
-                raise Unfit(
-                    "unknown-node", f"{name[:80]} is no property of an engine", file, None, engine_named(row)
-                )
-            row[ALIAS.get(name, name)] = plain(value)
-        rows.append(row)
-    return rows, plain(top.properties.get("generation"))
-
-
-def plain(value):
-    return getattr(value, "value", value)  # one that bears a type annotation
-
-
-def member_of(row, file, lines, overrides):
-    name = row.get("name")
-    if not isinstance(name, str) or not 0 < len(name) <= NAME_MOST or not name.isprintable():
-        raise Unfit("value-wrong", f"{shown(name)} is no name of an engine", file)
-    line = lines.get(name)
-
-    def wrong(field, code="value-wrong"):
-        return Unfit(code, f"{field} {shown(row.get(field))} cannot be", file, line, name)
-
-    address = None
-    if row.get("address") is not None:
-        try:
-            address = address_of(row["address"])
-        except (ValueError, AttributeError):
-            raise wrong("address") from None
-    elif not overrides:
-        raise Unfit("address-missing", "it has no address", file, line, name)
-    weight = row.get("weight", 1.0)
-    if not number(weight, 0, WEIGHT_MOST):
-        raise wrong("weight", "weight-wrong")
-    started, cell = row.get("since_ms", 0), row.get("group", 0)
-    if not number(started, 0, 1e14):
-        raise wrong("since_ms")
-    if not isinstance(cell, int) or isinstance(cell, bool) or not 0 <= cell < 1 << 31:
-        raise wrong("group")
-    for field in ("zone", "type"):
-        value = row.get(field)
-        if value is not None and not (isinstance(value, str) and 0 < len(value) <= NAME_MOST):
-            raise wrong(field)
-    status = row.get("status", "Ready")
-    if not isinstance(status, str) or STATES.get(status, EngineState.GONE) == EngineState.GONE:
-        raise wrong("status")
-    state = EngineState.DRAINING if weight == 0 else STATES[status]
-    given = frozenset(row) - {"name"} if overrides else None
-    return Member(name, address, row.get("zone"), row.get("type"), cell, started, float(weight), state, given)
-
-
-def number(value, low, high):
+        line = body.count(b"\n", 0, error.start) + 1
+        raise DocumentError("not-utf8", f"octet {error.start} is no UTF-8", file, line) from None
+
+
+class _RowParser:
+    """Checks the values of one engine's row."""
+
+    __slots__ = ("file", "line", "name", "row")
+
+    def __init__(self, row: dict[str, object], file: str, lines: dict[str, int]) -> None:
+        self.row = row
+        self.file = file
+        name = row.get("name")
+        if not isinstance(name, str) or not 0 < len(name) <= MAX_NAME_LENGTH or not name.isprintable():
+            raise DocumentError("value-wrong", f"{_quoted(name)} is no name of an engine", file)
+        self.name = name
+        self.line = lines.get(name)
+
+    def parse(self, overrides_coordinator: bool) -> Endpoint:
+        """The endpoint; raises DocumentError."""
+        row = self.row
+        address = self._address(overrides_coordinator)
+        weight = row.get("weight", 1.0)
+        if not _is_number_within(weight, 0, MAX_WEIGHT):
+            raise self._error("weight", "weight-wrong")
+        started_ms = row.get("since_ms", 0)
+        if not _is_number_within(started_ms, 0, MAX_STARTED_MS):
+            raise self._error("since_ms")
+        cell = row.get("group", 0)
+        if not _is_integer_within(cell, 0, MAX_CELL):
+            raise self._error("group")
+        zone = self._optional_name("zone")
+        kind = self._optional_name("type")
+        state = self._state()
+        if weight == 0:
+            state = EngineState.DRAINING
+        stated = None
+        if overrides_coordinator:
+            stated = frozenset(FIELDS_BY_WORD[word] for word in row if word != "name")
+        return Endpoint(self.name, address, zone, kind, cell, started_ms, float(weight), state, stated)
+
+    def _address(self, overrides_coordinator: bool) -> tuple[str, int] | None:
+        text = self.row.get("address")
+        if text is not None:
+            try:
+                return address_of(text)
+            except (ValueError, AttributeError):
+                raise self._error("address") from None
+        if not overrides_coordinator:
+            raise DocumentError("address-missing", "it has no address", self.file, self.line, self.name)
+        return None
+
+    def _optional_name(self, word: str) -> str | None:
+        value = self.row.get(word)
+        if value is not None and not (isinstance(value, str) and 0 < len(value) <= MAX_NAME_LENGTH):
+            raise self._error(word)
+        return value
+
+    def _state(self) -> EngineState:
+        status = self.row.get("status", "Ready")
+        if not isinstance(status, str) or STATES.get(status, EngineState.GONE) == EngineState.GONE:
+            raise self._error("status")
+        return STATES[status]
+
+    def _error(self, word: str, code: str = "value-wrong") -> DocumentError:
+        text = f"{word} {_quoted(self.row.get(word))} cannot be"
+        return DocumentError(code, text, self.file, self.line, self.name)
+
+
+def _is_integer_within(value: object, low: int, high: int) -> bool:
+    return isinstance(value, int) and not isinstance(value, bool) and low <= value <= high
+
+
+def _is_number_within(value: object, low: float, high: float) -> bool:
     return (
         isinstance(value, (int, float))
         and not isinstance(value, bool)
@@ -243,6 +191,6 @@
     )
 
 
-def shown(value):
+def _quoted(value: object) -> str:
     text = repr(value) if isinstance(value, str) else str(value)
     return text if len(text) <= 60 else text[:57] + "..."
--- a/wickvane/endpoints/findings.py
+++ b/wickvane/endpoints/findings.py
@@ -1,17 +1,29 @@
-"""What can be wrong with a document or with a change that it asks for, each by a code; free of I/O.
+"""Validation findings: what can be wrong with a document or with the change that it asks for; free of I/O.
 
-The codes are for programs and for docs/members.md, the sentence is for people: it names file, line and engine
-where there are any, and what to do.
+A finding's code is for programs and for docs/members.md. Its sentence is for people: it names file, line and
+engine where there are any, and what to do.
 """
 
+from collections.abc import Iterable
+from enum import IntEnum
 from typing import NamedTuple
 
-# What follows from a finding, the gravest of a change's deciding.
-NOTE, STEPS, HOLD, REFUSE = "note", "steps", "hold", "refuse"
-GRAVITY = {NOTE: 0, STEPS: 1, HOLD: 2, REFUSE: 3}
+from wickvane.errors import WickvaneError
+
+
+class Severity(IntEnum):
+    """What follows from a finding; the highest of a change's findings decides."""
+
+    NOTE = 0  # reported only
+    STAGE = 1  # the change is rolled out in steps
+    HOLD = 2  # the change waits for an operator's confirmation
+    REJECT = 3  # the current list stays
+
+
+MAX_REASONS = 8  # sentences in a record or log event
 
 # code: what to do about it
-CODES = {
+REMEDIES = {
     # The file
     "missing": "put the file in place; the list at work stays until then",
     "not-a-file": "put a plain file there",
@@ -37,7 +49,7 @@
     "kind-unknown": "name a type of the settings' host_types",
     "zone-unknown": "name a zone of the settings' zones",
     "weight-wrong": "state a number from 0 (drained by hand) to 100",
-    # Its number
+    # Its generation
     "generation-back": "state a number above the one at work, or roll back by `wickvane members rollback`",
     "generation-same": "state a number above the one at work: two writers have used this one",
     # The change
@@ -51,35 +63,64 @@
 }
 
 
+class Location(NamedTuple):
+    """Where an engine is listed: file and line, None where they are not known."""
+
+    file: str | None
+    line: int | None
+
+
+UNKNOWN_LOCATION = Location(None, None)
+
+
+def unknown_location(name: str) -> Location:
+    """The location of an engine that is in no file."""
+    return UNKNOWN_LOCATION
+
+
 class Finding(NamedTuple):
-    """Something that a check found in a list, and how bad it is."""
+    """Something that validation found, and what follows from it."""
 
     code: str
-    severity: str
+    severity: Severity
     text: str
     file: str | None = None
     line: int | None = None
     engine: str | None = None
 
-    def sentence(self):
+    def sentence(self) -> str:
+        """The finding for people: location, engine, what is wrong, remedy."""
         line = f":{self.line}" if self.line else ""
-        place = f"{self.file}{line}: " if self.file else ""
-        who = f"engine {self.engine}: " if self.engine else ""
-        return f"{place}{who}{self.text}; {CODES[self.code]}"
-
-    def plain(self):
-        return [self.code, self.severity, self.sentence()]
+        location = f"{self.file}{line}: " if self.file else ""
+        subject = f"engine {self.engine}: " if self.engine else ""
+        return f"{location}{subject}{self.text}; {REMEDIES[self.code]}"
 
 
-class Unfit(Exception):
+class DocumentError(WickvaneError):
     """A document that cannot be used; `finding` says why."""
 
-    def __init__(self, code, text, file=None, line=None, engine=None):
-        self.finding = Finding(code, REFUSE, text, file, line, engine)
+    def __init__(
+        self,
+        code: str,
+        text: str,
+        file: str | None = None,
+        line: int | None = None,
+        engine: str | None = None,
+    ) -> None:
+        self.finding = Finding(code, Severity.REJECT, text, file, line, engine)
         super().__init__(self.finding.sentence())
 
 
-def gravest(findings):
-    """What follows from them all: None, or STEPS, HOLD or REFUSE."""
-    worst = max((f.severity for f in findings), key=GRAVITY.__getitem__, default=NOTE)
-    return None if worst == NOTE else worst
+def highest_severity(findings: Iterable[Finding]) -> Severity:
+    """What follows from all findings together; NOTE where there are none."""
+    return max((finding.severity for finding in findings), default=Severity.NOTE)
+
+
+def reasons_of(findings: list[Finding]) -> list[str]:
+    """Sentences for a record or log event; of many findings the first."""
+    return [finding.sentence() for finding in findings[:MAX_REASONS]]
+
+
+def distinct_codes(findings: Iterable[Finding]) -> tuple[str, ...]:
+    """Each code once, in the order of the findings."""
+    return tuple(dict.fromkeys(finding.code for finding in findings))
--- a/wickvane/endpoints/journal.py
+++ b/wickvane/endpoints/journal.py
@@ -1,178 +1,233 @@
-"""Generations on disk: what was taken, refused and told, in the order in which it was; cut-proof at any byte.
+"""The journal of an endpoint list on disk; a cut at any octet loses at most the records behind it.
 
     wickvane-members 1\\n
     records, one behind another: length (4 octets), checksum (16), JSON of so many octets
 
-A record's checksum is BLAKE2b over its octets, keyed by the checksum before it, so that a record holds in its
-place only: neither an old piece of the file nor one of another file passes for the next. Whatever does not
-hold ends the journal there. A record counts once it is forced to disk; the journal is replaced, by one that
-begins with a record that stands for all before it, by one rename.
+A record's checksum is BLAKE2b over its octets, keyed by the checksum before it, so that a record is valid in
+its position only: neither an old piece of the file nor one of another file passes for the next. The first
+invalid record ends the journal. A record counts once it is synced; compaction replaces the journal by one
+rename with one that begins with a checkpoint.
 
-`Disk` is all that touches the disk, so that tests can end it at each step.
+`Disk` is all that touches the disk, so that tests can interrupt it at each step.
 """
 
 import fcntl
 import os
 from hashlib import blake2b
+from typing import NamedTuple
 
 import orjson
 
-MAGIC, NAME, LOCK = b"wickvane-members 1\n", "journal.wickvane", "lock"
-HEAD, MARK, RECORD_MOST, FILE_MOST = 20, 16, 64 << 20, 256 << 20
+from wickvane.errors import WickvaneError
 
+MAGIC = b"wickvane-members 1\n"
+JOURNAL_NAME = "journal.wickvane"
+LOCK_NAME = "lock"
+LENGTH_SIZE = 4  # octets
+CHECKSUM_SIZE = 16  # octets
+HEADER_SIZE = LENGTH_SIZE + CHECKSUM_SIZE
+MAX_RECORD_SIZE = 64 << 20
+MAX_FILE_SIZE = 256 << 20
+DEFAULT_COMPACTION_SIZE = 4 << 20
+FILE_MODE = 0o640
 
-class Unreadable(Exception):
-    """No journal; says why."""
 
+class JournalError(WickvaneError):
+    """A file that is no journal; says why."""
 
-class InUse(Exception):
-    """Another process writes there."""
 
+class JournalInUseError(WickvaneError):
+    """Another process writes the journal."""
 
-def record_of(before, plain):
-    """(octets, checksum) of a record behind one with the checksum `before`."""
-    body = orjson.dumps(plain)
-    mark = blake2b(body, digest_size=MARK, key=before).digest()
-    return len(body).to_bytes(4, "big") + mark + body, mark
 
+class JournalContent(NamedTuple):
+    """Valid records in their stored form, the octets that they take, and the last checksum."""
 
-def records(data):
-    """(records, octets of those that hold, the last checksum). Raises Unreadable where the beginning is not
-    that of a journal."""
+    records: list[dict]
+    size: int
+    checksum: bytes
+
+
+EMPTY_CONTENT = JournalContent([], 0, b"")
+
+
+def frame_record(former_checksum: bytes, stored: dict) -> tuple[bytes, bytes]:
+    """(octets, checksum) of a record behind one with the former checksum."""
+    body = orjson.dumps(stored)
+    checksum = _checksum_of(body, former_checksum)
+    return len(body).to_bytes(LENGTH_SIZE, "big") + checksum + body, checksum
+
+
+def _checksum_of(body: bytes, former_checksum: bytes) -> bytes:
+    return blake2b(body, digest_size=CHECKSUM_SIZE, key=former_checksum).digest()
+
+
+def parse_journal(data: bytes) -> JournalContent:
+    """The valid records in a journal's octets. Raises JournalError where they do not begin as a journal."""
     if not data.startswith(MAGIC):
         if MAGIC.startswith(data):
-            return [], 0, b""  # cut while it was begun
-        raise Unreadable("it does not begin as a journal")
-    found, at, before = [], len(MAGIC), b""
-    while len(data) - at >= HEAD:
-        size = int.from_bytes(data[at : at + 4], "big")
-        body = data[at + HEAD : at + HEAD + size]
-        mark = data[at + 4 : at + HEAD]
-        if (
-            size > RECORD_MOST
-            or len(body) != size
-            or blake2b(body, digest_size=MARK, key=before).digest() != mark
-        ):
+            return EMPTY_CONTENT  # cut while it was begun
+        raise JournalError("it does not begin as a journal")
+    records = []
+    position = len(MAGIC)
+    checksum = b""
+    while len(data) - position >= HEADER_SIZE:
+        body_start = position + HEADER_SIZE
+        body_size = int.from_bytes(data[position : position + LENGTH_SIZE], "big")
+        body = data[body_start : body_start + body_size]
+        stated_checksum = data[position + LENGTH_SIZE : body_start]
+        if body_size > MAX_RECORD_SIZE or len(body) != body_size:
+            break
+        if _checksum_of(body, checksum) != stated_checksum:
             break
         try:
-            found.append(orjson.loads(body))
+            records.append(orjson.loads(body))
         except orjson.JSONDecodeError:
             break
-        at, before = at + HEAD + size, mark
-    return found, at, before
+        position = body_start + body_size
+        checksum = stated_checksum
+    return JournalContent(records, position, checksum)
 
 
 class Disk:
-    """Files as they are."""
+    """The file operations of a journal."""
 
-    def read(self, path, most):
+    def read(self, path: str, max_size: int) -> bytes:
+        """At most one octet more than max_size."""
         with open(path, "rb") as file:
-            return file.read(most + 1)
+            return file.read(max_size + 1)
 
-    def append(self, path):
-        return os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o640)
+    def open(self, path: str) -> int:
+        """A descriptor of a file that is made if need be."""
+        return os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
 
-    def write(self, descriptor, data, at):
+    def write(self, descriptor: int, data: bytes, position: int) -> None:
+        """Writes all octets at a position."""
         while data:
-            count = os.pwrite(descriptor, data, at)
-            data, at = data[count:], at + count
+            count = os.pwrite(descriptor, data, position)
+            data = data[count:]
+            position += count
 
-    def cut(self, descriptor, size):
+    def truncate(self, descriptor: int, size: int) -> None:
+        """Cuts a file to a size."""
         os.ftruncate(descriptor, size)
 
-    def force(self, descriptor):
+    def sync(self, descriptor: int) -> None:
+        """Returns once a file is on disk."""
         os.fsync(descriptor)
 
-    def replace(self, fresh, path):
-        os.replace(fresh, path)
+    def replace(self, source: str, path: str) -> None:
+        """Renames a file over another."""
+        os.replace(source, path)
 
-    def force_folder(self, folder):
-        holder = os.open(folder, os.O_RDONLY)
+    def sync_folder(self, folder: str) -> None:
+        """Returns once a folder's names are on disk."""
+        descriptor = os.open(folder, os.O_RDONLY)
         try:
-            os.fsync(holder)
+            os.fsync(descriptor)
         finally:
-            os.close(holder)
+            os.close(descriptor)
 
-    def close(self, descriptor):
+    def close(self, descriptor: int) -> None:
+        """Closes a descriptor."""
         os.close(descriptor)
 
 
 class Journal:
-    """The journal in a folder, for the one process that writes it. Raises InUse, Unreadable or OSError."""
-
-    def __init__(self, folder, disk=None, most=4 << 20):
-        self.folder, self.disk, self.most = folder, disk or Disk(), most
-        self.path, self.descriptor, self.size, self.mark = os.path.join(folder, NAME), None, 0, b""
-        self.broken = False  # what was written last may be there in part
-        self.lock = os.open(os.path.join(folder, LOCK), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o640)
+    """The journal in a folder, for the one process that writes it.
+
+    size, checksum: of the valid records. Raises JournalInUseError, JournalError or OSError.
+    """
+
+    def __init__(
+        self, folder: str, disk: Disk | None = None, compaction_size: int = DEFAULT_COMPACTION_SIZE
+    ) -> None:
+        self.folder = folder
+        self.disk = disk or Disk()
+        self.compaction_size = compaction_size
+        self.path = os.path.join(folder, JOURNAL_NAME)
+        self.size = 0
+        self.checksum = b""
+        self._descriptor: int | None = None
+        self._has_partial_record = False  # the last write may be there in part
+        self.lock = os.open(os.path.join(folder, LOCK_NAME), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self.lock)
-            raise InUse(f"another process writes the journal in {folder}") from None
-
-    def read(self):
-        """All records that hold; what follows them is cut off before the next is written."""
-        found, self.size, self.mark = read(self.folder, self.disk)
-        return found
-
-    def open(self):
-        self.descriptor = self.disk.append(self.path)
-        self.disk.cut(self.descriptor, self.size)
+            raise JournalInUseError(f"another process writes the journal in {folder}") from None
+
+    def read(self) -> list[dict]:
+        """All valid records; what follows them is cut off before the next is written."""
+        content = read_journal(self.folder, self.disk)
+        self.size = content.size
+        self.checksum = content.checksum
+        return content.records
+
+    def append(self, stored: dict) -> None:
+        """The record is on disk when this returns. Raises OSError where it may not be."""
+        if self._descriptor is None:
+            self._open()
+        elif self._has_partial_record:
+            self.disk.truncate(self._descriptor, self.size)
+        self._has_partial_record = True
+        data, checksum = frame_record(self.checksum, stored)
+        self.disk.write(self._descriptor, data, self.size)
+        self.disk.sync(self._descriptor)
+        self.size += len(data)
+        self.checksum = checksum
+        self._has_partial_record = False
+
+    def _open(self) -> None:
+        self._descriptor = self.disk.open(self.path)
+        self.disk.truncate(self._descriptor, self.size)
         if not self.size:
-            self.disk.write(self.descriptor, MAGIC, 0)
+            self.disk.write(self._descriptor, MAGIC, 0)
             self.size = len(MAGIC)
-        self.disk.force(self.descriptor)
-        self.disk.force_folder(self.folder)
-
-    def keep(self, plain):
-        """The record is on disk when this returns; OSError where it may not be."""
-        if self.descriptor is None:
-            self.open()
-        elif self.broken:
-            self.disk.cut(self.descriptor, self.size)
-        self.broken = True
-        data, mark = record_of(self.mark, plain)
-        self.disk.write(self.descriptor, data, self.size)
-        self.disk.force(self.descriptor)
-        self.size, self.mark, self.broken = self.size + len(data), mark, False
-
-    def full(self):
-        return self.size > self.most
-
-    def compact(self, plain):
-        """Begins anew with one record that stands for all."""
-        data, mark = record_of(b"", plain)
-        fresh = self.path + ".fresh"
-        descriptor = self.disk.append(fresh)
+        self.disk.sync(self._descriptor)
+        self.disk.sync_folder(self.folder)
+
+    def needs_compaction(self) -> bool:
+        """Whether the records should be replaced by a checkpoint."""
+        return self.size > self.compaction_size
+
+    def compact(self, checkpoint: dict) -> None:
+        """Replaces all records by a checkpoint. Raises OSError where the former ones stay."""
+        data, checksum = frame_record(b"", checkpoint)
+        temporary_path = self.path + ".fresh"
+        descriptor = self.disk.open(temporary_path)
         try:
-            self.disk.cut(descriptor, 0)
+            self.disk.truncate(descriptor, 0)
             self.disk.write(descriptor, MAGIC + data, 0)
-            self.disk.force(descriptor)
-            self.disk.replace(fresh, self.path)
+            self.disk.sync(descriptor)
+            self.disk.replace(temporary_path, self.path)
         except OSError:
             self.disk.close(descriptor)
             raise
-        if self.descriptor is not None:
-            self.disk.close(self.descriptor)
-        self.descriptor, self.size, self.mark, self.broken = descriptor, len(MAGIC) + len(data), mark, False
-        # A state that alone is longer must not be written anew with each record.
-        self.most = max(self.most, 2 * self.size)
-        self.disk.force_folder(self.folder)
-
-    def close(self):
-        if self.descriptor is not None:
-            self.disk.close(self.descriptor)
-            self.descriptor = None
+        if self._descriptor is not None:
+            self.disk.close(self._descriptor)
+        self._descriptor = descriptor
+        self.size = len(MAGIC) + len(data)
+        self.checksum = checksum
+        self._has_partial_record = False
+        # A checkpoint that is longer by itself must not be written again with each record.
+        self.compaction_size = max(self.compaction_size, 2 * self.size)
+        self.disk.sync_folder(self.folder)
+
+    def close(self) -> None:
+        """Closes the files and gives the lock up."""
+        if self._descriptor is not None:
+            self.disk.close(self._descriptor)
+            self._descriptor = None
         os.close(self.lock)
 
 
-def read(folder, disk=None):
-    """(records, octets that hold, last checksum) of the journal in a folder, by whoever may read it."""
+def read_journal(folder: str, disk: Disk | None = None) -> JournalContent:
+    """The journal in a folder, by any process that may read it. Raises JournalError or OSError."""
     try:
-        data = (disk or Disk()).read(os.path.join(folder, NAME), FILE_MOST)
+        data = (disk or Disk()).read(os.path.join(folder, JOURNAL_NAME), MAX_FILE_SIZE)
     except FileNotFoundError:
-        return [], 0, b""
-    if len(data) > FILE_MOST:
-        raise Unreadable("it is too long")
-    return records(data)
+        return EMPTY_CONTENT
+    if len(data) > MAX_FILE_SIZE:
+        raise JournalError("it is too long")
+    return parse_journal(data)
--- /dev/null
+++ b/wickvane/endpoints/snapshot.py
@@ -0,0 +1,185 @@
+"""Immutable snapshots of an endpoint list; free of I/O.
+
+A Snapshot shares all that has not changed with the one that it was made from (persistent maps). Its checksum
+is the sum of its endpoints' own, so that it does not depend on their order, and a change of one endpoint
+costs the work of one endpoint, however long the list is.
+"""
+
+import math
+from collections.abc import Iterable
+from hashlib import blake2b
+from typing import NamedTuple
+
+import orjson
+from immutables import Map
+
+from wickvane.events import EngineState
+
+CHECKSUM_MODULUS = 1 << 128
+# Field of an Endpoint: its word in documents and in stored rows.
+DOCUMENT_WORDS = {
+    "address": "address",
+    "zone": "zone",
+    "kind": "type",
+    "cell": "group",
+    "started_ms": "since_ms",
+    "weight": "weight",
+    "state": "status",
+}
+FIELDS_BY_WORD = {word: field for field, word in DOCUMENT_WORDS.items()}
+
+
+class Endpoint(NamedTuple):
+    """One engine as a document, the coordinator or the journal lists it.
+
+    started_ms: Unix time in milliseconds, 0 where it is not known. weight: the part of the engine that may
+    be used, over that of others; 0 drains it. stated_fields: the fields that a document states, for one that
+    overrides what the coordinator lists; None: all of them.
+    """
+
+    name: str
+    address: tuple[str, int] | None
+    zone: str | None = None
+    kind: str | None = None
+    cell: int = 0
+    started_ms: float = 0
+    weight: float = 1.0
+    state: EngineState = EngineState.READY
+    stated_fields: frozenset[str] | None = None
+
+    @property
+    def is_ready(self) -> bool:
+        """Whether it takes new queries."""
+        return self.state == EngineState.READY
+
+    def to_entry(self) -> tuple:
+        """The entry of an update, as the scheduler and the control service take it."""
+        return (
+            self.name,
+            self.address,
+            self.state,
+            self.zone,
+            self.kind,
+            self.cell,
+            self.started_ms,
+            self.weight,
+        )
+
+    def to_row(self) -> list:
+        """The stored form, for JSON."""
+        stated = self.stated_fields
+        words = None if stated is None else sorted(DOCUMENT_WORDS[field] for field in stated)
+        return [*self[:8], words]
+
+
+def endpoint_from_row(row: list) -> Endpoint:
+    """The endpoint of a stored row. Raises ValueError, TypeError or KeyError where it is none."""
+    name, address, zone, kind, cell, started_ms, weight, state, words = row
+    if address is not None:
+        address = str(address[0]), int(address[1])
+    is_valid = (
+        isinstance(name, str)
+        and state in (EngineState.READY, EngineState.DRAINING, EngineState.GONE)
+        and all(isinstance(x, (int, float)) and math.isfinite(x) for x in (cell, started_ms, weight))
+    )
+    if not is_valid:
+        raise ValueError("no member of a list")
+    stated = None if words is None else frozenset(FIELDS_BY_WORD[word] for word in words)
+    return Endpoint(name, address, zone, kind, cell, started_ms, weight, EngineState(state), stated)
+
+
+def stops_taking_queries(current: Endpoint | None, following: Endpoint | None) -> bool:
+    """Whether a ready endpoint is removed or drained by a change."""
+    was_ready = current is not None and current.is_ready
+    return was_ready and (following is None or not following.is_ready)
+
+
+def _endpoint_checksum(endpoint: Endpoint) -> int:
+    return int.from_bytes(blake2b(orjson.dumps(endpoint.to_row()), digest_size=16).digest(), "big")
+
+
+class Snapshot(NamedTuple):
+    """A whole list at one moment.
+
+    generation: as the document states it, or as it was numbered here. parent_checksum, changed: the checksum
+    of the snapshot that this one was made from, and the names in which it may differ from that one.
+    """
+
+    generation: int = 0
+    endpoints: Map = Map()
+    checksum: int = 0
+    parent_checksum: int = -1
+    changed: frozenset[str] = frozenset()
+
+    @property
+    def digest(self) -> str:
+        """16 hex digits that follow from the content alone."""
+        return f"{self.checksum:032x}"[:16]
+
+
+EMPTY_SNAPSHOT = Snapshot()
+
+
+def update_snapshot(
+    parent: Snapshot, generation: int, put: Iterable[Endpoint] = (), removed: Iterable[str] = ()
+) -> Snapshot:
+    """The snapshot after some endpoints were added or replaced and some names removed."""
+    checksum = parent.checksum
+    changed = set()
+    with parent.endpoints.mutate() as table:
+        for name in removed:
+            former = table.pop(name, None)
+            if former is not None:
+                checksum -= _endpoint_checksum(former)
+                changed.add(name)
+        for endpoint in put:
+            former = table.get(endpoint.name)
+            if former == endpoint:
+                continue
+            if former is not None:
+                checksum -= _endpoint_checksum(former)
+            checksum += _endpoint_checksum(endpoint)
+            table[endpoint.name] = endpoint
+            changed.add(endpoint.name)
+        return Snapshot(
+            generation, table.finish(), checksum % CHECKSUM_MODULUS, parent.checksum, frozenset(changed)
+        )
+
+
+def make_snapshot(generation: int, endpoints: Iterable[Endpoint]) -> Snapshot:
+    """A snapshot of exactly these endpoints."""
+    return update_snapshot(EMPTY_SNAPSHOT, generation, endpoints)
+
+
+def changed_names(before: Snapshot, after: Snapshot) -> frozenset[str]:
+    """Names in which two snapshots may differ: those that changed, where one was made from the other."""
+    if before.checksum == after.checksum:
+        return frozenset()
+    if after.parent_checksum == before.checksum:
+        return after.changed
+    if before.parent_checksum == after.checksum:
+        return before.changed
+    return frozenset(
+        [
+            name
+            for name, endpoint in after.endpoints.items()
+            if (former := before.endpoints.get(name)) is not endpoint and former != endpoint
+        ]
+        + [name for name in before.endpoints if name not in after.endpoints]
+    )
+
+
+class SnapshotDelta(NamedTuple):
+    """What turns one snapshot into another: endpoints to put and names to remove, both sorted by name."""
+
+    put: list[Endpoint]
+    removed: list[str]
+
+
+def delta_between(before: Snapshot, after: Snapshot) -> SnapshotDelta:
+    """The delta from one snapshot to another."""
+    names = sorted(changed_names(before, after))
+    return SnapshotDelta(
+        [after.endpoints[name] for name in names if name in after.endpoints],
+        [name for name in names if name not in after.endpoints],
+    )
--- a/wickvane/net/service.py
+++ b/wickvane/net/service.py
@@ -75,7 +75,7 @@
     """
     try:
         settings, limits = found["settings"], Section(found.get("limits") or {}, "limits")
-        alone = members is not None and not members.terms.overrides
+        alone = members is not None and not members.policy.overrides_coordinator
         coordinator = None if alone else address_of(found["coordinator"])
         registry = IdRegistry(settings, fronts)
         if members is not None:
--- a/wickvane/parts.py
+++ b/wickvane/parts.py
@@ -16,7 +16,7 @@
     "tds": "wickvane.net.tds.part",
     "storms": "wickvane.net.storms",
     "control": "wickvane.xds.part",
-    "members": "wickvane.endpoints.part",
+    "members": "wickvane.endpoints.extension",
     "peers": "wickvane.cluster.part",
     "shares": "wickvane.quotas.part",
 }
--- a/wickvane/rehearsal/host.py
+++ b/wickvane/rehearsal/host.py
@@ -144,17 +144,19 @@
     def filed(self, roster):
         """A watched file has come to lie here, and is still."""
         if not self.killed:
-            self.members.candidate(self.world.now, roster, roster.generation, (), "deploy tool")
+            self.members.submit(self.world.now, roster, roster.generation, (), "deploy tool")
             self.follow()
 
     def follow(self):
         if self.killed:
             return
+        from wickvane.endpoints.effects import PublishUpdate
+
         self.members.tick(self.world.now)
-        for kind, *rest in self.members.effects():
-            for name, _, state, *_ in rest[2] if kind == "tell" else ():
+        for effect in self.members.take_effects():
+            for name, _, state, *_ in effect.entries if isinstance(effect, PublishUpdate) else ():
                 self.list_engine(self.world.named[name], state)
-        at = self.members.next_at()
+        at = self.members.next_wakeup()
         if at is not None:
             self.world.at(max(at, self.world.now + TICK), self.follow)
 
--- a/wickvane/rehearsal/world.py
+++ b/wickvane/rehearsal/world.py
@@ -78,31 +78,36 @@
         """What follows watched files, where the script has the list from them; else None."""
         if self.script.lists != "file":
             return None
-        from wickvane.endpoints import checks, membership, roster
-
-        self.document = self.document or roster.EMPTY
-        facts = checks.Facts(
+        from wickvane.endpoints.change_policy import ChangeLimits, ChangePolicy
+        from wickvane.endpoints.endpoint_list import EndpointList
+        from wickvane.endpoints.findings import Severity
+        from wickvane.endpoints.snapshot import EMPTY_SNAPSHOT
+        from wickvane.endpoints.topology import Topology
+
+        self.document = self.document or EMPTY_SNAPSHOT
+        topology = Topology(
             {n: kind.cores for n, kind in enumerate(self.kinds)},
             None,
             (),
             self.deployment.slow_start_fraction,
             self.deployment.slow_start_duration,
         )
-        return membership.Membership(facts, membership.Terms(checks.Limits(share_past="steps")))
+        limits = ChangeLimits(removed_fraction_severity=Severity.STAGE)
+        return EndpointList(topology, ChangePolicy(limits))
 
     def write(self, changes):
         """The deploy tool writes its file: processes and their states."""
-        from wickvane.endpoints import roster
+        from wickvane.endpoints.snapshot import Endpoint, update_snapshot
 
         put = [
-            roster.Member(
+            Endpoint(
                 process.name, (process.name, 1), None, process.kind, 0, int(process.started or 0), 1.0, state
             )
             for process, state in changes
             if state != EngineState.GONE
         ]
         drop = [process.name for process, state in changes if state == EngineState.GONE]
-        self.document = roster.changed(self.document, self.document.generation + 1, put, drop)
+        self.document = update_snapshot(self.document, self.document.generation + 1, put, drop)
 
     def name_engine(self):
         self.next_engine += 1
--- a/wickvane/xds/server.py
+++ b/wickvane/xds/server.py
@@ -322,8 +322,8 @@
             )
             one.node.metadata.update({"index": self.hub.fleet.index, "old": self.hub.fleet.old})
             if self.server.members:
-                found = self.server.members.membership
-                one.node.metadata.update({"generation": found.generation, "digest": found.target.digest})
+                found = self.server.members.endpoint_list.generations
+                one.node.metadata.update({"generation": found.number, "digest": found.target.digest})
             for word, state in row["types"].items():
                 found = one.generic_xds_configs.add(
                     type_url=TYPES[WORDS.index(word)], version_info=state["version"]
@@ -383,7 +383,7 @@
         placement = self.placed(registry, part)
         self.hub = Hub(placement, Make(), grace, part.nodes, part.floor, part.ttl, part.epoch)
         if members:
-            self.hub.catalog.parted = members.terms.overrides
+            self.hub.catalog.parted = members.policy.overrides_coordinator
             self.members = self.membership(registry, members)
         self.streams = Streams(self)
         self.seed, self.loop, self.saving, self.saved_at = found.get("seed", 0), None, None, 0.0
@@ -404,12 +404,12 @@
 
     def membership(self, registry, part):
         """The list from watched files, where the parts document has it."""
-        from wickvane.endpoints.checks import facts_of
-        from wickvane.endpoints.source import Source
+        from wickvane.endpoints.file_source import FileSource
+        from wickvane.endpoints.topology import topology_of
 
-        return Source(
+        return FileSource(
             part,
-            facts_of(registry),
+            topology_of(registry),
             self.listed,
             self.clock,
             self.log,
@@ -524,7 +524,7 @@
         # What the configuration knows comes before the first proxy, so that none is told less.
         self.coordinator, follower = None, None
         if self.followed:
-            listed = self.members.streamed if self.members else self.listed
+            listed = self.members.apply_stream_event if self.members else self.listed
             self.coordinator = Coordinator(self.followed, (0, []), listed, self.seed, self.log, self.counters)
             self.coordinator.last = max([self.known[0], *(event[0] for event in self.known[1])], default=0)
         if self.members:
