--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -152,32 +152,36 @@
 class Quiet:
     """The decider's side of one that shares, and decides nothing."""
 
-    def others(self, *words):
+    def update_in_flight(self, *words):
         pass
 
-    charged = parts = judged = others
+    charge_tenants = update_quotas = update_judgement = update_in_flight
 
 
 def sharing(peer):
     """Rides on a peer as the part `shares` does: three engines with work, and what it did for one tenant."""
     from wickvane.cluster.shell import now
+    from wickvane.quotas.gossip import QuotaGossip
     from wickvane.quotas.lease_broker import BudgetConfig
-    from wickvane.quotas.spread import Offer, Spread
+    from wickvane.quotas.membership_view import MembershipView
+    from wickvane.quotas.snapshot import DispatcherSnapshot
 
-    peer.node.rider = Spread(
+    view = MembershipView(peer.node)
+    gossip = QuotaGossip(
         now(),
-        peer.node,
-        lambda: Offer(
+        view,
+        lambda: DispatcherSnapshot(
             {"e1": 2, "e2": 1, "e3": 1},
             [("taken/lookup/acme", 3)],
             {"acme": now() // 10},
             now() // 10,
-            met=[("e1", 0, 1.0)],
-            ready=["e1", "e2", "e3"],
+            outcomes=[("e1", 0, 1.0)],
+            ready_engines=["e1", "e2", "e3"],
         ),
         Quiet(),
         budgets=(BudgetConfig(10_000, True, False),) * 2,
     )
+    view.attach(gossip)
 
 
 def others(folder, listens, pipe, shares):
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -95,7 +95,7 @@
     for member in made.members:
         for tenant, work in member.works.items():
             done[tenant] += work
-    held = [member.spread.counts.held(made.now, 20_000) for member in made.members]
+    held = [member.spread.counters.in_flight(made.now, 20_000) for member in made.members]
     finished = max(1, made.counts["finished"])
     return {
         "service": outcome.service(0, length),
--- a/tests/quotas/test_decision_observer.py
+++ b/tests/quotas/test_decision_observer.py
@@ -3,12 +3,20 @@
 import pytest
 from bench_free import SETTINGS, statement
 
-from wickvane.events import FOREVER, Ending, EngineState
+from wickvane.events import FOREVER, Ending, EngineJudged, EngineState, InFlightElsewhere, TenantsCharged
 from wickvane.id_registry import IdRegistry
-from wickvane.net.decider import Decider
+from wickvane.net.decider import OBSERVED, Decider
 from wickvane.net.exchange import Exchange, PendingQuery
 from wickvane.net.statement import Reader
-from wickvane.quotas.deciding import counting
+from wickvane.quotas.decision_observer import (
+    DecisionObserver,
+    InFlightReport,
+    UsageReport,
+    VerdictsReport,
+)
+from wickvane.quotas.engine_judgement import EngineVerdict
+from wickvane.quotas.lease_broker import Quota, QuotaUpdate
+from wickvane.quotas.snapshot import DispatcherSnapshot
 
 NOW = 17_000_000_000_000
 ENGINE = ("e", ("127.0.0.1", 1), EngineState.READY, "dc", "old", 0, 0, 1.0)
@@ -39,7 +47,9 @@
 def decider() -> Decider:
     clock, recorder = StillClock(), Recorder()
     exchange = Exchange(clock, recorder)
-    made = counting(Decider, 500)(exchange, IdRegistry(SETTINGS), 1, clock, recorder, recorder)
+    made = Decider(exchange, IdRegistry(SETTINGS), 1, clock, recorder, recorder)
+    # The cluster's clock is 500 ticks behind the decider's.
+    made.observer = DecisionObserver(made.scheduler, made.registry, 500)
     made.round([("listed", True, [ENGINE])])
     return made
 
@@ -52,31 +62,65 @@
     return pending
 
 
+def snapshot(decider: Decider) -> DispatcherSnapshot:
+    """What the cluster's thread takes after a round."""
+    decider.observer.round_finished(decider.now)
+    return decider.observer.buffer.take(NOW)
+
+
 def test_a_query_is_counted_when_it_is_taken_sent_and_finished(decider):
     pending = accept(decider, 1)
     group = decider.registry.group_names[pending.resource_group]
-    tenant = decider.tenant_names[pending.tenant]
-    taken = decider.box.take(NOW)
-    assert dict(taken.sums) == {f"taken/{group}/{tenant}": 1, "sent/e": 1}
-    assert taken.levels == {"e": 1}
+    tenant = decider.observer.tenant_names[pending.tenant]
+    accepted = snapshot(decider)
+    assert dict(accepted.increments) == {f"taken/{group}/{tenant}": 1, "sent/e": 1}
+    assert accepted.levels == {"e": 1}
     decider.round([("ended", pending.attempt, Ending.FINISHED, 700, True)])
-    ended = decider.box.take(NOW)
-    assert dict(ended.sums) == {"done/e": 1, f"finished/{group}/{tenant}": 1}
+    ended = snapshot(decider)
+    assert dict(ended.increments) == {"done/e": 1, f"finished/{group}/{tenant}": 1}
     assert ended.levels == {}
-    assert [(engine, failed) for engine, failed, _ in ended.met] == [("e", 0)]
-    assert ended.works[tenant] > 0 and ended.asked > 0 and ended.ready == ["e"]
+    assert [(outcome.engine, outcome.failed) for outcome in ended.outcomes] == [("e", 0)]
+    assert ended.work_by_tenant[tenant] > 0 and ended.requested_work > 0
+    assert ended.ready_engines == ["e"]
 
 
 def test_an_attempt_that_fails_is_evidence_against_its_engine(decider):
     pending = accept(decider, 1)
-    decider.box.take(NOW)
+    snapshot(decider)
     decider.round([("ended", pending.attempt, Ending.RESET, 700, True)])
-    assert decider.box.take(NOW).met == [("e", 1, None)]
+    assert snapshot(decider).outcomes == [("e", 1, None)]
+
+
+def test_a_query_that_is_rejected_or_fails_is_counted(decider):
+    pending = accept(decider, 1)
+    group = decider.registry.group_names[pending.resource_group]
+    tenant = decider.observer.tenant_names[pending.tenant]
+    snapshot(decider)
+    decider.reject(pending.q, 0)
+    decider.fail(pending.q)
+    assert dict(snapshot(decider).increments) == {
+        f"deferred/{group}/{tenant}": 1,
+        f"killed/{group}/{tenant}": 1,
+    }
 
 
 def test_a_quota_is_in_effect_from_the_round_that_takes_it_in(decider):
-    assert decider.box.take(NOW).taken == 0
-    decider.round([("parted", 3, [(0.5, NOW + 1_000, 0.25), (2.0, None, 1.0)])])
-    assert decider.box.take(NOW).taken == 3
-    # The peers' clock is 500 ticks behind the decider's.
-    assert decider.fleet.leases == [(0.5, NOW + 1_500, 0.25), (2.0, FOREVER, 1.0)]
+    assert snapshot(decider).acknowledged_update == 0
+    update = QuotaUpdate(3, [Quota(0.5, NOW + 1_000, 0.25), Quota(2.0, None, 1.0)])
+    decider.exchange.inbox.put((OBSERVED, update), always=True)
+    decider.round(decider.exchange.inbox.take(0))
+    assert snapshot(decider).acknowledged_update == 3
+    assert decider.observer.fleet.leases == [(0.5, NOW + 1_500, 0.25), (2.0, FOREVER, 1.0)]
+
+
+def test_news_of_others_become_events_as_old_as_they_are(decider):
+    observer = decider.observer
+    engine = decider.registry.engines.of["e"]
+    in_flight = InFlightReport({"e": 5, "unlisted": 7}, 30, NOW - 20)
+    assert list(observer.events_of(in_flight, NOW)) == [InFlightElsewhere(engine, 5, 50)]
+    verdicts = VerdictsReport(
+        {"e": EngineVerdict(True, 2.5, 40), "unlisted": EngineVerdict(True, 0.0, 1)}, NOW
+    )
+    assert list(observer.events_of(verdicts, NOW + 10)) == [EngineJudged(engine, True, 2.5, 50)]
+    (charged,) = observer.events_of(UsageReport({observer.tenant_names[0]: 3}), NOW)
+    assert charged == TenantsCharged([30] + [0] * (len(observer.tenant_names) - 1))
--- a/tests/quotas/test_stored_formats.py
+++ b/tests/quotas/test_stored_formats.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from wickvane.quotas import tool, wire
+from wickvane.quotas import command, wire
 from wickvane.rehearsal import script as scripts
 from wickvane.rehearsal.shared import Shared
 
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize("case", ["held", "lent"])
 @pytest.mark.parametrize("as_json, output", [(False, "output.txt"), (True, "output-json.txt")])
 def test_a_state_folder_is_shown_as_it_was(case, as_json, output, capsys):
-    assert tool.main({"--state": str(DATA / case), "--json": as_json}) == 0
+    assert command.main({"--state": str(DATA / case), "--json": as_json}) == 0
     assert capsys.readouterr().out == (DATA / case / output).read_text()
 
 
--- a/wickvane/__main__.py
+++ b/wickvane/__main__.py
@@ -86,7 +86,7 @@
 COMMANDS = {
     "peers": "wickvane.cluster.tool",
     "policy": "wickvane.config_log.tool",
-    "shares": "wickvane.quotas.tool",
+    "shares": "wickvane.quotas.command",
     "members": "wickvane.endpoints.tool",
     "flows": "wickvane.flows.tool",
     "rehearse": "wickvane.rehearsal.command",
--- a/wickvane/net/decider.py
+++ b/wickvane/net/decider.py
@@ -23,11 +23,15 @@
 KEY_APART, LAG_FADES = 500, 2
 APART = 15  # rounds that follow closer cost more than what comes meanwhile loses by waiting
 FAULTS_MOST = 50
+OBSERVED = "observed"  # the kind of inbox items that are for the observer
 
 
 class Decider:
     """Also the writer that the module is handed: what it decides becomes an answer or an order."""
 
+    # An extension's hooks, set before the thread starts: wickvane.quotas.decision_observer.
+    observer = None
+
     def __init__(self, exchange, registry, seed, clock, log, counters, accounts=None, speaks=None):
         self.exchange = exchange
         self.registry = registry
@@ -51,6 +55,8 @@
                 time.sleep(apart / 10_000)
                 items.extend(self.exchange.inbox.take(0))
             self.round(self.gather(items))
+            if self.observer is not None:
+                self.observer.round_finished(self.now)
 
     def gather(self, items):
         """After a standstill of the whole process, what came meanwhile is read by threads that wake in any
@@ -149,6 +155,8 @@
                 again,
             )
         )
+        if self.observer is not None:
+            self.observer.query_accepted(self.now, pending)
 
     def ended(self, attempt, ending, elapsed, complete):
         """The ending of an attempt."""
@@ -170,6 +178,8 @@
         if complete:
             self.registry.over.add(pending.q)
         self.counters.add(f"ending-{ENDINGS[ending]}")
+        if self.observer is not None:
+            self.observer.attempt_ended(attempt, ending, elapsed)
 
     def left(self, pending):
         """A client that has gone."""
@@ -216,18 +226,24 @@
         if queue:
             queue.put(("close",), always=True)
 
+    def observed(self, message):
+        """News of other dispatchers."""
+        self.events.extend(self.observer.events_of(message, self.now))
+
     def stop(self, left):
         """The process may be ended in so long."""
         self.events.append(ShutdownStarted(left))
 
     # By name, so that who lays more over a decider is asked.
-    READERS = {kind: kind for kind in ("ended", "left", "listed", "stop")}
+    READERS = {kind: kind for kind in ("ended", "left", "listed", "stop", OBSERVED)}
 
     # What was decided
 
     def start_attempt(self, q, engine, max_wait, start_by):
         """Writer: an attempt of a query."""
         pending, name = self.registry.queries.names[q], self.registry.engines.names[engine]
+        if self.observer is not None:
+            self.observer.attempt_started(name)
         until = min(pending.limit, self.now + max_wait) if max_wait else pending.limit
         queue = self.queues.get(name)
         pending.attempt = Attempt(pending, pending.count, engine, queue, self.now, until, start_by)
@@ -241,13 +257,18 @@
     def reject(self, q, retry_after):
         """Writer: a query is refused, and may be sent again."""
         pending = self.registry.queries.names[q]
+        if self.observer is not None:
+            self.observer.query_rejected(pending)
         pending.away = retry_after  # ahead of the answer, which its session may send at once
         self.exchange.settle(pending, DEFERRED)
         self.registry.over.add(q)
 
     def fail(self, q):
         """Writer: a query has failed."""
-        self.exchange.settle(self.registry.queries.names[q], KILLED)
+        pending = self.registry.queries.names[q]
+        if self.observer is not None:
+            self.observer.query_failed(pending)
+        self.exchange.settle(pending, KILLED)
         self.registry.over.add(q)
 
     def cancel_attempt(self, q, number):
--- a/wickvane/parts.py
+++ b/wickvane/parts.py
@@ -18,7 +18,7 @@
     "control": "wickvane.xds.part",
     "members": "wickvane.endpoints.part",
     "peers": "wickvane.cluster.part",
-    "shares": "wickvane.quotas.part",
+    "shares": "wickvane.quotas.extension",
 }
 
 DURATION = re.compile(r"(\d{1,12}(?:\.\d{1,6})?)(ms|s|m|h)\Z", re.A)
--- /dev/null
+++ b/wickvane/quotas/gossip.py
@@ -0,0 +1,293 @@
+"""Dissemination of what dispatchers share, by the datagrams of the cluster. Free of I/O.
+
+Each PAGE_INTERVAL a page of levels and counters goes to a few random members, the latest levels first, so
+that an update reaches all members in a few steps whatever their number; each REPORT_INTERVAL a page of engine
+reports and of tenants' work likewise. Lease messages go to their recipients alone and are not repeated.
+"""
+
+from collections import defaultdict
+from collections.abc import Callable, Iterable, Sequence
+from typing import Any, Protocol
+
+from wickvane.quotas import wire
+from wickvane.quotas.counters import FleetCounters, FleetInFlight
+from wickvane.quotas.engine_judgement import Judgement, judge_engines
+from wickvane.quotas.engine_reports import EngineReports, FirstHandEvidence
+from wickvane.quotas.gossip_register import RegisterUpdate
+from wickvane.quotas.incarnation import Incarnation
+from wickvane.quotas.lease_broker import BudgetConfig, LeaseBroker, QuotaUpdate
+from wickvane.quotas.membership_view import MembershipView, mark_of
+from wickvane.quotas.snapshot import DispatcherSnapshot
+from wickvane.quotas.status import status_of
+from wickvane.quotas.usage import TenantUsage
+from wickvane.units import TICKS_PER_SECOND
+
+PAGE_INTERVAL = TICKS_PER_SECOND // 10
+REPORT_INTERVAL = TICKS_PER_SECOND // 2
+LEASE_INTERVAL = TICKS_PER_SECOND // 5
+MEMBERSHIP_INTERVAL = TICKS_PER_SECOND
+FANOUT = 3  # members that get a page
+SHUTDOWN_FANOUT = 8  # members that get the last page
+PAGE_ROOM = 860  # octets of a datagram, beside those of the cluster
+USAGE_ROOM = 300  # of them, for the tenants' work
+MESSAGE_OVERHEAD = 16  # octets that frame the message of reports and work
+MAX_LEVELS_AGE = 2 * TICKS_PER_SECOND
+MAX_LESSOR_CANDIDATES = 8  # random members, of which the least loaded are asked for leases
+
+
+class GossipListener(Protocol):
+    """The decider's side, which is notified of what the other dispatchers published."""
+
+    def update_in_flight(self, in_flight: FleetInFlight) -> None:
+        """Threads in flight of the others, after each page."""
+
+    def update_quotas(self, update: QuotaUpdate) -> None:
+        """Quotas that changed."""
+
+    def charge_tenants(self, work_by_tenant: dict[str, int]) -> None:
+        """New work of the others, in milliseconds."""
+
+    def update_judgement(self, judgement: Judgement) -> None:
+        """The verdicts on engines, each REPORT_INTERVAL."""
+
+
+class IncarnationMarks:
+    """Resolves the marks that stand for incarnations in messages."""
+
+    def __init__(self) -> None:
+        self._by_mark: dict[int, Incarnation] = {}
+
+    def rebuild(self, incarnations: Iterable[Incarnation]) -> None:
+        """Takes these incarnations; those that share a mark are all left out."""
+        by_mark: dict[int, Incarnation] = {}
+        ambiguous = set()
+        for incarnation in incarnations:
+            mark = mark_of(incarnation)
+            if by_mark.setdefault(mark, incarnation) != incarnation:
+                ambiguous.add(mark)
+        for mark in ambiguous:
+            del by_mark[mark]
+        self._by_mark = by_mark
+
+    def get(self, mark: int) -> Incarnation | None:
+        """The incarnation of a mark, None where it is not known."""
+        return self._by_mark.get(mark)
+
+
+class QuotaGossip:
+    """All state that one dispatcher shares, and its dissemination."""
+
+    def __init__(
+        self,
+        now: int,
+        view: MembershipView,
+        take_snapshot: Callable[[], DispatcherSnapshot | None],
+        listener: GossipListener,
+        page_interval: int = PAGE_INTERVAL,
+        budgets: Sequence[BudgetConfig] = (),
+    ) -> None:
+        """budgets: none where nothing is leased, and there is no broker."""
+        self.view = view
+        self.take_snapshot = take_snapshot
+        self.listener = listener
+        self.page_interval = page_interval
+        self.counters = FleetCounters(now, view.own_incarnation, view.max_members)
+        self.broker = LeaseBroker(now, budgets, view.configured_count) if budgets else None
+        self.evidence = FirstHandEvidence()
+        self.engine_reports = EngineReports(view.max_members)
+        self.tenant_usage = TenantUsage(view.max_members)
+        self.judgement = Judgement({}, None, [])
+        self.marks = IncarnationMarks()
+        self.malformed = 0
+        self.next_at = now + view.random_delay(page_interval)
+        self.next_membership_at = now
+        self.next_leases_at = now
+        self.next_reports_at = now + view.random_delay(REPORT_INTERVAL)
+        if self.broker:
+            self._announce_quotas(now)
+
+    # What arrives
+
+    def receive(self, now: int, sender: Incarnation, payload: bytes) -> None:
+        """A member's message; incarnations that are not known here are ignored."""
+        message = wire.decode(payload)
+        if message is None:
+            self.malformed += 1
+            return
+        self._merge_counters(now, message)
+        self._merge_reports(message)
+        if self.broker:
+            for entry in message.leases:
+                self.broker.receive(now, sender, wire.lease_message(entry))
+
+    def _merge_counters(self, now: int, message: wire.GossipMessage) -> None:
+        for mark, timestamp, levels in message.levels:
+            incarnation = self.marks.get(mark)
+            if incarnation is not None:
+                self.counters.merge_levels(now, incarnation, timestamp, levels)
+        for mark, key, value in message.counters:
+            incarnation = self.marks.get(mark)
+            if incarnation is not None:
+                self.counters.merge_counter(now, incarnation, key, value)
+
+    def _merge_reports(self, message: wire.GossipMessage) -> None:
+        for mark, timestamp, reports in message.engine_reports:
+            incarnation = self._other_incarnation(mark)
+            if incarnation is not None:
+                self.engine_reports.store(incarnation, timestamp, reports)
+        for mark, timestamp, usage in message.tenant_usage:
+            incarnation = self._other_incarnation(mark)
+            if incarnation is not None:
+                self.tenant_usage.merge(incarnation, timestamp, usage)
+
+    def _other_incarnation(self, mark: int) -> Incarnation | None:
+        incarnation = self.marks.get(mark)
+        return incarnation if incarnation != self.counters.incarnation else None
+
+    # What is done in turn
+
+    def run(self, now: int) -> None:
+        """Does what is due; called in each round of the cluster's node."""
+        if self.broker and self.broker.outbox:
+            self._send_lease_messages()
+        if now < self.next_at:
+            return
+        self.next_at = now + self.page_interval
+        self.counters.set_incarnation(self.view.own_incarnation)
+        snapshot = self.take_snapshot()
+        if snapshot is not None:
+            self._record(now, snapshot)
+        if now >= self.next_membership_at:
+            self.next_membership_at = now + MEMBERSHIP_INTERVAL
+            self._refresh_membership(now)
+        self._send_pages(FANOUT)
+        self.listener.update_in_flight(self.in_flight(now))
+        if snapshot is None:
+            return
+        if self.broker:
+            self._lease(now, snapshot)
+        if now >= self.next_reports_at:
+            self.next_reports_at = now + REPORT_INTERVAL
+            self._exchange_reports(now, snapshot)
+
+    def shutdown(self, now: int, writer: Any) -> None:
+        """Publishes what was counted until now to a few more members, and releases all leases."""
+        self.next_at = now
+        with self.view.final_round(now, writer):
+            if self.broker:
+                self.broker.release_all(now)
+                self._send_lease_messages()
+            self._send_pages(SHUTDOWN_FANOUT)
+
+    def _record(self, now: int, snapshot: DispatcherSnapshot) -> None:
+        for key, amount in snapshot.increments:
+            self.counters.increment(key, amount)
+        self.counters.set_levels(now, snapshot.levels)
+        for outcome in snapshot.outcomes:
+            self.evidence.record(now, *outcome)
+
+    def _refresh_membership(self, now: int) -> None:
+        present = self.view.present_incarnations()
+        self.counters.update_membership(now, present)
+        self.engine_reports.retain(present)
+        self.tenant_usage.retain(present)
+        self.marks.rebuild({*self.view.known_incarnations(), *self.counters.by_incarnation})
+
+    def _send_pages(self, fanout: int) -> None:
+        for row in self.view.random_rows(fanout):
+            levels, counters = self.counters.next_page(PAGE_ROOM)
+            page = wire.GossipMessage(
+                levels=[
+                    wire.LevelsEntry(mark_of(update.incarnation), update.timestamp, update.levels)
+                    for update in levels
+                ],
+                counters=[
+                    wire.CounterEntry(mark_of(update.incarnation), update.key, update.value)
+                    for update in counters
+                ],
+            )
+            self.view.send(row, wire.encode(page))
+
+    # Leases
+
+    def _lease(self, now: int, snapshot: DispatcherSnapshot) -> None:
+        if now >= self.next_leases_at:
+            self.next_leases_at = now + LEASE_INTERVAL
+            self.broker.request_leases(
+                now,
+                snapshot.budget_uses,
+                self._lessors_by_load(),
+                self.tenant_usage.traffic_weight(),
+            )
+        self.broker.acknowledge(snapshot.acknowledged_update)
+        self._announce_quotas(now)
+        self._send_lease_messages()
+
+    def _lessors_by_load(self) -> list[Incarnation]:
+        """Random members to request leases from, those with the fewest threads in flight first."""
+        counts = self.counters.by_incarnation
+
+        def threads_in_flight(incarnation: Incarnation) -> int:
+            return sum(counts[incarnation].levels.values()) if incarnation in counts else 0
+
+        return sorted(self.view.random_alive(MAX_LESSOR_CANDIDATES), key=threads_in_flight)
+
+    def _announce_quotas(self, now: int) -> None:
+        update = self.broker.next_update(now, self.view.divisor())
+        if update is not None:
+            self.listener.update_quotas(update)
+
+    def _send_lease_messages(self) -> None:
+        by_recipient: defaultdict[Incarnation, list[wire.LeaseEntry]] = defaultdict(list)
+        for recipient, message in self.broker.take_outbox():
+            by_recipient[recipient].append(wire.lease_entry(message))
+        for recipient, entries in by_recipient.items():
+            for first in range(0, len(entries), wire.MAX_LEASE_MESSAGES):
+                page = wire.GossipMessage(leases=entries[first : first + wire.MAX_LEASE_MESSAGES])
+                self.view.send_to(recipient, wire.encode(page))
+
+    # Engine reports and tenants' work
+
+    def _exchange_reports(self, now: int, snapshot: DispatcherSnapshot) -> None:
+        own = self.view.own_incarnation
+        self.engine_reports.store(own, now, self.evidence.reports(now))
+        self.tenant_usage.publish(own, now, snapshot.work_by_tenant, snapshot.requested_work)
+        for row in self.view.random_rows(FANOUT):
+            self._send_reports(row)
+        new_work = self.tenant_usage.take_new_work(snapshot.requested_work)
+        if new_work:
+            self.listener.charge_tenants(new_work)
+        self._judge(now, own, snapshot.ready_engines)
+
+    def _send_reports(self, row: int) -> None:
+        usage, room_left = self.tenant_usage.next_page(USAGE_ROOM)
+        reports, _ = self.engine_reports.next_page(PAGE_ROOM - MESSAGE_OVERHEAD - USAGE_ROOM + room_left)
+        if usage or reports:
+            page = wire.GossipMessage(
+                engine_reports=[wire.ReportsEntry(*_with_mark(update)) for update in reports],
+                tenant_usage=[wire.UsageEntry(*_with_mark(update)) for update in usage],
+            )
+            self.view.send(row, wire.encode(page))
+
+    def _judge(self, now: int, own: Incarnation, ready_engines: Sequence[str]) -> None:
+        def age_of(incarnation: Incarnation, timestamp: int) -> int | None:
+            if incarnation == own:
+                return now - timestamp
+            return self.counters.age_of_timestamp(now, incarnation, timestamp)
+
+        received = self.engine_reports.by_dispatcher(age_of)
+        self.judgement = judge_engines(received, frozenset(ready_engines))
+        self.listener.update_judgement(self.judgement)
+
+    def in_flight(self, now: int) -> FleetInFlight:
+        """Threads in flight of all other dispatchers whose levels are recent."""
+        return self.counters.in_flight(now, MAX_LEVELS_AGE)
+
+    def status(self) -> dict[str, Any]:
+        """Figures for operators."""
+        return status_of(self, self.view.now)
+
+
+def _with_mark(update: RegisterUpdate) -> tuple[int, int, list]:
+    incarnation, timestamp, rows = update
+    return mark_of(incarnation), timestamp, rows
--- a/wickvane/quotas/lease_broker.py
+++ b/wickvane/quotas/lease_broker.py
@@ -18,7 +18,7 @@
 from wickvane.quotas.escrow import Escrow
 from wickvane.quotas.incarnation import Incarnation
 from wickvane.quotas.lease_messages import LeaseGrant, LeaseMessage, LeaseRelease, LeaseRequest
-from wickvane.units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
+from wickvane.units import TICKS_PER_SECOND
 
 UNITS_PER_DISPATCHER = 64
 RESERVED_UNITS = 16
@@ -30,7 +30,6 @@
 DEMAND_MARGIN = 1.25  # demand over what is in use
 GROWTH_FACTOR = 2.5  # demand over what may be used, where that was insufficient
 DEMAND_DECAY = 4 * TICKS_PER_SECOND
-BUDGET_NAMES = ("bounds", "cold")  # as status shows them
 
 
 class BudgetConfig(NamedTuple):
@@ -94,10 +93,6 @@
     until: int
 
 
-def _milliseconds(ticks: int) -> int:
-    return ticks // TICKS_PER_MILLISECOND
-
-
 class BudgetLeases:
     """One budget: its escrow, and this dispatcher's demand for it in units."""
 
@@ -170,38 +165,6 @@
             units[request.lessor] = units.get(request.lessor, 0) + leased
         return units
 
-    def status(self, now: int) -> dict[str, object]:
-        """Figures for operators, in units and milliseconds."""
-        escrow = self.escrow
-        return {
-            "own": UNITS_PER_DISPATCHER,
-            "kept": RESERVED_UNITS,
-            "usable": escrow.usable_units(now),
-            "mine": escrow.own_usable_units(now),
-            "need": round(self.demand, 1),
-            "lacks": self.insufficient,
-            "whole_in_ms": _milliseconds(max(0, escrow.recovered_at - now)),
-            "lent": [
-                {
-                    "to": holder[0],
-                    "units": lease.units,
-                    "ends_in_ms": _milliseconds(lease.expires_at - now),
-                }
-                for (holder, _), lease in sorted(escrow.granted.items())
-            ],
-            "held": [
-                {
-                    "of": lease.lessor[0],
-                    "units": lease.units,
-                    "begins_in_ms": _milliseconds(max(0, lease.usable_from - now)),
-                    "ends_in_ms": _milliseconds(lease.expires_at - now),
-                }
-                for _, lease in sorted(escrow.held.items())
-            ],
-            "lent_ever": self.granted_total,
-            "borrowed_ever": self.leased_total,
-        }
-
 
 class LeaseBroker:
     """All budgets of one dispatcher, as a lessor and as a holder of leases."""
@@ -364,7 +327,3 @@
         outbox = self.outbox
         self.outbox = []
         return outbox
-
-    def status(self, now: int) -> dict[str, dict]:
-        """Figures for operators by budget."""
-        return {name: budget.status(now) for name, budget in zip(BUDGET_NAMES, self.budgets, strict=False)}
--- /dev/null
+++ b/wickvane/quotas/usage.py
@@ -0,0 +1,86 @@
+"""Work that was requested from each dispatcher, and that it did for each tenant. Free of I/O.
+
+Each incarnation publishes the work that it has done for its busiest tenants since it started. Those totals
+only grow, so lost, late or duplicated updates do not matter in the end: the growth since the last update is
+charged here. What a tenant's first update contains is of unknown age, so nothing of it is charged.
+"""
+
+from collections.abc import Collection
+
+from wickvane.quotas.gossip_register import GossipRegisters, Row
+from wickvane.quotas.incarnation import Incarnation
+
+MAX_PUBLISHED_TENANTS = 8  # of one entry: those with most work since the last one
+REQUESTED_WORK_KEY = "/"  # in place of a tenant: all work that was requested
+RATE_SMOOTHING = 0.1  # weight of the latest sample of the request rates, which are taken each half second
+MAX_TENANTS = 4096  # of one incarnation
+MIN_MEAN_RATE = 1e-6
+
+
+class TenantUsage(GossipRegisters):
+    """The work of all dispatchers by tenant."""
+
+    def __init__(self, max_incarnations: int = 4096) -> None:
+        super().__init__(max_incarnations)
+        self.work_by_incarnation: dict[Incarnation, dict[str, int]] = {}
+        self.new_work: dict[str, int] = {}  # by tenant: not taken yet
+        self.published_work: dict[str, int] = {}
+        self.requested_before: int | None = None
+        self.own_rate = 0.0  # requested work a sample
+        self.mean_rate = 0.0  # the same of all dispatchers
+
+    def publish(
+        self, own: Incarnation, timestamp: int, work_by_tenant: dict[str, int], requested_work: int
+    ) -> None:
+        """This incarnation's work in total, by tenant and as requested."""
+        most_growth_first = sorted(
+            work_by_tenant,
+            key=lambda tenant: (self.published_work.get(tenant, 0) - work_by_tenant[tenant], tenant),
+        )
+        self.published_work = dict(work_by_tenant)
+        busiest = most_growth_first[:MAX_PUBLISHED_TENANTS]
+        rows = [(tenant, work_by_tenant[tenant]) for tenant in busiest]
+        self.store(own, timestamp, [(REQUESTED_WORK_KEY, requested_work), *rows])
+
+    def merge(self, incarnation: Incarnation, timestamp: int, rows: list[Row]) -> None:
+        """Another incarnation's entry."""
+        known = self.work_by_incarnation.get(incarnation)
+        if known is None and len(self.work_by_incarnation) >= self.max_incarnations:
+            return
+        if not self.store(incarnation, timestamp, rows):
+            return
+        known = self.work_by_incarnation.setdefault(incarnation, {})
+        for tenant, work in rows:
+            if tenant not in known and len(known) >= MAX_TENANTS:
+                continue
+            growth = work - known.get(tenant, work)
+            if growth > 0:
+                self.new_work[tenant] = self.new_work.get(tenant, 0) + growth
+            known[tenant] = max(work, known.get(tenant, 0))
+
+    def retain(self, present: Collection[Incarnation]) -> None:
+        """Drops the work of all other incarnations."""
+        super().retain(present)
+        for incarnation in [known for known in self.work_by_incarnation if known not in present]:
+            del self.work_by_incarnation[incarnation]
+
+    def take_new_work(self, requested_work: int) -> dict[str, int]:
+        """By tenant, the work of other dispatchers since the last call.
+
+        requested_work: from this dispatcher, in total; the request rates follow from it.
+        """
+        new_work = self.new_work
+        self.new_work = {}
+        before = requested_work if self.requested_before is None else self.requested_before
+        own_growth = requested_work - before
+        self.requested_before = requested_work
+        dispatchers = 1 + len(self.work_by_incarnation)
+        mean_growth = (own_growth + new_work.pop(REQUESTED_WORK_KEY, 0)) / dispatchers
+        self.own_rate += (own_growth - self.own_rate) * RATE_SMOOTHING
+        self.mean_rate += (mean_growth - self.mean_rate) * RATE_SMOOTHING
+        return new_work
+
+    def traffic_weight(self) -> float:
+        """This dispatcher's request rate over the mean of all; 1 where that is not known."""
+        known = self.mean_rate > MIN_MEAN_RATE and self.work_by_incarnation
+        return self.own_rate / self.mean_rate if known else 1.0
--- a/wickvane/rehearsal/shared.py
+++ b/wickvane/rehearsal/shared.py
@@ -15,11 +15,13 @@
     QueryArrived,
     TenantsCharged,
 )
-from wickvane.quotas.deciding import FAILED, SETTLING, newly_ejected
+from wickvane.quotas.decision_observer import FAILURE_ENDINGS, SLOWDOWN_ALLOWANCE, newly_ejected_engines
+from wickvane.quotas.extension import budget_configs
 from wickvane.quotas.fleet import join
+from wickvane.quotas.gossip import PAGE_INTERVAL, QuotaGossip
 from wickvane.quotas.lease_broker import BudgetUse
-from wickvane.quotas.part import budgets
-from wickvane.quotas.spread import EVERY, Offer, Spread
+from wickvane.quotas.membership_view import MembershipView
+from wickvane.quotas.snapshot import DispatcherSnapshot
 from wickvane.rehearsal.peers import fill
 from wickvane.rehearsal.world import World
 
@@ -48,8 +50,10 @@
             f"{world.seed}/{number}/{world.now}",
             lambda event, fields: None,
         )
-        lent = budgets(world.deployment) if "lends" in world.heeds else ()
-        self.node.rider = self.spread = Spread(world.now, self.node, self.offered, self, world.every, lent)
+        lent = budget_configs(world.deployment) if "lends" in world.heeds else ()
+        view = MembershipView(self.node)
+        self.spread = QuotaGossip(world.now, view, self.offered, self, world.every, lent)
+        view.attach(self.spread)
         self.wake_at(world.now + 1 + number % 100)
 
     def passes(self, event):
@@ -62,21 +66,21 @@
                 tenant = self.tenants[query.clients.tenant]
                 self.works[tenant] = self.works.get(tenant, 0) + event.work
                 threads = self.world.script.groups[query.resource_group].threads
-                slow = event.elapsed / (event.work / threads + SETTLING)
-            if event.ending == Ending.FINISHED or event.ending in FAILED:
+                slow = event.elapsed / (event.work / threads + SLOWDOWN_ALLOWANCE)
+            if event.ending == Ending.FINISHED or event.ending in FAILURE_ENDINGS:
                 name = self.host.engines[event.engine].name
-                self.met.append((name, int(event.ending in FAILED), slow))
+                self.met.append((name, int(event.ending in FAILURE_ENDINGS), slow))
         self.tell(event)
 
     def offered(self):
         scheduler, engines = self.host.scheduler, self.host.engines
-        self.met += [(engines[e].name, 1, None) for e in newly_ejected(scheduler, self.asides)]
+        self.met += [(engines[e].name, 1, None) for e in newly_ejected_engines(scheduler, self.asides)]
         if self.number in self.world.liars:
             # More than one of them, and fewer than would tell of its own way.
             self.met += [(process.name, 1, None) for n, process in engines.items() if n % 3 == 0] * 20
         sums, self.sums = self.sums, {}
         met, self.met = self.met, []
-        return Offer(
+        return DispatcherSnapshot(
             {engines[e].name: n for e, n in enumerate(scheduler.engines.in_flight) if n > 0 and e in engines},
             list(sums.items()),
             {tenant: int(work) // 10 for tenant, work in self.works.items()},
@@ -94,26 +98,27 @@
     def heeds(self, what):
         return what in self.world.heeds and not self.host.killed
 
-    def others(self, totals, age, oldest, counted, out):
-        if counted and self.heeds("others"):
+    def update_in_flight(self, in_flight):
+        if in_flight.counted and self.heeds("others"):
+            totals = in_flight.threads_by_engine
             for e, process in self.host.engines.items():
-                self.tell(InFlightElsewhere(e, totals.get(process.name, 0), age))
+                self.tell(InFlightElsewhere(e, totals.get(process.name, 0), in_flight.mean_age))
 
-    def parts(self, number, figures):
+    def update_quotas(self, update):
         # At once: the world's next round of this host has it before anything that is decided later.
-        self.number_told = number
-        for what, (part, until, then) in enumerate(figures):
+        self.number_told = update.number
+        for what, (part, until, then) in enumerate(update.quotas):
             self.fleet.leased(what, part, FOREVER if until is None else until, then)
 
-    def charged(self, works):
+    def charge_tenants(self, works):
         if self.heeds("charges"):
             self.tell(TenantsCharged([works.get(name, 0) * 10 for name in self.tenants]))
 
-    def judged(self, found, pool, spared):
+    def update_judgement(self, judgement):
         if self.heeds("opinions"):
             for e, process in self.host.engines.items():
-                if process.name in found:
-                    self.tell(EngineJudged(e, *found[process.name]))
+                if process.name in judgement.verdicts:
+                    self.tell(EngineJudged(e, *judgement.verdicts[process.name]))
 
     def wake_at(self, when):
         when = max(when, self.world.now + 1)
@@ -152,7 +157,7 @@
         script,
         seed,
         keep_log=False,
-        every=EVERY,
+        every=PAGE_INTERVAL,
         loss=0.0,
         way=(3, 30),
         heeds=ALL,
