--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -215,7 +215,7 @@
 
     from wickvane.rehearsal import script as scripts
     from wickvane.rehearsal.world import play
-    from wickvane.scheduler import Scheduler
+    from wickvane.scheduling.scheduler import Scheduler
     from wickvane.xds.follower import Follower
 
     found = {}
--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -24,7 +24,7 @@
 from wickvane.rehearsal import logs
 from wickvane.rehearsal import script as scripts
 from wickvane.rehearsal.world import play
-from wickvane.scheduler import Scheduler
+from wickvane.scheduling.scheduler import Scheduler
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 WANTED = {
--- a/tests/bench_free.py
+++ b/tests/bench_free.py
@@ -23,8 +23,8 @@
     TimerFired,
 )
 from wickvane.net.service import Service
-from wickvane.quotas.fleet import join
-from wickvane.scheduler import Scheduler
+from wickvane.quotas.fleet_decisions import join
+from wickvane.scheduling.scheduler import Scheduler
 
 
 def group(**changes):
--- a/tests/scheduling/test_command_stream.py
+++ b/tests/scheduling/test_command_stream.py
@@ -7,8 +7,8 @@
 
 from scheduling.generated_days import Day, Settings
 from wickvane.events import Effect, KeyScope
-from wickvane.quotas.fleet import join
-from wickvane.scheduler import Scheduler
+from wickvane.quotas.fleet_decisions import join
+from wickvane.scheduling.scheduler import Scheduler
 
 LOOKUP = dict()
 REPORT = dict(threads=2, latency_objective=30_000, late_priority_weight=0.3, priority_weight=6.0)
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -15,7 +15,8 @@
 from wickvane.net.tds import errors
 from wickvane.rehearsal import script as scripts
 from wickvane.rehearsal import world
-from wickvane.scheduler import PACE_OVER, Scheduler
+from wickvane.scheduling.deadlines import WORK_MEMORY
+from wickvane.scheduling.scheduler import Scheduler
 
 STORM = SMALL.replace("retries 1", 'retries 6; back-off "100ms"; heeds #{heeds}').replace("12s", "20s")
 
@@ -48,7 +49,10 @@
 
 def test_those_told_come_back_one_behind_another_at_the_pace_of_the_work_done():
     made, out = gateway(), Away()
-    made.done, made.done_at = 4.0 * PACE_OVER, 10_000  # four cores' worth, just now
+    made.retry_after.recent_work, made.retry_after.recent_work_at = (
+        4.0 * WORK_MEMORY,
+        10_000,
+    )  # four cores' worth, just now
     deferred(made, 10_000, out, 20)
     assert len(out.told) == 20 and min(out.told) > 0
     gaps = [b - a for a, b in zip(out.told, out.told[1:])]
@@ -59,7 +63,7 @@
 @pytest.mark.parametrize("pace", [0.0, 0.001])
 def test_none_is_told_more_than_the_setting_and_none_together_where_nothing_is_done(pace):
     made, out = gateway(20_000), Away()
-    made.done, made.done_at = pace * PACE_OVER, 10_000
+    made.retry_after.recent_work, made.retry_after.recent_work_at = pace * WORK_MEMORY, 10_000
     deferred(made, 10_000, out, 60)
     assert len(out.told) == 60 and max(out.told) <= 20_000
     assert len(set(out.told)) > 50 and min(out.told) >= 10_000
@@ -81,9 +85,9 @@
         work = chance.randrange(1, 5000)
         made.round(now, [QueryArrived(q, 0, 0, 100, 10, 0, None, 30_000)], out)
         made.round(now, [AttemptEnded(q, 0, 0, Ending.FINISHED, 5, True, work, 0, None)], out)
-        plain = plain * max(0.0, 1 - (now - before) / PACE_OVER) + work
+        plain = plain * max(0.0, 1 - (now - before) / WORK_MEMORY) + work
         before = now
-        assert made.done == pytest.approx(plain)
+        assert made.retry_after.recent_work == pytest.approx(plain)
 
 
 def told(dispatcher, **fields):
--- a/tests/test_cold_fleets.py
+++ b/tests/test_cold_fleets.py
@@ -9,7 +9,7 @@
 from bench_free import Gateways, collapse_budget, group, site
 
 from wickvane.events import TimerFired
-from wickvane.scheduler import Scheduler
+from wickvane.scheduling.slow_start import SlowStart
 
 BUSY, CORES, STEP = 0.85, 8, 500  # the share of cores that is an engine's capacity; a step in tenths of a ms
 FALL_MULTIPLE, FALL_TIME, COLD_FROM, COLD_TIME = 2.5, 30_000, 0.3, 150_000
@@ -107,7 +107,7 @@
 
 
 def test_without_the_ramp_the_same_fleets_push_cold_engines_over(monkeypatch):
-    monkeypatch.setattr(Scheduler, "cold_room", lambda self, qy, e: True)
+    monkeypatch.setattr(SlowStart, "admits", lambda self, engine, work, fraction, now: True)
     worst = []
     for seed in range(16):
         fleet = Fleet(seed)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -11,7 +11,8 @@
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, invariant, rule
 
 from wickvane.events import EngineState, EngineUpdated
-from wickvane.scheduler import FIRST_ENGINES, Scheduler
+from wickvane.scheduling.placement import FIRST_ENGINES
+from wickvane.scheduling.scheduler import Scheduler
 from wickvane.units import TICKS_PER_SECOND
 from wickvane.xds import fleet as fl
 from wickvane.xds import store
@@ -174,9 +175,9 @@
     for n, name in enumerate(names):
         gateway.round(EngineUpdated(n, name.encode(), EngineState.READY, 0, 0, 0, 0, 1.0))
     for table in TABLES:
-        order = [names[e] for e in gateway.scheduler.order_of(table)]
+        order = [names[e] for e in gateway.scheduler.placement.order_of(table)]
         assert [p.name for p in made.cache[f"g0/{table}"]] == order[: FIRST_ENGINES + LATER]
-    assert Scheduler.order_of  # the same text decides
+    assert type(gateway.scheduler.placement).order_of  # the same text decides
 
 
 def test_groups_that_may_use_other_engines_have_clusters_of_their_own():
@@ -212,8 +213,8 @@
         for table in TABLES:
             for place in made.cache[f"g0/{table}"]:
                 started = fleet.engines[place.name].started
-                real.now, real.engines.started_at[0] = now - late, started
-                assert place.weight <= 800 * real.warmth(0) + 1
+                real.engines.started_at[0] = started
+                assert place.weight <= 800 * real.slow_start.capacity_fraction(0, now - late) + 1
                 assert place.weight >= before.get((table, place.name), 0)  # weights only rise
                 before[table, place.name] = place.weight
         at = made.next_step()
--- a/tests/test_opinions.py
+++ b/tests/test_opinions.py
@@ -207,7 +207,7 @@
 def test_what_several_doubt_gets_nothing_until_word_is_old_or_it_was_met_here():
     g = Gateways(site([group()]), in_fleet=True)
     g.engines(3)
-    first = g.scheduler.order_of(1)[0]
+    first = g.scheduler.placement.order_of(1)[0]
     g.now += TICKS_PER_SECOND
     g.round(EngineJudged(first, True, 0.0, 100))
     assert g.out[g.take()] != first
@@ -226,7 +226,9 @@
     )
     g.engine(0, started=g.now - 10)
     g.round(LeaseChanged(Budget.SLOW_START, 3.0, g.now + 5_000, 1.0))
-    cost = int(g.scheduler.fall_work * 8 * 0.3 / 2)  # two of its own part, six of what it has
+    cost = int(
+        g.scheduler.slow_start.budget_per_core * 8 * 0.3 / 2
+    )  # two of its own part, six of what it has
 
     def sent():
         for q in [g.take(cost=cost) for _ in range(9)]:
@@ -247,10 +249,12 @@
     g = Gateways(site([group()], tenants=2), in_fleet=True)  # no engine: all wait
     for _ in range(12):
         g.take(tenant=0, cost=1000), g.take(tenant=1, cost=1000)
-    before = list(g.scheduler.deficit)
+    before = list(g.scheduler.fair_queue.deficits)
     g.round(TenantsCharged([50_000, 10_000]))
-    fall = [b - a for a, b in zip(g.scheduler.deficit, before, strict=True)]
-    assert fall[1] == 0 < fall[0] and g.scheduler.deficit[0] >= -4.0 * g.scheduler.quantum(0)
+    fall = [b - a for a, b in zip(g.scheduler.fair_queue.deficits, before, strict=True)]
+    assert fall[1] == 0 < fall[0] and g.scheduler.fair_queue.deficits[
+        0
+    ] >= -4.0 * g.scheduler.fair_queue.quantum(0)
 
 
 # Fleets in virtual time
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -15,30 +15,30 @@
     g = Gateways(site([group()]))
     g.engines(3)
     q = g.take(cost=1000)
-    charged = g.scheduler.deficit[0]
+    charged = g.scheduler.fair_queue.deficits[0]
     g.end(q, work=1800)
-    assert g.scheduler.deficit[0] == charged - 800
+    assert g.scheduler.fair_queue.deficits[0] == charged - 800
     q = g.take(cost=1000)
-    charged = g.scheduler.deficit[0]
+    charged = g.scheduler.fair_queue.deficits[0]
     g.end(q, ending=Ending.NO_CONNECTION)
     # Given back, and taken again by the further submission.
-    assert q in g.out and g.scheduler.deficit[0] == charged
+    assert q in g.out and g.scheduler.fair_queue.deficits[0] == charged
 
 
 def test_latency_times_threads_stands_in_for_a_cost_that_is_not_told():
     g = Gateways(site([group(threads=2)]))
     g.engines(3)
     q = g.take(cost=1000)
-    charged = g.scheduler.deficit[0]
+    charged = g.scheduler.fair_queue.deficits[0]
     g.end(q, elapsed=900)
-    assert g.scheduler.deficit[0] == charged - 800
+    assert g.scheduler.fair_queue.deficits[0] == charged - 800
 
 
 def test_a_deficit_is_reset_when_a_query_reaches_an_empty_queue():
     g = Gateways(site([group()]))
-    g.scheduler.deficit[0] = -5e6
+    g.scheduler.fair_queue.deficits[0] = -5e6
     g.take()
-    assert g.scheduler.deficit[0] == 0
+    assert g.scheduler.fair_queue.deficits[0] == 0
 
 
 def test_a_visit_that_finds_no_room_adds_no_quantum():
@@ -46,12 +46,12 @@
     g.take()
     for _ in range(20):
         g.round(TimerFired(1), after=50)
-    assert g.scheduler.deficit[0] == 0
+    assert g.scheduler.fair_queue.deficits[0] == 0
 
 
 def test_two_tenants_share_by_cost_however_many_queries_each_has():
     g = Gateways(site([group(timeout=10_000_000, latency_objective=9_000_000)], tenants=2))
-    g.scheduler.mean_all = 1000.0
+    g.scheduler.estimates.overall_mean_cost = 1000.0
     for _ in range(60):
         g.take(tenant=0, cost=1000, left=9_000_000)
         g.take(tenant=1, cost=3000, left=9_000_000)
@@ -70,9 +70,10 @@
     names = [3, 1, 4, 0, 2]
     for e, name in enumerate(names):
         other.engine(e, name=name)
-    homes = {table_group: one.scheduler.order_of(table_group) for table_group in range(30)}
+    homes = {table_group: one.scheduler.placement.order_of(table_group) for table_group in range(30)}
     assert homes == {
-        table_group: [names[e] for e in other.scheduler.order_of(table_group)] for table_group in range(30)
+        table_group: [names[e] for e in other.scheduler.placement.order_of(table_group)]
+        for table_group in range(30)
     }
     assert {order[0] for order in homes.values()} == set(range(5))
 
@@ -261,7 +262,7 @@
     for dispatcher_count, stays in ((1, True), (40, False)):
         g = Gateways(site([group()], dispatcher_count=dispatcher_count))
         g.engines(5)
-        slow = g.scheduler.order_of(1)[0]
+        slow = g.scheduler.placement.order_of(1)[0]
         g.scheduler.engines.load_factor[slow], g.scheduler.engines.load_factor_at[slow] = 1.4, g.now
         assert (g.out[g.take(table_group=1)] == slow) == stays
 
@@ -288,7 +289,7 @@
         chosen = {one_query(g) for _ in range(8)}
         assert len(chosen) == 1
         went[chosen.pop()] += 1
-    assert set(went) == set(of_many(0).scheduler.order_of(1)[:8]) and min(went.values()) >= 2
+    assert set(went) == set(of_many(0).scheduler.placement.order_of(1)[:8]) and min(went.values()) >= 2
 
 
 def test_a_connection_that_is_gone_holds_no_gateway_to_its_engine():
@@ -308,7 +309,7 @@
     g = Gateways(site([group()], dispatcher_count=2))
     g.engines(8)
     took = [g.take(table_group=1) for _ in range(3)]
-    assert {g.out[q] for q in took} == set(g.scheduler.order_of(1)[:3])
+    assert {g.out[q] for q in took} == set(g.scheduler.placement.order_of(1)[:3])
 
 
 def run_host(*lines):
@@ -350,7 +351,7 @@
     g.engines(2)
     for table_group in range(9000):
         g.end(g.take(table_group=table_group), work=1000)
-    assert 0 < len(g.scheduler.orders) <= 4096
+    assert 0 < len(g.scheduler.placement.orders) <= 4096
 
 
 def test_loads_of_one_table_group_go_to_engines_that_run_none_of_it_before_they_meet():
@@ -361,13 +362,13 @@
     where = g.out[loads[2]]
     g.end(loads[2])
     assert g.out[g.take(table_group=3)] == where
-    assert g.out[g.take(table_group=3)] in g.scheduler.order_of(3) and len(g.out) == 7
+    assert g.out[g.take(table_group=3)] in g.scheduler.placement.order_of(3) and len(g.out) == 7
 
 
 def test_what_is_no_load_keeps_to_the_first_engines_of_its_group():
     g = Gateways(site([group()]))
     g.engines(6)
-    assert {g.out[g.take(table_group=3)] for _ in range(9)} == set(g.scheduler.order_of(3)[:3])
+    assert {g.out[g.take(table_group=3)] for _ in range(9)} == set(g.scheduler.placement.order_of(3)[:3])
 
 
 def test_a_statement_that_no_engine_can_use_costs_no_engine_its_standing_and_little_of_the_budget():
@@ -404,7 +405,7 @@
     gates.engines(2)
     for _ in range(300):
         gates.end(gates.take(), after=1000)
-    assert len(gates.scheduler.taken_at) < 100
+    assert len(gates.scheduler.retries.budget.arrivals) < 100
 
 
 def test_an_engine_that_turns_queries_away_is_sent_fewer_and_one_more_with_each_answer():
@@ -433,31 +434,31 @@
     for apart, known in ((5_000, True), (500, False)):
         gates = Gateways(site([group()], dispatcher_count=100))
         gates.engines(20)
-        scheduler = gates.scheduler
+        load, now = gates.scheduler.load, gates.now
         for n in range(200):
-            scheduler.now += apart
-            scheduler.see(n % 20, 1.0, None, False)
-        scheduler.now += 1
-        scheduler.see(3, 20.0, None, False)
-        scheduler.now += 70_000  # past the six seconds after which it used to be forgotten
-        assert (scheduler.seen(3) > 2 * scheduler.crowd_mid) == known
+            now += apart
+            load.observe(n % 20, 1.0, None, False, now)
+        now += 1
+        load.observe(3, 20.0, None, False, now)
+        now += 70_000  # past the six seconds after which it used to be forgotten
+        assert (load.current(3, now) > 2 * load.usual_load_factor) == known
 
 
 def test_what_is_overdue_counts_in_the_median_once_and_not_again_when_it_ends():
     gates = Gateways(site([group()], dispatcher_count=1))
     gates.engines(2)
     q = gates.take(cost=1000)
-    before = gates.scheduler.median
+    before = gates.scheduler.load.median_latency
     gates.round(TimerFired(1), after=4000)
-    once = gates.scheduler.median
+    once = gates.scheduler.load.median_latency
     assert once > before
     gates.round(TimerFired(1), after=400)
-    assert gates.scheduler.median == once
+    assert gates.scheduler.load.median_latency == once
     gates.end(q, elapsed=4400)
-    assert gates.scheduler.median == once
+    assert gates.scheduler.load.median_latency == once
     quick = gates.take(cost=1000)
     gates.end(quick, elapsed=1000, after=0)
-    assert gates.scheduler.median < once
+    assert gates.scheduler.load.median_latency < once
 
 
 def test_a_pool_binds_without_pressure_so_that_many_gateways_do_not_jam_an_engine_before_it_shows():
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -19,7 +19,7 @@
 from wickvane.config_log.agreement import ABANDON, NOTHING, POLICY, START, VOTERS, Entry, Voter
 from wickvane.config_log.course import Change, Course, digest_of
 from wickvane.config_log.store import Store
-from wickvane.scheduler import Scheduler
+from wickvane.scheduling.scheduler import Scheduler
 
 
 def stated(number, text="x"):
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -236,7 +236,9 @@
         ticket.arrived -= 1000
     decider.round([])
     order = [tickets[1], tickets[2], late, tickets[0]]
-    assert [qy.q for qy in next(iter(decider.scheduler.keys.values()))] == [ticket.q for ticket in order]
+    assert [query.index for query in next(iter(decider.scheduler.keys.queues.values()))] == [
+        ticket.q for ticket in order
+    ]
 
 
 def line_of_one(monkeypatch, up=False):
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -25,7 +25,8 @@
 from wickvane.rehearsal import script as scripts
 from wickvane.rehearsal.load import Load, Postgres
 from wickvane.rehearsal.sockets import Serving
-from wickvane.scheduler import HANDLERS, Scheduler
+from wickvane.scheduling.retries import KeyOrder, RetryBudget, RetryPolicy
+from wickvane.scheduling.scheduler import Scheduler
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 EXAMPLE = os.path.join(ROOT, "deploy", "rehearsal.kdl")
@@ -290,24 +291,26 @@
 
 
 @pytest.mark.parametrize(
-    "rule, name, broken",
+    "rule, owner, name, broken",
     [
         (
             3,
-            "engine",
-            lambda kept: lambda self, e, rank, state, *more: kept(self, e, rank, EngineState.READY, *more),
+            Scheduler,
+            "_update_engine",
+            lambda kept: lambda self, event: kept(self, event._replace(state=EngineState.READY)),
+        ),
+        (5, KeyOrder, "is_turn_of", lambda kept: lambda self, query, now: True),
+        (7, RetryBudget, "is_available", lambda kept: lambda self, now: True),
+        (
+            2,
+            RetryPolicy,
+            "may_retry",
+            lambda kept: lambda self, query, now: query.attempts < 5 and now < query.deadline,
         ),
-        (5, "key_free", lambda kept: lambda self, qy: True),
-        (7, "budget_left", lambda kept: lambda self: True),
-        (2, "may_resubmit", lambda kept: lambda self, qy: qy.tries < 5 and self.now < qy.limit),
     ],
 )
-def test_a_gateway_that_breaks_a_rule_is_caught(monkeypatch, rule, name, broken):
-    monkeypatch.setattr(Scheduler, name, broken(getattr(Scheduler, name)))
-    monkeypatch.setattr(
-        "wickvane.scheduler.HANDLERS",
-        {kind: getattr(Scheduler, handler.__name__, handler) for kind, handler in HANDLERS.items()},
-    )
+def test_a_gateway_that_breaks_a_rule_is_caught(monkeypatch, rule, owner, name, broken):
+    monkeypatch.setattr(owner, name, broken(getattr(owner, name)))
     more = (
         'trouble "drain" at="2s" for="6s" part=0.5\n trouble "reset" at="4s" part=1.0\n'
         'trouble "reset" at="5s" part=1.0\n trouble "reset" at="5500ms" part=1.0\n'
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -15,7 +15,10 @@
     QueryArrived,
     TimerFired,
 )
-from wickvane.scheduler import Scheduler
+from wickvane.scheduling.outlier_ejection import OutlierEjection
+from wickvane.scheduling.retries import KeyOrder, RetryBudget, RetryPolicy
+from wickvane.scheduling.scheduler import Scheduler
+from wickvane.scheduling.slow_start import SlowStart
 
 TICK = 50
 
@@ -87,7 +90,10 @@
                 used <= self.site.retry_budget_minimum + self.site.retry_budget_ratio * came, "7 budget"
             )
         if started and now < started + self.site.slow_start_duration:
-            mean = sum(t[1] == resource_group for t in self.taken) and self.scheduler.mean[resource_group]
+            mean = (
+                sum(t[1] == resource_group for t in self.taken)
+                and self.scheduler.estimates.mean_cost[resource_group]
+            )
             self.cold_sent.append((now, engine, mean))
             work = sum(
                 w for at, e, w in self.cold_sent if e == engine and at > now - self.site.collapse_window
@@ -235,25 +241,34 @@
 
 
 BREAKS = {
-    "1 in time": ("sweep", lambda self: None),
-    "2 mutating": ("may_resubmit", lambda self, qy: qy.tries < 5 and self.now < qy.limit),
-    "2 deferral": ("give_up", lambda self, qy: (self.out.reject(qy.q, 0), self.close(qy))),
+    "1 in time": (Scheduler, "_sweep", lambda self: None),
+    "2 mutating": (
+        RetryPolicy,
+        "may_retry",
+        lambda self, query, now: query.attempts < 5 and now < query.deadline,
+    ),
+    "2 deferral": (
+        Scheduler,
+        "_give_up",
+        lambda self, query: (self._writer.reject(query.index, 0), self._close(query)),
+    ),
     "3 drains": (
+        OutlierEjection,
         "usable",
-        lambda self, resource_group: [
-            e for e in range(len(self.engines)) if self.permitted(resource_group, e)
+        lambda self, resource_group, now: [
+            e for e in range(len(self.engines)) if self._permitted(resource_group, e)
         ],
     ),
-    "4 cold": ("cold_room", lambda self, qy, e: True),
-    "5 turn": ("key_free", lambda self, qy: True),
-    "6": ("permitted", lambda self, resource_group, e: True),
-    "7 budget": ("budget_left", lambda self: True),
+    "4 cold": (SlowStart, "admits", lambda self, engine, work, fraction, now: True),
+    "5 turn": (KeyOrder, "is_turn_of", lambda self, query, now: True),
+    "6": (OutlierEjection, "_permitted", lambda self, resource_group, engine: True),
+    "7 budget": (RetryBudget, "is_available", lambda self, now: True),
 }
 
 
 @pytest.mark.parametrize("rule", BREAKS)
 def test_model_catches_a_module_that_breaks(rule, monkeypatch):
-    monkeypatch.setattr(Scheduler, *BREAKS[rule])
+    monkeypatch.setattr(*BREAKS[rule])
     seen = set()
     for seed in range(12):
         try:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -166,7 +166,7 @@
 def test_an_engine_that_others_crowd_gets_the_next_query_last():
     g = Gateways(site([group()], dispatcher_count=30), in_fleet=True)
     g.engines(3)
-    first = g.scheduler.order_of(0)[0]
+    first = g.scheduler.placement.order_of(0)[0]
     g.end(g.take(cost=1000), work=1000)
     g.round(*[InFlightElsewhere(e, 24 if e == first else 0, 10) for e in range(3)])
     q = g.take(cost=1000)
@@ -194,7 +194,7 @@
         for member in world.members:
             held, mean, oldest, counted, out = member.spread.counts.held(world.now, 2 * TICKS_PER_SECOND)
             looks.append((mean, oldest, counted, sum(held.values())))
-        true.append(sum(host.scheduler.used for host in world.hosts))
+        true.append(sum(host.scheduler.limits.threads_in_flight for host in world.hosts))
         world.at(world.now + TICKS_PER_SECOND // 4, look)
 
     true = []
--- a/tests/test_tds.py
+++ b/tests/test_tds.py
@@ -158,7 +158,10 @@
     with dispatcher.connect() as client:
         ask(client, "SELECT 1 FROM sales_17.orders")
         ask(client, "SELECT 2 FROM sales_17.orders")
-    assert scheduler.mean[3] == pytest.approx(2500, rel=0.01) and scheduler.mean[0] == 0.0
+    assert (
+        scheduler.estimates.mean_cost[3] == pytest.approx(2500, rel=0.01)
+        and scheduler.estimates.mean_cost[0] == 0.0
+    )
     first, second = engine.next("BATCH"), engine.next("BATCH")
     assert first.conn is second.conn and not first.reset and second.reset
 
--- a/wickvane/endpoints/checks.py
+++ b/wickvane/endpoints/checks.py
@@ -8,7 +8,7 @@
 
 from wickvane.endpoints.findings import HOLD, NOTE, REFUSE, STEPS, Finding
 from wickvane.events import EngineState
-from wickvane.scheduler import warm_part
+from wickvane.scheduling.slow_start import warm_part
 
 NAMED = 5  # engines named in one sentence
 
--- a/wickvane/endpoints/part.py
+++ b/wickvane/endpoints/part.py
@@ -95,7 +95,7 @@
             service.clock,
             service.log,
             service.counters,
-            lambda: scheduler.used * scheduler.dispatcher_count,
+            lambda: scheduler.limits.threads_in_flight * scheduler.dispatcher_count,
             lambda name: sent.get(name, 0) > 0,
             service.name,
         )
--- a/wickvane/events.py
+++ b/wickvane/events.py
@@ -1,4 +1,4 @@
-"""What crosses the border of wickvane.scheduler: typed events, endings, and the writer it is handed.
+"""What crosses the border of wickvane.scheduling: typed events, endings, and the writer it is handed.
 
 Any protocol can stand on the other side. It turns its own messages into events, calls
 ``Scheduler.round(now, events, out)`` once for all that came in, and carries out what is written into ``out``.
--- a/wickvane/net/decider.py
+++ b/wickvane/net/decider.py
@@ -15,7 +15,7 @@
 )
 from wickvane.net.exchange import DEFERRED, KILLED, Attempt
 from wickvane.net.queues import EngineQueue
-from wickvane.scheduler import Scheduler
+from wickvane.scheduling.scheduler import Scheduler
 
 LONGEST_WAIT = 10_000
 LATE, SETTLE_S, SETTLES = 250, 0.01, 6
--- a/wickvane/quotas/deciding.py
+++ b/wickvane/quotas/deciding.py
@@ -11,7 +11,7 @@
     LeaseChanged,
     TenantsCharged,
 )
-from wickvane.quotas import fleet
+from wickvane.quotas import fleet_decisions
 from wickvane.quotas.spread import NOTHING, Offer
 
 BUSY = 10_000  # without a query for so long, what others hold is nothing to this dispatcher
@@ -68,7 +68,7 @@
             super().__init__(*words)
             self.box, self.looked, self.told_parts, self.asides = Box(), 0, 0, []
             self.tenant_names = list(self.registry.tenants.index)
-            self.fleet = fleet.join(self.scheduler)
+            self.fleet = fleet_decisions.join(self.scheduler)
 
         def tenant(self, pending):
             return self.tenant_names[pending.tenant] if pending.tenant < len(self.tenant_names) else ""
@@ -102,7 +102,7 @@
         def taken(self, pending, again=False):
             super().taken(pending, again)
             self.box.busy_at = self.now
-            self.box.asked += pending.cost or int(self.scheduler.mean[pending.resource_group])
+            self.box.asked += pending.cost or int(self.scheduler.estimates.mean_cost[pending.resource_group])
             self.tally("taken", pending)
 
         def start_attempt(self, q, engine, max_wait, start_by):
--- a/wickvane/rehearsal/baselines.py
+++ b/wickvane/rehearsal/baselines.py
@@ -1,4 +1,4 @@
-"""What wickvane.scheduler is compared with: plain balancers behind the same border, free of I/O.
+"""What wickvane.scheduling is compared with: plain balancers behind the same border, free of I/O.
 
 Each sends a query as it comes, to one engine that is ready and permitted, and knows no queue, no budget and
 no second try: an ending that proves that nothing ran, and whatever becomes of what is read-only, is deferred;
--- a/wickvane/rehearsal/cells.py
+++ b/wickvane/rehearsal/cells.py
@@ -9,10 +9,11 @@
 import sys
 from concurrent.futures import ProcessPoolExecutor, as_completed
 from functools import lru_cache
+from pathlib import Path
 
 import orjson
 
-from wickvane import parts, scheduler
+from wickvane import parts, scheduling
 from wickvane.rehearsal import (
     baselines,
     draws,
@@ -26,6 +27,7 @@
     world,
 )
 from wickvane.rehearsal import script as scripts
+from wickvane.scheduling.scheduler import Scheduler
 
 REVISION = "commit:"
 
@@ -35,6 +37,13 @@
         return file.read()
 
 
+def text_of_package(package):
+    """The text of all modules of a package, in the order of their names."""
+    return "\n".join(
+        path.read_text(encoding="utf-8") for path in sorted(Path(package.__path__[0]).glob("*.py"))
+    )
+
+
 @lru_cache
 def earlier(variant):
     """The class that decides at a commit, and its text."""
@@ -46,10 +55,10 @@
 
 @lru_cache
 def module_text(variant):
-    """The text of the module that decides in a variant."""
+    """The text of the modules that decide in a variant."""
     if variant.startswith(REVISION):
         return earlier(variant)[1]
-    return text_of(baselines if variant in baselines.BASELINES else scheduler)
+    return text_of(baselines) if variant in baselines.BASELINES else text_of_package(scheduling)
 
 
 @lru_cache
@@ -64,7 +73,7 @@
     """The class that decides in a variant."""
     if variant in baselines.BASELINES:
         return baselines.BASELINES[variant]
-    return scheduler.Scheduler if variant == "here" else earlier(variant)[0]
+    return Scheduler if variant == "here" else earlier(variant)[0]
 
 
 def play(cell):
--- a/wickvane/rehearsal/shared.py
+++ b/wickvane/rehearsal/shared.py
@@ -12,11 +12,12 @@
     EngineJudged,
     EngineState,
     InFlightElsewhere,
+    LeaseChanged,
     QueryArrived,
     TenantsCharged,
 )
 from wickvane.quotas.deciding import FAILED, SETTLING, newly_ejected
-from wickvane.quotas.fleet import join
+from wickvane.quotas.fleet_decisions import join
 from wickvane.quotas.part import budgets
 from wickvane.quotas.spread import EVERY, Offer, Spread
 from wickvane.rehearsal.peers import fill
@@ -102,7 +103,7 @@
         # At once: the world's next round of this host has it before anything that is decided later.
         self.number_told = number
         for what, (part, until, then) in enumerate(figures):
-            self.fleet.leased(what, part, FOREVER if until is None else until, then)
+            self.fleet.replace_lease(LeaseChanged(what, part, FOREVER if until is None else until, then))
 
     def charged(self, works):
         if self.heeds("charges"):
--- a/wickvane/rehearsal/world.py
+++ b/wickvane/rehearsal/world.py
@@ -1,5 +1,5 @@
-"""A rehearsal in virtual time: gateways of wickvane.scheduler before modelled engines, clients, and faults by
-script.
+"""A rehearsal in virtual time: gateways of wickvane.scheduling before modelled engines, clients, and faults
+by script.
 
 Everything that happens is an event on one heap, by time and then by the order in which it was made. What is
 drawn comes from streams of chance by name, so that one more client leaves all that engines draw as it was.
@@ -18,7 +18,7 @@
 from wickvane.rehearsal.outcome import Outcome
 from wickvane.rehearsal.rules import Figures, Seen
 from wickvane.rehearsal.script import deployment
-from wickvane.scheduler import Scheduler
+from wickvane.scheduling.scheduler import Scheduler
 from wickvane.units import TICKS_PER_SECOND
 
 SLACK = 0.06  # seconds: rounds, the way there, and a sweep's step
--- a/wickvane/engine_table.py
+++ b/wickvane/scheduling/engine_table.py
@@ -5,13 +5,13 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from wickvane.events import FOREVER
+from wickvane.events import FOREVER, EngineUpdated
 
 NEVER = -FOREVER
 
 
 class Lifetime(Enum):
-    """How long a figure stands."""
+    """How long a figure is valid."""
 
     LISTED = "set by each event of the engine list"
     PROCESS = "reset where another process takes the place"
@@ -19,14 +19,14 @@
 
 
 class Column(NamedTuple):
-    """One figure of every engine; times are tenths of a millisecond."""
+    """One figure of every engine; times are ticks."""
 
     name: str
     lifetime: Lifetime
     initial: Callable[[], Any]
 
 
-def constant(value):
+def constant(value: Any) -> Callable[[], Any]:
     """A maker of one initial value that is never changed in place."""
     return lambda: value
 
@@ -40,23 +40,23 @@
     Column("cores", Lifetime.LISTED, constant(1)),  # by kind and weight
     Column("started_at", Lifetime.LISTED, constant(0)),  # 0: it was there from the beginning
     Column("in_flight", Lifetime.PROCESS, constant(0)),  # threads of this dispatcher's attempts
-    Column("loads", Lifetime.PROCESS, list),  # table groups of the loads in flight
+    Column("bulk_loads", Lifetime.PROCESS, list),  # table groups of bulk loads in flight
     Column("slow_start_work", Lifetime.PROCESS, deque),  # (when, work) sent while it warmed up
     Column("failure_rate", Lifetime.RUN, constant(0.0)),  # smoothed
-    Column("rejected_at", Lifetime.RUN, constant(NEVER)),  # when it last turned an attempt away
-    Column("heard_at", Lifetime.RUN, constant(0)),  # when it last answered or told progress
-    Column("used_at", Lifetime.RUN, constant(NEVER)),  # when it was last sent to or heard of
+    Column("rejected_at", Lifetime.RUN, constant(NEVER)),  # of its last rejection
+    Column("last_contact_at", Lifetime.RUN, constant(0)),  # of its last answer or progress
+    Column("last_used_at", Lifetime.RUN, constant(NEVER)),  # of the last attempt that started or ended
     Column("ejected_until", Lifetime.RUN, constant(0)),
     Column("ejection_time", Lifetime.RUN, constant(0)),  # of the next ejection
-    Column("half_open", Lifetime.RUN, constant(False)),  # one probe decides whether it is let back in
+    Column("half_open", Lifetime.RUN, constant(False)),  # one probe decides whether it is ejected again
     Column("refuses_connections", Lifetime.RUN, constant(False)),
-    Column("concurrency_limit", Lifetime.RUN, constant(FOREVER)),  # threads in flight that it takes
+    Column("concurrency_limit", Lifetime.RUN, constant(FOREVER)),  # threads in flight that it accepts
     Column("load_factor", Lifetime.RUN, constant(1.0)),  # latency against an unloaded engine's
     Column("load_factor_at", Lifetime.RUN, constant(0)),
-    Column("lot", Lifetime.RUN, constant(1.0)),  # drawn once a window of its slow start
-    Column("lot_until", Lifetime.RUN, constant(-1)),
-    Column("others_in_flight", Lifetime.RUN, constant(0)),  # threads, as the other dispatchers told
-    Column("others_told_at", Lifetime.RUN, constant(NEVER)),
+    Column("admission_draw", Lifetime.RUN, constant(1.0)),  # drawn once a slow start window
+    Column("admission_draw_until", Lifetime.RUN, constant(-1)),
+    Column("others_in_flight", Lifetime.RUN, constant(0)),  # threads, as the other dispatchers reported
+    Column("others_reported_at", Lifetime.RUN, constant(NEVER)),
 )
 
 
@@ -65,20 +65,31 @@
 
     __slots__ = tuple(column.name for column in COLUMNS)
 
-    def __init__(self):
+    def __init__(self) -> None:
         for column in COLUMNS:
             setattr(self, column.name, [])
 
-    def __len__(self):
+    def __len__(self) -> int:
         return len(self.rank)
 
-    def grow(self, size):
+    def grow(self, size: int) -> None:
         """Makes room for engines up to index `size` - 1."""
         for column in COLUMNS:
             values = getattr(self, column.name)
             values.extend(column.initial() for _ in range(size - len(values)))
 
-    def reset(self, engine, lifetime):
+    def set_listed(self, event: EngineUpdated, cores: float) -> None:
+        """Sets what the endpoint list says of an engine."""
+        engine = event.engine
+        self.rank[engine] = event.rank
+        self.state[engine] = event.state
+        self.zone[engine] = event.zone
+        self.kind[engine] = event.kind
+        self.cell[engine] = event.cell
+        self.started_at[engine] = event.started
+        self.cores[engine] = cores
+
+    def reset(self, engine: int, lifetime: Lifetime) -> None:
         """Sets all figures of one lifetime to their initial values."""
         for column in COLUMNS:
             if column.lifetime is lifetime:
--- /dev/null
+++ b/wickvane/scheduling/scheduler.py
@@ -0,0 +1,370 @@
+"""One dispatcher's decisions: which query leaves, for which engine, when it is retried or given up.
+
+Called by wickvane.net (sockets) and wickvane.wirehost (bench) with the events of wickvane.events; commands go
+to the Writer that each round is handed. Times are ticks (wickvane.units), work is such a time of one thread.
+docs/design.md explains the mechanisms, each of which is a module of this package.
+"""
+
+from collections import Counter, deque
+from random import Random
+from typing import Any
+
+from wickvane.events import (
+    AttemptEnded,
+    AttemptProgressed,
+    ClientGone,
+    Deployment,
+    Ending,
+    EndpointListLost,
+    EngineUpdated,
+    Progress,
+    QueryArrived,
+    ShutdownStarted,
+    TimerFired,
+    Writer,
+)
+from wickvane.scheduling.concurrency import ConcurrencyLimits, LoadTracker
+from wickvane.scheduling.deadlines import SWEEP_INTERVAL, Deadlines, RetryAfter
+from wickvane.scheduling.engine_table import EngineTable, Lifetime
+from wickvane.scheduling.estimates import TermsPolicy, WorkEstimates
+from wickvane.scheduling.fair_queue import FairQueue
+from wickvane.scheduling.fleet_hook import FleetHook
+from wickvane.scheduling.outlier_ejection import EJECTION_FIRST, OutlierEjection
+from wickvane.scheduling.placement import NO_ENGINE, Placement
+from wickvane.scheduling.query import Query
+from wickvane.scheduling.retries import LOST_SHARE_MOST, KeyOrder, RetryPolicy
+from wickvane.scheduling.slow_start import SlowStart
+from wickvane.units import TICKS_PER_SECOND
+
+IDLE_SWEEP_INTERVAL = TICKS_PER_SECOND // 10
+POLL_INTERVAL = TICKS_PER_SECOND  # after the endpoint list was lost
+ROUND_TIMER = 1  # the token of the one timer that is used
+RUN_TIMES_OVERDUE = 3  # expected run times, and
+OVERDUE_OFFSET = TICKS_PER_SECOND // 2  # ticks more, after which an attempt on a silent engine is overdue
+STANDSTILL = 2 * TICKS_PER_SECOND  # a process may stand still so long, and go on as if nothing had been
+WEIGHT_LEAST = 0.01
+
+
+class Scheduler:
+    """One dispatcher's state: the queries that it holds, and the mechanisms that decide on them."""
+
+    def __init__(self, seed: Any, deployment: Deployment) -> None:
+        chance = Random(seed)
+        self.deployment = deployment
+        self.groups = deployment.groups
+        self.dispatcher_count = deployment.dispatcher_count
+        self.engines = EngineTable()
+        self.estimates = WorkEstimates(deployment)
+        self.slow_start = SlowStart(deployment, self.engines, chance)
+        self.load = LoadTracker(self.engines, self.slow_start, self.estimates)
+        self.limits = ConcurrencyLimits(deployment, self.engines, self.slow_start, self.load)
+        self.ejection = OutlierEjection(self.groups, self.engines)
+        self.placement = Placement(
+            deployment,
+            self.engines,
+            chance,
+            self.estimates,
+            self.slow_start,
+            self.load,
+            self.limits,
+            self.ejection,
+        )
+        self.fair_queue = FairQueue([share for share, _ in deployment.tenants], self.estimates)
+        self.deadlines = Deadlines(deployment, self.load)
+        self.retries = RetryPolicy(deployment, self.deadlines, self.load)
+        self.keys = KeyOrder(deployment.key_quarantine, self.load)
+        self.retry_after = RetryAfter(deployment.max_retry_after, chance)
+        self.terms = TermsPolicy(deployment, self.estimates)
+        self.fleet: FleetHook | None = None
+        self._queries: dict[int, Query] = {}  # without a final answer, or with an attempt in flight
+        self._running: dict[int, Query] = {}  # with an attempt in flight
+        self._retrying: deque[Query] = deque()  # that wait for a retry
+        self._poll_at = 0 if deployment.subscribes_to_endpoints else None
+        self._next_sweep = 0
+        self._timer_at: int | None = None
+        self._now = 0
+        self._writer: Writer | None = None
+        self._handlers = {
+            QueryArrived: self._take_query,
+            AttemptEnded: self._end_attempt,
+            ClientGone: self._drop_query,
+            TimerFired: self._ignore_timer,
+            AttemptProgressed: self._note_progress,
+            EngineUpdated: self._update_engine,
+            EndpointListLost: self._schedule_poll,
+            ShutdownStarted: self._start_shutdown,
+        }
+
+    def join_fleet(self, fleet: FleetHook) -> None:
+        """From now on the reports of other dispatchers are part of the decisions."""
+        self.fleet = fleet
+        self.placement.fleet = fleet
+
+    def round(self, now: int, events: list, out: Writer) -> None:
+        """Takes in all events since the last round and decides; commands are written to `out`."""
+        self._now = now
+        self._writer = out
+        self.placement.start_round()
+        self.limits.start_round()
+        for event in events:
+            self._handle(event)
+        if self.fleet is not None:
+            self.fleet.before_decisions(now)
+        self._poll_endpoints()
+        if now >= self._next_sweep:
+            self._sweep()
+        self._release_queries()
+        self._release_retries()
+        self._set_timer()
+
+    def _handle(self, event: tuple) -> None:
+        handler = self._handlers.get(type(event))
+        if handler is not None:
+            handler(event)
+        else:
+            self.fleet.handle(event, self._now)
+
+    # Queries
+
+    def _take_query(self, event: QueryArrived) -> None:
+        group = self.groups[event.group]
+        self.fair_queue.add_tenants_up_to(event.tenant)
+        query = Query(
+            event.query,
+            event.group,
+            event.tenant,
+            event.table_group,
+            event.key if group.ordered else None,
+            self.estimates.estimate(event),
+            event.memory,
+        )
+        is_in_time = self.deadlines.set_on_arrival(query, event.time_left, event.is_retry, self._now)
+        self._queries[query.index] = query
+        self.retries.budget.record_arrival(self._now)
+        turn_at = self._now + self.keys.add(query)
+        if not is_in_time or self.deadlines.turn_is_too_late(query, turn_at, self._now):
+            self._give_up(query)
+        else:
+            self.fair_queue.add(query)
+
+    def _drop_query(self, event: ClientGone) -> None:
+        query = self._queries.get(event.query)
+        if query is not None and not query.answered:
+            self._close(query)
+
+    def _give_up(self, query: Query) -> None:
+        """Gives the final answer that the query was not run, or has failed."""
+        if self.retries.is_safe_to_reject(query):
+            queued_cost = self.estimates.overall_mean_cost * len(self.fair_queue)
+            self._writer.reject(query.index, self.retry_after.next(query, queued_cost, self._now))
+        else:
+            self._writer.fail(query.index)
+        self._close(query)
+
+    def _close(self, query: Query) -> None:
+        """The query has its final answer, or needs none."""
+        query.answered = True
+        if query.in_flight:
+            if self.deployment.can_cancel:
+                self._writer.cancel_attempt(query.index, query.attempts - 1)
+            return
+        self.fair_queue.remove(query)
+        self._forget(query)
+
+    def _forget(self, query: Query) -> None:
+        self.keys.remove(query)
+        self._queries.pop(query.index, None)
+
+    # Attempts
+
+    def _start_attempt(self, query: Query, engine: int) -> None:
+        query.engine = engine
+        query.sent_at = self._now
+        query.in_flight = True
+        query.fraction_done = 0.0
+        query.overdue_counted = False
+        query.attempts += 1
+        self.placement.attempt_started(query, self._now)
+        self._running[query.index] = query
+        terms = self.terms.terms(query, self._now)
+        if terms is not None:
+            query.priority, memory_grant = terms
+            self._writer.set_terms(query.index, query.priority, memory_grant)
+        self._writer.start_attempt(query.index, engine, 0, self.retries.start_by(query))
+
+    def _end_attempt(self, event: AttemptEnded) -> None:
+        query = self._queries.get(event.query)
+        if query is None or not query.in_flight:
+            return
+        query.in_flight = False
+        self._running.pop(event.query, None)
+        self.placement.attempt_ended(query, event.engine, event.ending, self._now)
+        self.ejection.record(query, event.engine, event.ending, self._now)
+        work = event.work or event.elapsed * self.groups[query.resource_group].threads
+        self._account(query, event, work)
+        if event.ending == Ending.FINISHED:
+            self._learn(query, event, work)
+        elif event.ending == Ending.REJECTED:
+            self.limits.attempt_rejected(event.engine, self._now)
+        elif event.ending < Ending.REJECTED and query.ran_at is None:
+            query.ran_at = query.sent_at
+            query.ran_on = event.engine
+        self.keys.attempt_ended(query, event.ending, self._now)
+        query.answered = query.answered or event.complete or event.ending == Ending.FINISHED
+        if query.answered:
+            self._forget(query)
+        elif not self.retries.may_retry(query, self._now) or self._now >= query.deadline:
+            self._give_up(query)
+        else:
+            self._retrying.append(query)
+
+    def _account(self, query: Query, event: AttemptEnded, work: float) -> None:
+        """Corrects the tenant's charge by the true work; what was proven not to have run costs nothing."""
+        true_cost = work if event.ending < Ending.REJECTED else 0
+        self.fair_queue.deficits[query.tenant] += query.cost - true_cost
+
+    def _learn(self, query: Query, event: AttemptEnded, work: float) -> None:
+        slowdown = self.load.slowdown(query, event.elapsed, event.work)
+        self.limits.attempt_finished(event.engine)
+        self.load.observe(event.engine, slowdown, event.report, query.overdue_counted, self._now)
+        self.limits.adapt(self._now)
+        self.estimates.observe(query.resource_group, event.work)
+        self.terms.observe_memory(query, event.memory)
+        self.retry_after.record_work(work, self._now)
+
+    def _note_progress(self, event: AttemptProgressed) -> None:
+        query = self._queries.get(event.query)
+        if query is None or not query.in_flight or query.answered:
+            return
+        self.engines.last_contact_at[event.engine] = self._now
+        if event.what == Progress.FRACTION_DONE:
+            query.fraction_done = event.amount
+            if self.retries.is_runaway(query, self._now):
+                self._replan([query])
+
+    def _replan(self, queries: list[Query]) -> None:
+        """Cancels attempts that are slow, so that they are retried elsewhere."""
+        for query in queries:
+            if self.retries.may_replan(query, self._now):
+                self._writer.cancel_attempt(query.index, query.attempts - 1)
+                query.replanned = True
+
+    # Engines, the endpoint list and this process
+
+    def _update_engine(self, event: EngineUpdated) -> None:
+        table = self.engines
+        engine = event.engine
+        table.grow(engine + 1)
+        is_other = table.rank[engine] != event.rank
+        if is_other or table.started_at[engine] != event.started:
+            table.reset(engine, Lifetime.RUN)
+            table.load_factor_at[engine] = table.last_contact_at[engine] = self._now
+            table.ejection_time[engine] = EJECTION_FIRST
+        if is_other:
+            table.reset(engine, Lifetime.PROCESS)
+            self.placement.engines_changed()
+        table.set_listed(event, self._cores(event))
+        self.ejection.invalidate()
+
+    def _cores(self, event: EngineUpdated) -> float:
+        by_kind = self.deployment.cores
+        cores = by_kind[event.kind] if event.kind < len(by_kind) else 1
+        if not self.deployment.uses_engine_weights:
+            return cores
+        return cores * max(WEIGHT_LEAST, min(1.0, event.weight))
+
+    def _schedule_poll(self, event: EndpointListLost) -> None:
+        self._poll_at = self._now + POLL_INTERVAL
+
+    def _poll_endpoints(self) -> None:
+        if self._poll_at is not None and self._now >= self._poll_at:
+            self._poll_at = None
+            self._writer.watch_endpoints(True)
+
+    def _start_shutdown(self, event: ShutdownStarted) -> None:
+        self.deadlines.start_shutdown(event.time_left, self._now)
+        for query in self._queries.values():
+            self.deadlines.cut_to_shutdown(query)
+
+    def _ignore_timer(self, event: TimerFired) -> None:
+        """A timer is set for the round that it brings about."""
+
+    def _set_timer(self) -> None:
+        waiting = self.fair_queue.active or self._retrying
+        if not waiting and not self._running and not self._poll_at:
+            return
+        # A timer set while nothing waited is too late for what waits now, and past a deadline for its answer.
+        at = self._now + (SWEEP_INTERVAL if waiting else IDLE_SWEEP_INTERVAL)
+        deadlines = (query.deadline for query in self._running.values() if not query.answered)
+        at = min(at, max(min(deadlines, default=at), self._next_sweep, self._now + 1))
+        if self._timer_at is None or self._timer_at <= self._now or self._timer_at > at:
+            self._timer_at = at
+            self._writer.set_timer(ROUND_TIMER, at)
+
+    # Steps of a round
+
+    def _sweep(self) -> None:
+        """Looks at all that waits and runs."""
+        self._next_sweep = self._now + SWEEP_INTERVAL
+        self.ejection.invalidate()
+        self.retries.budget.is_available(self._now)  # drops what is past the window, also without retries
+        for query in self.fair_queue.expired(self._now):
+            self._give_up(query)
+        self.keys.end_quarantines(self._now)
+        lost = []
+        overdue: Counter[int] = Counter()
+        for query in list(self._running.values()):
+            if self.load.observe_running(query, self._now):
+                self.limits.decrease(self._now)
+            if query.answered:
+                continue
+            if self.deadlines.is_past_use(query, self._now):
+                self._give_up(query)
+                continue
+            if self._is_overdue(query):
+                overdue[query.engine] += 1
+            if self.retries.is_lost(query, self._now):
+                lost.append(query)
+        if len(lost) <= LOST_SHARE_MOST * len(self._running) + 1:
+            self._replan(lost)
+        for engine in self.ejection.eject_silent(overdue, self._now):
+            self._replan([query for query in self._running.values() if query.engine == engine])
+
+    def _is_overdue(self, query: Query) -> bool:
+        """Whether the engine is silent since the attempt's start; gives up what is too late behind it."""
+        elapsed = self._now - query.sent_at
+        overdue = elapsed - RUN_TIMES_OVERDUE * self.load.expected_run_time(query)
+        if overdue <= OVERDUE_OFFSET or self.engines.last_contact_at[query.engine] >= query.sent_at:
+            return False
+        if overdue > STANDSTILL:
+            # A silent engine may hold the query, and its key, up to the deadline.
+            for behind in self.keys.too_late_behind(query, self.deadlines, self._now):
+                self._give_up(behind)
+        return True
+
+    def _find_engine(self, query: Query) -> int:
+        if not self.keys.is_turn_of(query, self._now):
+            return NO_ENGINE
+        return self.placement.choose(query, self._now)
+
+    def _release_queries(self) -> None:
+        self.fair_queue.release(self._find_engine, self._start_attempt)
+        # What waits here is pressure too: else the first idle engine would be sent the whole queue at once.
+        self.limits.backlogged = bool(self.fair_queue.active)
+
+    def _release_retries(self) -> None:
+        for _ in range(len(self._retrying)):
+            query = self._retrying.popleft()
+            if query.answered:
+                continue
+            if not self.retries.may_retry(query, self._now):
+                self._give_up(query)
+                continue
+            is_allowed = self.retries.budget.is_available(self._now)
+            engine = self.placement.choose(query, self._now) if is_allowed else NO_ENGINE
+            if engine < 0:
+                self._retrying.append(query)
+                continue
+            self.retries.budget.record_retry(self._now)
+            self.fair_queue.deficits[query.tenant] -= query.cost
+            self._start_attempt(query, engine)
--- a/wickvane/storm.py
+++ b/wickvane/storm.py
@@ -1,5 +1,5 @@
 """Retry storms as one dispatcher sees them begin, deepen and end: what is measured, free of I/O. What is
-turned away stays in wickvane.scheduler.
+turned away stays in wickvane.scheduling.
 
 A metastable failure (Bronson et al., HotOS 2021; Huang et al., OSDI 2022) is told by what keeps it up: work
 that comes is past the work that is done, and much of it is repeats of what was lately deferred. Told from
--- a/wickvane/wirehost/host.py
+++ b/wickvane/wirehost/host.py
@@ -13,7 +13,7 @@
     TimerFired,
 )
 from wickvane.id_registry import IdRegistry
-from wickvane.scheduler import Scheduler
+from wickvane.scheduling.scheduler import Scheduler
 from wickvane.settings import tenths
 
 ENDINGS = {
--- a/wickvane/xds/placement.py
+++ b/wickvane/xds/placement.py
@@ -5,7 +5,7 @@
 use the same engines. Its engines are the first of the group's shared hash order, at priority 0, by weight of
 the cores that they have at least now; the next ones of the order stand behind at priority 1, for when those
 fail. The order, how many are first, how a cold engine warms up and the bound on threads are those of
-wickvane.scheduler.
+wickvane.scheduling.
 
 A cold engine counts for a part, so a cluster takes as many first engines as make up FIRST_ENGINES warm ones:
 of all that goes there a cold one is sent no larger part, over what a warm one is sent, than it has of its
@@ -18,21 +18,19 @@
 from typing import NamedTuple
 
 from wickvane.events import EngineState
-from wickvane.scheduler import (
-    BOUND_THREADS,
-    EJECTION_FIRST,
-    EJECTION_MOST,
-    FIRST_ENGINES,
-    hash_place,
-    warm_part,
-)
+from wickvane.scheduling.concurrency import BOUND_THREADS
+from wickvane.scheduling.outlier_ejection import EJECTION_FIRST, EJECTION_MOST
+from wickvane.scheduling.placement import FIRST_ENGINES, hash_place
+from wickvane.scheduling.slow_start import warm_part
 
 LATER, FIRST_MOST = 3, 9  # engines behind the first ones; first ones at most, however cold they are
 WARM_STEPS = 4  # in which an engine's weight rises from cold to warm
 SCALE = 100  # of a weight: a core's hundredths
 NO_TABLE = 0  # what names no table group counts as this one, as it does with a dispatcher
 MANY = 32  # engines changed at once, from which all clusters are worked out anew
-EJECT_SHARE = 50  # more than half aside at once is no fault of the engines (wickvane.scheduler, usable())
+EJECT_SHARE = (
+    50  # more than half aside at once is no fault of the engines (wickvane.scheduling.outlier_ejection)
+)
 CHOICES = 3  # engines of which the one with fewest requests is taken
 # Of a proxy's own bound: most requests out, how often it moves, at what part of the promise the usual answer
 # shows pressure (half of the answers are longer, and what is late is of less use), and how much over that.
