--- a/tests/quotas/test_decision_observer.py
+++ b/tests/quotas/test_decision_observer.py
@@ -110,7 +110,7 @@
     decider.exchange.inbox.put((OBSERVED, update), always=True)
     decider.round(decider.exchange.inbox.take(0))
     assert snapshot(decider).acknowledged_update == 3
-    assert decider.observer.fleet.leases == [(0.5, NOW + 1_500, 0.25), (2.0, FOREVER, 1.0)]
+    assert list(decider.observer.fleet.leases.values()) == [(0.5, NOW + 1_500, 0.25), (2.0, FOREVER, 1.0)]
 
 
 def test_news_of_others_become_events_as_old_as_they_are(decider):
--- a/tests/quotas/test_gossip.py
+++ b/tests/quotas/test_gossip.py
@@ -27,7 +27,7 @@
                 world.now, 2 * TICKS_PER_SECOND
             )
             samples.append((mean, oldest, counted, sum(held.values())))
-        true.append(sum(host.scheduler.used for host in world.hosts))
+        true.append(sum(host.scheduler.limits.threads_in_flight for host in world.hosts))
         world.at(world.now + TICKS_PER_SECOND // 4, measure)
 
     true = []
--- a/wickvane/endpoints/capacity.py
+++ b/wickvane/endpoints/capacity.py
@@ -2,7 +2,7 @@
 
 from wickvane.endpoints.snapshot import Endpoint
 from wickvane.endpoints.topology import GroupPlacement, Topology
-from wickvane.scheduler import warm_part
+from wickvane.scheduling.slow_start import warm_part
 from wickvane.units import TICKS_PER_MILLISECOND
 
 
--- a/wickvane/quotas/decision_observer.py
+++ b/wickvane/quotas/decision_observer.py
@@ -17,7 +17,7 @@
     LeaseChanged,
     TenantsCharged,
 )
-from wickvane.quotas import fleet
+from wickvane.quotas import fleet_decisions
 from wickvane.quotas.engine_judgement import EngineVerdict
 from wickvane.quotas.lease_broker import BudgetUse, Quota, QuotaUpdate
 from wickvane.quotas.snapshot import AttemptOutcome, SnapshotBuffer
@@ -79,7 +79,7 @@
         self.registry = registry
         self.clock_offset = clock_offset
         self.buffer = SnapshotBuffer()
-        self.fleet = fleet.join(scheduler)
+        self.fleet = fleet_decisions.join(scheduler)
         self.tenant_names = list(registry.tenants.index)
         self.measured_at = 0
         self.update_in_use = 0  # number of the latest quota update that the scheduler was given
@@ -112,7 +112,7 @@
 
     def query_accepted(self, now: int, pending: Any) -> None:
         """A query was taken in."""
-        work = pending.cost or int(self.scheduler.mean[pending.resource_group])
+        work = pending.cost or int(self.scheduler.estimates.mean_cost[pending.resource_group])
         self.buffer.add_request(now, work)
         self._count_query("taken", pending)
 
--- a/wickvane/rehearsal/shared.py
+++ b/wickvane/rehearsal/shared.py
@@ -12,12 +12,13 @@
     EngineJudged,
     EngineState,
     InFlightElsewhere,
+    LeaseChanged,
     QueryArrived,
     TenantsCharged,
 )
 from wickvane.quotas.decision_observer import FAILURE_ENDINGS, SLOWDOWN_ALLOWANCE, newly_ejected_engines
 from wickvane.quotas.extension import budget_configs
-from wickvane.quotas.fleet import join
+from wickvane.quotas.fleet_decisions import join
 from wickvane.quotas.gossip import PAGE_INTERVAL, QuotaGossip
 from wickvane.quotas.lease_broker import BudgetUse
 from wickvane.quotas.membership_view import MembershipView
@@ -108,7 +109,8 @@
         # At once: the world's next round of this host has it before anything that is decided later.
         self.number_told = update.number
         for what, (part, until, then) in enumerate(update.quotas):
-            self.fleet.leased(what, part, FOREVER if until is None else until, then)
+            lease = LeaseChanged(what, part, FOREVER if until is None else until, then)
+            self.fleet.replace_lease(lease)
 
     def charge_tenants(self, works):
         if self.heeds("charges"):
