--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -160,10 +160,10 @@
 
 def sharing(peer):
     """Rides on a peer as the part `shares` does: three engines with work, and what it did for one tenant."""
-    from wickvane.cluster.shell import now
+    from wickvane.cluster.clock import now
     from wickvane.quotas.spread import Offer, Spread
 
-    peer.node.rider = Spread(
+    peer.node.delegate = Spread(
         now(),
         peer.node,
         lambda: Offer(
@@ -181,7 +181,7 @@
 
 def others(folder, listens, pipe, shares):
     """A process: peers beside the measured dispatcher, by the same part, until it is told to stop."""
-    from wickvane.cluster.shell import Peers
+    from wickvane.cluster.service import ClusterService
     from wickvane.net.clock import Clock
     from wickvane.net.counters import Counters
     from wickvane.net.log import Log
@@ -191,7 +191,7 @@
     threading.Thread(target=log.run, daemon=True).start()
     for n in range(1, len(listens)):
         part = read(os.path.join(folder, f"n{n}.kdl"))["peers"]
-        peer = Peers(part, f"n{n}", len(listens), n, log, Counters())
+        peer = ClusterService(part, f"n{n}", len(listens), n, log, Counters())
         if shares:
             sharing(peer)
         peer.open()
--- a/tests/cluster/test_protocol_digest.py
+++ b/tests/cluster/test_protocol_digest.py
@@ -13,6 +13,7 @@
 
 import pytest
 
+from wickvane.cluster.status import full_status
 from wickvane.rehearsal.peers import Fleet
 from wickvane.units import TICKS_PER_SECOND
 
@@ -35,11 +36,11 @@
         self.hash.update(json.dumps(self.events, sort_keys=True, default=str).encode())
         for member in self.members:
             if member.up:
-                self.hash.update(json.dumps(member.node.status(self.now), sort_keys=True).encode())
+                self.hash.update(json.dumps(full_status(member.node, self.now), sort_keys=True).encode())
         return self.datagram_count, self.hash.hexdigest()
 
 
-class PayloadRider:
+class PayloadDelegate:
     """Sends a payload to a random member four times a second, and hashes those that it receives."""
 
     def __init__(self, fleet: RecordingFleet, n: int):
@@ -48,14 +49,14 @@
         self.node = fleet.members[n].node
         self.next_at = fleet.now + TICKS_PER_SECOND // 4
 
-    def round(self, now: int) -> None:
+    def run_round(self, now: int) -> None:
         if now < self.next_at:
             return
         self.next_at = now + TICKS_PER_SECOND // 4
-        for receiver in self.node.detector.some(1):
-            self.node.carry(receiver, f"{self.n} at {now}".encode())
+        for receiver in self.node.detector.sample_members(1):
+            self.node.send_payload(receiver, f"{self.n} at {now}".encode())
 
-    def came(self, now: int, sender, payload: bytes) -> None:
+    def receive_payload(self, now: int, sender, payload: bytes) -> None:
         self.fleet.hash.update(f"{now} {self.n} carried ".encode() + payload)
 
 
@@ -109,7 +110,7 @@
         fleet.run(fleet.now + chance.randrange(9 * TICKS_PER_SECOND))
         for member in fleet.members:
             if member.up:
-                member.node.look(fleet.now)
+                member.node.log_assessment(fleet.now)
     fleet.cut = None
     fleet.loss = 0
     for n, member in enumerate(fleet.members):
@@ -123,7 +124,7 @@
     """Members that know each other from the start carry payloads; one leaves, two are killed."""
     fleet = RecordingFleet(12, seed, loss=0.05, settled=True)
     for n, member in enumerate(fleet.members):
-        member.node.rider = PayloadRider(fleet, n)
+        member.node.delegate = PayloadDelegate(fleet, n)
     fleet.run(5 * TICKS_PER_SECOND)
     fleet.members[3].node.leave(fleet.now, fleet.outs[3])
     fleet.run(8 * TICKS_PER_SECOND)
--- a/tests/cluster/test_stored_formats.py
+++ b/tests/cluster/test_stored_formats.py
@@ -11,7 +11,7 @@
 from wickvane import parts
 from wickvane.__main__ import main
 from wickvane.cluster import wire
-from wickvane.cluster.shell import Peers
+from wickvane.cluster.service import ClusterService
 from wickvane.net.counters import Counters
 
 WRITTEN = Path(__file__).parent.parent / "data" / "cluster-state-c5b2902"
@@ -48,7 +48,7 @@
     lines = []
     log = type("Log", (), {"line": lambda self, event, **fields: lines.append((event, fields))})()
     document = f'peers {{ listen "127.0.0.1:47100"; key-file "{WRITTEN}/peers.key"; state "{tmp_path}" }}'
-    dispatcher = Peers(parts.read_text(document)["peers"], "n0", 3, 1, log, Counters())
+    dispatcher = ClusterService(parts.read_text(document)["peers"], "n0", 3, 1, log, Counters())
     shutil.copy(WRITTEN / "order.json", tmp_path)
     dispatcher.take_order()
     assert lines == [("peers-order", {"what": "forget", "name": "n2", "done": False})]
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -14,7 +14,7 @@
 
 from fleet.rig import KEY, ROOT, SEEDS, Fleet, between, fleet
 from wickvane import parts
-from wickvane.cluster import shell
+from wickvane.cluster import service
 from wickvane.net.counters import Counters
 from wickvane.rehearsal.relay import udp_ports
 
@@ -418,13 +418,13 @@
     key.write_bytes(KEY)
     log = type("Log", (), {"line": lambda self, event, **fields: lines.append((event, fields))})()
     part = parts.read_text(f'peers {{ listen "127.0.0.1:{udp_ports(1)[0]}"; key-file "{key}" }}')["peers"]
-    made = shell.Peers(part, "n0", 1, 1, log, Counters())
+    made = service.ClusterService(part, "n0", 1, 1, log, Counters())
     made.open()
-    monkeypatch.setattr(shell, "FAULTS_MOST", 3)
-    monkeypatch.setattr(made.node, "round", lambda *_: 1 / 0)
+    monkeypatch.setattr(service, "MAX_FAULTS", 3)
+    monkeypatch.setattr(made.node, "run_round", lambda *_: 1 / 0)
     made.run()
     assert [event for event, _ in lines] == ["fault"] * 3 + ["peers-given-up"]
-    assert lines[0][1]["where"].startswith("<lambda>") and made.brief()["standing"] == "whole"
+    assert lines[0][1]["where"].startswith("<lambda>") and made.status()["standing"] == "whole"
 
 
 def test_threads_that_watch_do_not_outlive_a_fleet(tmp_path):
--- a/wickvane/__main__.py
+++ b/wickvane/__main__.py
@@ -84,7 +84,7 @@
 
 # Commands that stand alone, and the modules whose main() takes docopt's words; imported only where asked for.
 COMMANDS = {
-    "peers": "wickvane.cluster.tool",
+    "peers": "wickvane.cluster.command",
     "policy": "wickvane.config_log.tool",
     "shares": "wickvane.quotas.tool",
     "members": "wickvane.endpoints.tool",
--- a/wickvane/cluster/__init__.py
+++ b/wickvane/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Dispatchers that know each other: who is there, who failed, and what one may do while cut off."""
+"""Membership between dispatchers by SWIM over UDP: who is alive, who failed, and the quorum state."""
--- /dev/null
+++ b/wickvane/cluster/command.py
@@ -0,0 +1,153 @@
+"""`wickvane peers`: what a dispatcher believes of the cluster, and two orders to it, by its state folder.
+
+Exit status: 0 done, 1 it could not be done or the dispatcher is not there, 2 wrong use.
+"""
+
+import os
+import sys
+import time
+import uuid
+from collections.abc import Callable, Iterable
+
+import orjson
+
+from wickvane import parts
+from wickvane.cluster.state_folder import Order, StateFolder
+from wickvane.errors import WickvaneError
+
+STALE_AFTER_S = 10.0  # a status file that is older is of a dispatcher that stalls or has ended
+ANSWER_TIMEOUT_S = 6.0
+ANSWER_POLL_S = 0.05
+EXIT_FAILED = 1
+EXIT_USAGE = 2
+
+
+class CommandError(WickvaneError):
+    """Why a command cannot be carried out; exit_code: its exit status."""
+
+    def __init__(self, text: str, exit_code: int):
+        super().__init__(text)
+        self.exit_code = exit_code
+
+
+def main(arguments: dict) -> int:
+    """The command with docopt's arguments; its exit status."""
+    try:
+        folder = find_state_folder(arguments)
+        if arguments["leave"] or arguments["forget"]:
+            action = "leave" if arguments["leave"] else "forget"
+            return send_order(folder, action, arguments["NAME"])
+        status = read_status(folder)
+    except CommandError as error:
+        print(f"wickvane: {error}", file=sys.stderr)
+        return error.exit_code
+    if arguments["members"]:
+        print_rows(status["members"], arguments["--json"], format_member)
+    elif arguments["events"]:
+        print_rows(status["events"], arguments["--json"], format_event)
+    elif arguments["--json"]:
+        figures = {key: value for key, value in status.items() if key not in ("members", "events")}
+        print(orjson.dumps(figures).decode())
+    else:
+        print_summary(status)
+    return 0
+
+
+def find_state_folder(arguments: dict) -> str:
+    """The state folder that the arguments or the parts document name. Raises CommandError."""
+    if arguments["--state"]:
+        return arguments["--state"]
+    path = arguments["--parts"]
+    if path == "$WICKVANE_PARTS":
+        path = os.environ.get("WICKVANE_PARTS")
+    if not path:
+        text = "no state folder: name it with --state, or its parts document with --parts"
+        raise CommandError(text, EXIT_USAGE)
+    try:
+        config = parts.read(path).get("peers")
+    except parts.Unusable as error:
+        raise CommandError(str(error), EXIT_USAGE) from None
+    if config is None or config.state_folder is None:
+        text = f"the parts document {path} has no node peers with a node state"
+        raise CommandError(text, EXIT_USAGE)
+    return config.state_folder
+
+
+def read_status(folder: str) -> dict:
+    """The status file of a state folder. Raises CommandError."""
+    try:
+        return StateFolder(folder).read_status()
+    except OSError as error:
+        text = f"{folder}: nothing is shown there: {error.strerror}"
+        raise CommandError(text, EXIT_FAILED) from None
+    except orjson.JSONDecodeError:
+        raise CommandError(f"{folder}: what is shown there cannot be read", EXIT_FAILED) from None
+
+
+def print_rows(rows: Iterable[dict], as_json: bool, format_row: Callable[[dict], str]) -> None:
+    """Prints a line a row."""
+    for row in rows:
+        print(orjson.dumps(row).decode() if as_json else format_row(row))
+
+
+def format_member(row: dict) -> str:
+    """The line of a member."""
+    flags = " (this one)" if row["me"] else "" if row["in_view"] else " (not in the view)"
+    contact = f", heard {row['heard_ms'] / 1000:.1f} s ago" if row["heard_ms"] is not None else ""
+    reported_by = f" by {row['by']}" if row["by"] else ""
+    return (
+        f"{row['name']:<20} {row['state']:<8}{reported_by} for {row['since_ms'] / 1000:.1f} s "
+        f"at {row['address']}, incarnation {row['incarnation']}{contact}{flags}"
+    )
+
+
+def format_event(row: dict) -> str:
+    """The line of an event."""
+    at = time.strftime("%H:%M:%S", time.localtime(row["at"]))
+    fields = {key: value for key, value in row.items() if key not in ("at", "event") and value is not None}
+    text = " ".join(f"{key}={value}" for key, value in fields.items())
+    return f"{at} {row['event']} {text}"
+
+
+def print_summary(status: dict) -> None:
+    """Prints the quorum state, its reasons and the figures behind it."""
+    age = time.time() - status["at"]
+    if age > STALE_AFTER_S:
+        print(f"this is {age:.0f} s old: the dispatcher stands still or has ended")
+    partition = f"in the {status['part']} part" if status["part"] != "unknown" else "part unknown"
+    print(f"{status['name']}: {status['standing']}, {partition}")
+    if status["reasons"]:
+        print(f"because: {', '.join(status['reasons'])}")
+    agreed = {True: "agreed", False: "differs from others'", None: "no other was heard"}[status["agreed"]]
+    states = [row["state"] for row in status["members"]]
+    counts = ", ".join(f"{states.count(state)} {state}" for state in dict.fromkeys(states))
+    print(
+        f"view {status['view']} ({status['digest']}), {agreed}; {counts}; configured {status['configured']}, "
+        f"shared by {status['divisor']}"
+    )
+    print(
+        f"health {status['health']} (0 is best), {status['standstills']} standstills, "
+        f"{status['probes_missed']} of {status['probes']} probes missed"
+    )
+    if status["refused"]:
+        print("refused: " + ", ".join(f"{reason} {n}" for reason, n in status["refused"].items()))
+
+
+def send_order(folder: str, action: str, name: str | None) -> int:
+    """Leaves an order for the dispatcher and waits for its answer; the exit status. Raises CommandError."""
+    read_status(folder)  # raises where no dispatcher ever ran there
+    state_folder = StateFolder(folder)
+    order = Order(uuid.uuid4().hex, action, name)
+    try:
+        state_folder.write_order(order)
+    except OSError as error:
+        text = f"{folder}: no order can be left there: {error.strerror}"
+        raise CommandError(text, EXIT_FAILED) from None
+    deadline = time.monotonic() + ANSWER_TIMEOUT_S
+    while time.monotonic() < deadline:
+        answer = state_folder.take_answer(order)
+        if answer is not None:
+            print(answer.text)
+            return 0 if answer.is_done else EXIT_FAILED
+        time.sleep(ANSWER_POLL_S)
+    raise CommandError(f"{folder}: no answer within {ANSWER_TIMEOUT_S:.0f} s", EXIT_FAILED)
--- /dev/null
+++ b/wickvane/cluster/event_log.py
@@ -0,0 +1,54 @@
+"""Log events of the cluster: the latest are kept for the status file, lines are bounded, all are counted."""
+
+import time
+from collections import Counter, deque
+
+MAX_EVENTS_KEPT = 200
+MAX_LINES_PER_PERIOD = 50
+
+
+class EventLog:
+    """Writes events to the program's log, up to MAX_LINES_PER_PERIOD between two calls of flush()."""
+
+    def __init__(self, log, counters):
+        self.recent: deque[dict] = deque(maxlen=MAX_EVENTS_KEPT)
+        self._log = log
+        self._counters = counters
+        self._counts: Counter[str] = Counter()
+        self._line_count = 0
+        self._dropped_lines = 0
+
+    def record(self, event: str, fields: dict) -> None:
+        """Keeps and counts an event, and logs it within the bound."""
+        self.recent.append({"at": time.time(), "event": event, **fields})
+        self._counts[event] += 1
+        self._line_count += 1
+        if self._line_count <= MAX_LINES_PER_PERIOD:
+            self._log.line(event, **fields)
+        else:
+            self._dropped_lines += 1
+
+    def take_period(self) -> tuple[Counter[str], int]:
+        """Ends a period: the events of it by name, and the number of lines that were dropped."""
+        counts = self._counts
+        dropped_lines = self._dropped_lines
+        self._counts = Counter()
+        self._dropped_lines = 0
+        self._line_count = 0
+        return counts, dropped_lines
+
+    def report(self, event_counts: Counter[str], rejected: Counter[str], dropped_lines: int) -> None:
+        """Counts and logs what a period brought."""
+        for event, count in event_counts.items():
+            self._counters.add(event, count)
+        for reason, count in rejected.items():
+            self._counters.add(f"peers-refused-{reason}", count)
+        if rejected:
+            self._log.line("peers-refused", **rejected)
+        if dropped_lines:
+            self._log.line("peers-log-lines-dropped", count=dropped_lines)
+
+    def log_and_count(self, event: str, **fields) -> None:
+        """Logs and counts an event that the bound on lines is not for."""
+        self._counters.add(event)
+        self._log.line(event, **fields)
--- /dev/null
+++ b/wickvane/cluster/extension.py
@@ -0,0 +1,132 @@
+"""The node `peers` of the parts document: its configuration, and the cluster service in a dispatcher."""
+
+from typing import NamedTuple
+
+from wickvane import parts
+from wickvane.net import shape
+
+MAX_SEED_NODES = 64
+DEFAULT_CLUSTER = "wickvane"
+DEFAULT_PROBE_PERIOD = 5_000  # ticks
+DEFAULT_CAPACITY = 4_096  # members
+DEFAULT_TOMBSTONE_AFTER = 24 * 36_000_000  # ticks
+UNSPECIFIED_HOSTS = ("0.0.0.0", "::")
+
+
+class ClusterConfig(NamedTuple):
+    """The node's values; times in ticks.
+
+    listen: the address of the socket; advertise: the one at which the others reach it. probe_period: between
+    two probes. capacity: members. tombstone_after: how long a failed member is kept. state_folder: of the
+    status file and orders, None: neither."""
+
+    cluster: str
+    listen: tuple[str, int]
+    advertise: tuple[str, int]
+    key_file: str
+    seeds: tuple[tuple[str, int], ...]
+    seeds_file: str | None
+    probe_period: int
+    capacity: int
+    tombstone_after: int
+    state_folder: str | None
+
+
+# Fields that need a restart, and what the log calls them.
+RESTART_FIELDS = {
+    "cluster": "cluster",
+    "listen": "listen",
+    "advertise": "advertise",
+    "probe_period": "period",
+    "capacity": "most",
+    "tombstone_after": "remember",
+    "state_folder": "state",
+}
+
+
+def read(node: parts.Node) -> ClusterConfig:
+    """The configuration of a node. Raises parts.Unusable."""
+    listen = node.value("listen", parts.address, needed=True)
+    advertise = node.value("advertise", parts.address, listen)
+    if advertise[0] in UNSPECIFIED_HOSTS:
+        raise node.wrong("an address that the others can send to", advertise[0], "advertise")
+    return ClusterConfig(
+        cluster=node.value("cluster", parts.name, DEFAULT_CLUSTER),
+        listen=listen,
+        advertise=advertise,
+        key_file=node.value("key-file", parts.path, needed=True),
+        seeds=_read_seeds(node),
+        seeds_file=node.value("seeds-file", parts.path),
+        probe_period=node.value("period", parts.duration("100ms", "10s"), DEFAULT_PROBE_PERIOD),
+        capacity=node.value("members", parts.whole(2, 16_384), DEFAULT_CAPACITY),
+        tombstone_after=node.value("remember", parts.duration("1m", "168h"), DEFAULT_TOMBSTONE_AFTER),
+        state_folder=node.value("state", parts.path),
+    )
+
+
+def _read_seeds(node: parts.Node) -> tuple[tuple[str, int], ...]:
+    seeds = []
+    for child in node.children("seed"):
+        seeds.append(child.argument(parts.address))
+        child.done()
+    if len(seeds) > MAX_SEED_NODES:
+        raise node.wrong(f"{MAX_SEED_NODES} seeds at most")
+    return tuple(seeds)
+
+
+class At(shape.Part):
+    """The cluster service in one dispatcher."""
+
+    name = "peers"
+    threads = 1
+
+    def build(self, service, found) -> None:
+        """Makes the cluster service."""
+        from wickvane.cluster.service import ClusterService
+
+        self.cluster = ClusterService(
+            self.terms,
+            service.name,
+            service.registry.deployment.dispatcher_count,
+            service.seed,
+            service.log,
+            service.counters,
+        )
+
+    def open(self, service) -> None:
+        """Takes the address and the state folder."""
+        self.cluster.open()
+
+    def start(self, service) -> None:
+        """Starts the thread. Queries do without it: its end would not end the program."""
+        service.threads.needed(self.cluster.run, "peers")
+
+    def check(self, terms: ClusterConfig) -> list[bytes]:
+        """The keys of a new configuration. Raises parts.Unusable where it needs a restart."""
+        for field, logged_name in RESTART_FIELDS.items():
+            if getattr(terms, field) != getattr(self.terms, field):
+                raise parts.Unusable(f"peers: {logged_name}: another value needs a restart")
+        from wickvane.cluster.wire import read_keys
+        from wickvane.files import FileError
+
+        try:
+            return read_keys(terms.key_file)
+        except FileError as error:
+            raise parts.Unusable(f"peers: key-file: {error}") from None
+
+    def change(self, terms: ClusterConfig, ready: list[bytes]) -> None:
+        """Takes a new configuration with its keys."""
+        super().change(terms, ready)
+        self.cluster.change(terms, ready)
+
+    def status(self) -> dict:
+        """The figures of the counters line."""
+        return self.cluster.status()
+
+    def leave(self, service) -> None:
+        """Leaves the cluster."""
+        self.cluster.leave()
+
+    def stop(self) -> None:
+        """Ends the service."""
+        self.cluster.stop()
--- a/wickvane/cluster/wire.py
+++ b/wickvane/cluster/wire.py
@@ -1,101 +1,96 @@
-"""Datagrams between peers: a version octet, a keyed hash of sixteen octets (BLAKE2b, RFC 7693), and a message
-in MessagePack as msgspec reads and writes it, whole and typed or not at all.
+"""The datagram codec: a version octet, a keyed hash of sixteen octets (BLAKE2b, RFC 7693), and an array in
+MessagePack: the cluster's name and the fields of a message, all of their types or the datagram is rejected.
 
-The key comes from a file of one or two lines: the first signs, both are taken, so that a key is changed
-without a stop in three steps (new one second, new one first, old one out). That a datagram was made by who
-holds the key is all it shows; who said what is believed among those.
+The key file has one or two lines: the first key signs, both are accepted, so that a key is changed without a
+stop in three steps (new one second, new one first, old one out). The hash shows that the sender holds the
+key, and no more: which of the members sent a datagram is believed.
 """
 
 import hmac
 from hashlib import blake2b
-from typing import Annotated
+from pathlib import Path
+from typing import get_type_hints
 
 import msgspec
 
-from wickvane.cluster.protocol import DATAGRAM
+from wickvane.cluster.gossip import Name
+from wickvane.cluster.messages import MAX_DATAGRAM, Message
+from wickvane.errors import ProtocolError
 from wickvane.files import FileError, read_bounded
 
-VERSION, MAC = 1, 16
-KEY_LEAST, KEY_MOST, FILE_MOST = 16, 64, 4096
-
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
-By = Annotated[str, msgspec.Meta(max_length=64)]
-Address = Annotated[str, msgspec.Meta(min_length=3, max_length=56)]
-Whole = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
-Incarnation = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
-Entry = tuple[Name, Whole, Address, Incarnation, Annotated[int, msgspec.Meta(ge=0, le=4)], By]
-# cluster, kind, sender, its epoch, its counter, the receiver's epoch, view number, view digest, seq, about
-# whom, sums or what a rider says, entries
-Message = tuple[
-    Name,
-    Annotated[int, msgspec.Meta(ge=0, le=8)],
-    Name,
-    Whole,
-    Whole,
-    Whole,
-    Whole,
-    int,
-    Whole,
-    tuple[Name, Whole] | None,
-    Annotated[bytes, msgspec.Meta(max_length=960)],
-    Annotated[list[Entry], msgspec.Meta(max_length=40)],
-]
-
-
-class Refused(Exception):
-    """reason: a code, by which what is dropped is counted."""
-
-    def __init__(self, reason):
+VERSION = 1
+HASH_SIZE = 16  # octets
+HEADER_SIZE = 1 + HASH_SIZE
+MIN_KEY_SIZE = 16
+MAX_KEY_SIZE = 64
+MAX_KEY_FILE_SIZE = 4096
+
+_ENVELOPE = tuple[(Name, *get_type_hints(Message, include_extras=True).values())]
+
+
+class DatagramError(ProtocolError):
+    """A datagram that is rejected. reason: the code by which it is counted."""
+
+    def __init__(self, reason: str):
         super().__init__(reason)
         self.reason = reason
 
 
-def read_keys(path):
-    """The keys of a file, the one that signs first; FileError."""
-    data = read_bounded(path, FILE_MOST)
+def read_keys(path: str | Path) -> list[bytes]:
+    """The keys of a file, the one that signs first. Raises FileError."""
+    data = read_bounded(path, MAX_KEY_FILE_SIZE)
     keys = [line.strip() for line in data.splitlines() if line.strip()]
     if not 1 <= len(keys) <= 2:
         raise FileError(f"{path}: expected one or two lines with a key each")
     for key in keys:
-        if not KEY_LEAST <= len(key) <= KEY_MOST:
-            raise FileError(f"{path}: expected keys of {KEY_LEAST} to {KEY_MOST} octets")
+        if not MIN_KEY_SIZE <= len(key) <= MAX_KEY_SIZE:
+            raise FileError(f"{path}: expected keys of {MIN_KEY_SIZE} to {MAX_KEY_SIZE} octets")
     return keys
 
 
 class Codec:
-    """cluster: a name of its own for those that belong together."""
-
-    def __init__(self, cluster, keys):
-        self.cluster, self.keys = cluster, keys
-        self.encoder = msgspec.msgpack.Encoder()
-        self.decoder = msgspec.msgpack.Decoder(Message)
-
-    def seal(self, message):
-        """A message, its fields in their order without the cluster, as octets."""
-        body = bytes((VERSION,)) + self.encoder.encode((self.cluster, *message))
-        return body[:1] + blake2b(body, digest_size=MAC, key=self.keys[0]).digest() + body[1:]
-
-    def open(self, data):
-        """The message of a datagram; Refused with its reason. Cheapest checks first: most of a flood ends at
-        the hash, and nothing is read of what the key did not sign."""
-        if len(data) > DATAGRAM:
-            raise Refused("oversized")
-        if len(data) <= 1 + MAC:
-            raise Refused("short")
+    """Seals and opens datagrams. cluster: a name that members of one cluster share."""
+
+    def __init__(self, cluster: str, keys: list[bytes]):
+        self.cluster = cluster
+        self.keys = keys
+        self._encoder = msgspec.msgpack.Encoder()
+        self._decoder = msgspec.msgpack.Decoder(_ENVELOPE)
+
+    def seal(self, message: Message) -> bytes:
+        """The datagram of a message, signed by the first key."""
+        body = bytes((VERSION,)) + self._encoder.encode((self.cluster, *message))
+        return body[:1] + _keyed_hash(body, self.keys[0]) + body[1:]
+
+    def open(self, data: bytes) -> Message:
+        """The message of a datagram. Raises DatagramError.
+
+        The cheapest checks come first: most of a flood ends at the hash, and nothing is parsed that no key
+        signed."""
+        if len(data) > MAX_DATAGRAM:
+            raise DatagramError("oversized")
+        if len(data) <= HEADER_SIZE:
+            raise DatagramError("short")
         if data[0] != VERSION:
-            raise Refused("version")
-        body = data[:1] + data[1 + MAC :]
-        for key in self.keys:
-            if hmac.compare_digest(blake2b(body, digest_size=MAC, key=key).digest(), data[1 : 1 + MAC]):
-                break
-        else:
-            raise Refused("unauthenticated")
+            raise DatagramError("version")
+        body = data[:1] + data[HEADER_SIZE:]
+        signature = data[1:HEADER_SIZE]
+        if not any(hmac.compare_digest(_keyed_hash(body, key), signature) for key in self.keys):
+            raise DatagramError("unauthenticated")
+        return self._parse(memoryview(body)[1:])
+
+    def _parse(self, body: memoryview) -> Message:
         try:
-            cluster, *message = self.decoder.decode(memoryview(body)[1:])
+            cluster, *fields = self._decoder.decode(body)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-            raise Refused("malformed") from None
+            raise DatagramError("malformed") from None
         if cluster != self.cluster:
-            raise Refused("foreign")
-        if not -(1 << 63) <= message[6] < 1 << 64:
-            raise Refused("malformed")
+            raise DatagramError("foreign")
+        message = Message(*fields)
+        if not -(1 << 63) <= message.view_digest < 1 << 64:
+            raise DatagramError("malformed")
         return message
+
+
+def _keyed_hash(body: bytes, key: bytes) -> bytes:
+    return blake2b(body, digest_size=HASH_SIZE, key=key).digest()
--- a/wickvane/parts.py
+++ b/wickvane/parts.py
@@ -17,7 +17,7 @@
     "storms": "wickvane.net.storms",
     "control": "wickvane.xds.part",
     "members": "wickvane.endpoints.part",
-    "peers": "wickvane.cluster.part",
+    "peers": "wickvane.cluster.extension",
     "shares": "wickvane.quotas.part",
 }
 
--- a/wickvane/quotas/part.py
+++ b/wickvane/quotas/part.py
@@ -46,34 +46,34 @@
     name, threads = "shares", 0
 
     def build(self, service, found):
-        from wickvane.cluster.shell import now
+        from wickvane.cluster.clock import now
         from wickvane.quotas.deciding import counting
 
         service.deciding = counting(service.deciding, service.clock.now() - now())
 
     def join(self, service, found):
-        peers = next((part.peers for part in service.parts if part.name == "peers"), None)
+        peers = next((part.cluster for part in service.parts if part.name == "peers"), None)
         if peers is None:
             raise ConfigError("the parts document: shares: expected a node peers beside it", 2)
-        from wickvane.cluster.shell import now
+        from wickvane.cluster.clock import now
         from wickvane.quotas.deciding import Out
         from wickvane.quotas.spread import Spread
 
         box, clock = service.decider.box, service.clock
-        out = Out(service.exchange.inbox, clock, box, self.terms.heeds, peers.told)
+        out = Out(service.exchange.inbox, clock, box, self.terms.heeds, peers.events.record)
         lent = budgets(service.registry.deployment) if self.terms.lends else ()
         if lent:
             service.links.stale = FENCE
         self.peers = peers
-        self.spread = peers.node.rider = Spread(
+        self.spread = peers.node.delegate = Spread(
             now(), peers.node, lambda: box.take(clock.now()), out, self.terms.every, lent
         )
 
     def stop(self):
-        from wickvane.cluster.shell import now
+        from wickvane.cluster.clock import now
 
         with self.peers.lock:
-            self.spread.last(now(), self.peers)
+            self.spread.last(now(), self.peers.transport)
 
     def status(self):
         with self.peers.lock:
--- a/wickvane/quotas/spread.py
+++ b/wickvane/quotas/spread.py
@@ -7,8 +7,8 @@
 
 from functools import lru_cache
 
-from wickvane.cluster.membership import ALIVE, SUSPECT, mark
-from wickvane.cluster.standing import divisor
+from wickvane.cluster.member import ALIVE, VIEW_STATES, member_hash
+from wickvane.cluster.quorum import divisor
 from wickvane.quotas import wire
 from wickvane.quotas.broker import Broker
 from wickvane.quotas.charges import Charges
@@ -28,7 +28,7 @@
 
 @lru_cache(1 << 14)
 def short_of(life):
-    return mark(*life) & 0xFFFFFFFF
+    return member_hash(*life) & 0xFFFFFFFF
 
 
 def short(rows):
@@ -56,21 +56,21 @@
 
     def __init__(self, now, node, offered, out, every=EVERY, budgets=()):
         self.node, self.offered, self.out, self.every = node, offered, out, every
-        self.counts = Counts(now, self.life(), node.table.most)
+        self.counts = Counts(now, self.life(), node.table.capacity)
         self.broker = Broker(now, budgets, node.configured) if budgets else None
-        self.evidence, self.opinions = Evidence(), Opinions(node.table.most)
-        self.charges = Charges(node.table.most)
-        self.next_at = now + node.chance.randrange(every)
+        self.evidence, self.opinions = Evidence(), Opinions(node.table.capacity)
+        self.charges = Charges(node.table.capacity)
+        self.next_at = now + node.random.randrange(every)
         self.over_at, self.malformed, self.named = now, 0, {}
-        self.look_at, self.opine_at = now, now + node.chance.randrange(OPINE)
+        self.look_at, self.opine_at = now, now + node.random.randrange(OPINE)
         self.judged = {}, None, []
         if self.broker:
             self.tell_parts(now)
 
     def life(self):
-        return self.node.table.name[0], self.node.table.epoch[0]
+        return self.node.table.local.id
 
-    def came(self, now, row, payload):
+    def receive_payload(self, now, sender, payload):
         found = wire.unseal(payload)
         if found is None:
             self.malformed += 1
@@ -88,17 +88,16 @@
             if (life := self.named.get(short)) is not None and life != self.counts.life:
                 self.charges.hears(life, t, works)
         if found.words and self.broker:
-            table = self.node.table
             for word in found.words:
-                self.broker.came(now, (table.name[row], table.epoch[row]), word)
+                self.broker.came(now, sender.id, word)
 
-    def round(self, now):
+    def run_round(self, now):
         if self.broker and self.broker.out:
             self.say_words()
         if now < self.next_at:
             return
         self.next_at = now + self.every
-        counts, table = self.counts, self.node.table
+        counts = self.counts
         counts.renamed(self.life())
         offer = self.offered()
         if offer is not None:
@@ -109,11 +108,7 @@
                 self.evidence.met(now, *met)
         if now >= self.over_at:
             self.over_at = now + OVER_EVERY
-            living = {
-                (table.name[row], table.epoch[row])
-                for row in table.living
-                if table.state[row] in (ALIVE, SUSPECT)
-            }
+            living = {member.id for member in self.node.table.living if member.state in VIEW_STATES}
             counts.over(now, living)
             self.opinions.over(living)
             self.charges.over(living)
@@ -135,11 +130,11 @@
             self.opine_at = now + OPINE
             self.opinions.says(self.life(), now, self.evidence.told(now))
             self.charges.tells(self.life(), now, offer.works, offer.asked)
-            for row in self.node.detector.some(FANOUT):
+            for member in self.node.detector.sample_members(FANOUT):
                 works, room = self.charges.page(WORKS_ROOM)
                 said, _ = self.opinions.page(ROOM - FRAMES - WORKS_ROOM + room)
                 if works or said:
-                    self.node.carry(row, wire.seal(opinions=short(said), works=short(works)))
+                    self.node.send_payload(member, wire.seal(opinions=short(said), works=short(works)))
             if charges := self.charges.take(offer.asked):
                 self.out.charged(charges)
             me = self.life()
@@ -153,9 +148,9 @@
 
     def owners(self):
         """Whom to ask for parts: of some by lot, those with least at work, as was last heard."""
-        table, lives = self.node.table, self.counts.lives
-        rows = [row for row in self.node.detector.some(CANDIDATES) if table.state[row] == ALIVE]
-        found = [(table.name[row], table.epoch[row]) for row in rows]
+        lives = self.counts.lives
+        members = self.node.detector.sample_members(CANDIDATES)
+        found = [member.id for member in members if member.state == ALIVE]
         return sorted(found, key=lambda life: sum(lives[life].levels.values()) if life in lives else 0)
 
     def tell_parts(self, now):
@@ -168,33 +163,33 @@
         for life, word in self.broker.sent():
             by.setdefault(life, []).append(word)
         for life, words in by.items():
-            row = self.node.table.rows.get(life)
-            if row is not None:
+            member = self.node.table.members.get(life)
+            if member is not None:
                 for at in range(0, len(words), wire.WORDS_MOST):
-                    self.node.carry(row, wire.seal(words=words[at : at + wire.WORDS_MOST]))
+                    self.node.send_payload(member, wire.seal(words=words[at : at + wire.WORDS_MOST]))
 
     # Counts
 
     def tell(self, many):
-        for row in self.node.detector.some(many):
+        for member in self.node.detector.sample_members(many):
             levels, sums = self.counts.page(ROOM)
-            self.node.carry(row, wire.seal(levels=short(levels), sums=short(sums)))
+            self.node.send_payload(member, wire.seal(levels=short(levels), sums=short(sums)))
 
     def last(self, now, out):
         """The end: what was counted until now, to a few more at once, and what others lent is given back."""
         self.next_at = now
-        self.node.round(now, [], out)
-        self.node.out = out
+        self.node.run_round(now, [], out)
+        self.node.sender.begin(now, out)
         if self.broker:
             self.broker.end(now)
             self.say_words()
         self.tell(LAST_TOLD)
-        self.node.out = None
+        self.node.sender.end()
 
     def name(self):
         """Lives by what stands for them in datagrams; two that share it are both left out."""
         named, twice = {}, set()
-        for life in {*self.node.table.rows, *self.counts.lives}:
+        for life in {*self.node.table.members, *self.counts.lives}:
             short = short_of(life)
             if named.setdefault(short, life) != life:
                 twice.add(short)
--- a/wickvane/quotas/tool.py
+++ b/wickvane/quotas/tool.py
@@ -8,22 +8,22 @@
 
 import orjson
 
-from wickvane.cluster.tool import OLD_S, Wrong, folder_of, status
+from wickvane.cluster.command import STALE_AFTER_S, CommandError, find_state_folder, read_status
 
 
 def main(asked):
     try:
-        whole = status(folder_of(asked))
+        whole = read_status(find_state_folder(asked))
         found = whole.get("shares")
         if found is None:
-            raise Wrong("that dispatcher shares nothing: its parts document has no node shares", 1)
-    except Wrong as wrong:
+            raise CommandError("that dispatcher shares nothing: its parts document has no node shares", 1)
+    except CommandError as wrong:
         print(f"wickvane: {wrong}", file=sys.stderr)
-        return wrong.code
+        return wrong.exit_code
     if asked["--json"]:
         print(orjson.dumps({"name": whole["name"], "at": whole["at"], **found}).decode())
         return 0
-    if time.time() - whole["at"] > OLD_S:
+    if time.time() - whole["at"] > STALE_AFTER_S:
         print(f"this is {time.time() - whole['at']:.0f} s old: the dispatcher stands still or has ended")
     for line in lines(whole["name"], found):
         print(line)
--- a/wickvane/rehearsal/peers.py
+++ b/wickvane/rehearsal/peers.py
@@ -10,51 +10,29 @@
 
 import msgspec
 
-from wickvane.cluster.membership import ALIVE, BUCKETS, NEVER, mark
-from wickvane.cluster.protocol import Node
-from wickvane.cluster.wire import MAC
+from wickvane.cluster.digest import BucketDigest
+from wickvane.cluster.member import ALIVE, member_hash
+from wickvane.cluster.node import Node
+from wickvane.cluster.wire import HEADER_SIZE
 from wickvane.units import TICKS_PER_SECOND
 
 EPOCH = 1 << 40  # of the first starts; any later one is higher
 
 
 def fill(tables):
-    """As after a start long ago: each table holds all of `tables`' lives, alive, and nothing is left to say.
-    The same as if each were heard of, but for the time that takes with the square of a fleet."""
-    size = len(tables)
-    names, epochs = [t.name[0] for t in tables], [t.epoch[0] for t in tables]
-    addresses, buckets = [t.address[0] for t in tables], [t.bucket[0] for t in tables]
-    marks, sums, digest = [mark(*life) for life in zip(names, epochs)], [0] * BUCKETS, 0
-    for name, epoch, bucket, held in zip(names, epochs, buckets, marks):
-        sums[bucket] ^= mark(name, epoch, 0) & 0xFFFFFFFF
-        digest ^= held
+    """As after a start long ago: each table holds all of `tables`' members, alive, and nothing is left to
+    disseminate. The same as if each were applied, but for the time that takes with the square of a fleet."""
+    members = [table.local for table in tables]
+    ids = [member.id for member in members]
+    sums, view_digest = BucketDigest(), 0
+    for member in members:
+        member.state = ALIVE
+        member.view_hash = member_hash(member.name, member.epoch)
+        view_digest ^= member.view_hash
+        sums.toggle(member)
     for n, table in enumerate(tables):
-
-        def mine_first(column, n=n):
-            return column[n : n + 1] + column[:n] + column[n + 1 :]
-
-        table.name, table.epoch = mine_first(names), mine_first(epochs)
-        table.address, table.bucket = mine_first(addresses), mine_first(buckets)
-        for column, value in (
-            ("incarnation", 0),
-            ("state", ALIVE),
-            ("since", 0),
-            ("by", ""),
-            ("heard", NEVER),
-            ("counter", 0),
-            ("window", 0),
-            ("saw", 0),
-            ("saw_at", NEVER),
-            ("back", 0),
-            ("back_at", NEVER),
-        ):
-            setattr(table, column, [value] * size)
-        table.rows = dict(zip(zip(table.name, table.epoch), range(size)))
-        table.of_name = {name: [row] for row, name in enumerate(table.name)}
-        table.held = dict(zip(table.name, zip(range(size), mine_first(marks))))
-        table.living, table.place = list(range(size)), dict(zip(range(size), range(size)))
-        table.sums, table.digest, table.number = list(sums), digest, size + 1
-        table.rumours, table.turns = {}, [{} for _ in table.turns]
+        order = [n, *range(n), *range(n + 1, len(tables))]
+        table.fill({ids[at]: members[at] for at in order}, sums.sums, view_digest)
 
 
 class Member:
@@ -182,12 +160,12 @@
             self.wake_at(n, member.still_until)
             return
         came, member.inbox = member.inbox, []
-        self.wake_at(n, member.node.round(self.now, came, self.outs[n]))
+        self.wake_at(n, member.node.run_round(self.now, came, self.outs[n]))
 
     def sent(self, n, address, message):
         member = self.members[n]
         member.sent += 1
-        member.octets += len(self.encode(message)) + 1 + MAC + 8  # the cluster's name with it
+        member.octets += len(self.encode(message)) + HEADER_SIZE + 8  # the cluster's name with it
         to = self.of.get(address)
         if to is None or (self.cut is not None and self.cut(n, to)):
             return
@@ -220,7 +198,7 @@
         found = {}
         for member in self.members:
             if member.up:
-                digest = member.node.table.digest
+                digest = member.node.table.view.digest
                 found[digest] = found.get(digest, 0) + 1
         return found
 
@@ -228,7 +206,7 @@
         """Whether all that run hold one view, and that one is of just those that run."""
         views = self.views()
         up = sum(member.up for member in self.members)
-        return len(views) == 1 and all(len(m.node.table.held) == up for m in self.members if m.up)
+        return len(views) == 1 and all(len(m.node.table.view) == up for m in self.members if m.up)
 
     def until_equal(self, by, step=TICKS_PER_SECOND // 5):
         """Seconds from now until all views are equal, or None by then."""
--- a/wickvane/rehearsal/shared.py
+++ b/wickvane/rehearsal/shared.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from wickvane.cluster.protocol import Node
+from wickvane.cluster.node import Node
 from wickvane.events import (
     FOREVER,
     AttemptEnded,
@@ -48,7 +48,7 @@
             lambda event, fields: None,
         )
         lent = budgets(world.deployment) if "lends" in world.heeds else ()
-        self.node.rider = self.spread = Spread(world.now, self.node, self.offered, self, world.every, lent)
+        self.node.delegate = self.spread = Spread(world.now, self.node, self.offered, self, world.every, lent)
         self.wake_at(world.now + 1 + number % 100)
 
     def passes(self, event):
@@ -127,11 +127,11 @@
         if self.host.paused:
             return self.wake_at(when + 500)
         came, self.inbox = self.inbox, []
-        self.wake_at(self.node.round(self.world.now, came, self))
+        self.wake_at(self.node.run_round(self.world.now, came, self))
 
     def send(self, address, message):
         self.datagrams += 1
-        self.octets += len(message[9]) + HEADS
+        self.octets += len(message.body) + HEADS
         self.world.datagram(self.number, address, message)
 
     def arrives(self, message):
@@ -172,7 +172,7 @@
         self.every, self.loss, self.way, self.cut, self.heeds = every, loss, way, None, heeds
         self.luck = Random(f"{seed}/datagrams")
         self.members = [Member(self, host, n) for n, host in enumerate(self.hosts)]
-        self.of = {member.node.table.address[0]: member for member in self.members}
+        self.of = {member.node.table.local.address: member for member in self.members}
         fill([member.node.table for member in self.members])
 
     def front(self, query, alive):
@@ -200,6 +200,6 @@
         for n, host in enumerate(self.hosts):
             if host is not before[n]:
                 self.members[n] = Member(self, host, n)
-                self.of[self.members[n].node.table.address[0]] = self.members[n]
+                self.of[self.members[n].node.table.local.address] = self.members[n]
                 seed = next(m for m in self.members if not m.host.killed and m.number != n)
-                self.members[n].node.seeds = [seed.node.table.address[0]]
+                self.members[n].node.anti_entropy.seeds = [seed.node.table.local.address]
