--- a/wickvane/quotas/command.py
+++ b/wickvane/quotas/command.py
@@ -10,24 +10,24 @@
 
 import orjson
 
-from wickvane.cluster.tool import OLD_S, Wrong, folder_of, status
+from wickvane.cluster.command import STALE_AFTER_S, CommandError, find_state_folder, read_status
 
 
 def main(arguments: dict[str, Any]) -> int:
     """Prints the status; arguments: of the command line. Returns the exit status."""
     try:
-        state = status(folder_of(arguments))
+        state = read_status(find_state_folder(arguments))
         quotas = state.get("shares")
         if quotas is None:
-            raise Wrong("that dispatcher shares nothing: its parts document has no node shares", 1)
-    except Wrong as error:
+            raise CommandError("that dispatcher shares nothing: its parts document has no node shares", 1)
+    except CommandError as error:
         print(f"wickvane: {error}", file=sys.stderr)
-        return error.code
+        return error.exit_code
     if arguments["--json"]:
         print(orjson.dumps({"name": state["name"], "at": state["at"], **quotas}).decode())
         return 0
     age = time.time() - state["at"]
-    if age > OLD_S:
+    if age > STALE_AFTER_S:
         print(f"this is {age:.0f} s old: the dispatcher stands still or has ended")
     for line in status_lines(state["name"], quotas):
         print(line)
--- a/wickvane/quotas/extension.py
+++ b/wickvane/quotas/extension.py
@@ -62,10 +62,10 @@
 
         ConfigError: the document has no node peers.
         """
-        peers = next((part.peers for part in service.parts if part.name == "peers"), None)
-        if peers is None:
+        cluster = next((part.cluster for part in service.parts if part.name == "peers"), None)
+        if cluster is None:
             raise ConfigError("the parts document: shares: expected a node peers beside it", 2)
-        from wickvane.cluster.shell import now
+        from wickvane.cluster.clock import now
         from wickvane.quotas.decider_notifier import DeciderNotifier
         from wickvane.quotas.decision_observer import DecisionObserver
         from wickvane.quotas.gossip import QuotaGossip
@@ -79,13 +79,13 @@
         if self.terms.leases_budgets:
             budgets = budget_configs(service.registry.deployment)
             service.links.stale = DECISION_FENCE
-        view = MembershipView(peers.node)
-        self.peers = peers
+        view = MembershipView(cluster.node)
+        self.cluster = cluster
         self.gossip = QuotaGossip(
             now(),
             view,
             lambda: buffer.take(clock.now()),
-            DeciderNotifier(service.exchange.inbox, clock, buffer, self.terms.uses, peers.told),
+            DeciderNotifier(service.exchange.inbox, clock, buffer, self.terms.uses, cluster.events.record),
             self.terms.page_interval,
             budgets,
         )
@@ -93,12 +93,12 @@
 
     def stop(self) -> None:
         """Publishes what was counted, and releases all leases."""
-        from wickvane.cluster.shell import now
+        from wickvane.cluster.clock import now
 
-        with self.peers.lock:
-            self.gossip.shutdown(now(), self.peers)
+        with self.cluster.lock:
+            self.gossip.shutdown(now(), self.cluster.transport)
 
     def status(self) -> dict[str, Any]:
         """Figures for the line of counters."""
-        with self.peers.lock:
+        with self.cluster.lock:
             return self.gossip.status()
--- a/wickvane/quotas/gossip.py
+++ b/wickvane/quotas/gossip.py
@@ -9,6 +9,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any, Protocol
 
+from wickvane.cluster.member import Member
 from wickvane.quotas import wire
 from wickvane.quotas.counters import FleetCounters, FleetInFlight
 from wickvane.quotas.engine_judgement import Judgement, judge_engines
@@ -194,7 +195,7 @@
         self.marks.rebuild({*self.view.known_incarnations(), *self.counters.by_incarnation})
 
     def _send_pages(self, fanout: int) -> None:
-        for row in self.view.random_rows(fanout):
+        for member in self.view.random_members(fanout):
             levels, counters = self.counters.next_page(PAGE_ROOM)
             page = wire.GossipMessage(
                 levels=[
@@ -206,7 +207,7 @@
                     for update in counters
                 ],
             )
-            self.view.send(row, wire.encode(page))
+            self.view.send(member, wire.encode(page))
 
     # Leases
 
@@ -252,14 +253,14 @@
         own = self.view.own_incarnation
         self.engine_reports.store(own, now, self.evidence.reports(now))
         self.tenant_usage.publish(own, now, snapshot.work_by_tenant, snapshot.requested_work)
-        for row in self.view.random_rows(FANOUT):
-            self._send_reports(row)
+        for member in self.view.random_members(FANOUT):
+            self._send_reports(member)
         new_work = self.tenant_usage.take_new_work(snapshot.requested_work)
         if new_work:
             self.listener.charge_tenants(new_work)
         self._judge(now, own, snapshot.ready_engines)
 
-    def _send_reports(self, row: int) -> None:
+    def _send_reports(self, member: Member) -> None:
         usage, room_left = self.tenant_usage.next_page(USAGE_ROOM)
         reports, _ = self.engine_reports.next_page(PAGE_ROOM - MESSAGE_OVERHEAD - USAGE_ROOM + room_left)
         if usage or reports:
@@ -267,7 +268,7 @@
                 engine_reports=[wire.ReportsEntry(*_with_mark(update)) for update in reports],
                 tenant_usage=[wire.UsageEntry(*_with_mark(update)) for update in usage],
             )
-            self.view.send(row, wire.encode(page))
+            self.view.send(member, wire.encode(page))
 
     def _judge(self, now: int, own: Incarnation, ready_engines: Sequence[str]) -> None:
         def age_of(incarnation: Incarnation, timestamp: int) -> int | None:
--- a/wickvane/quotas/membership_view.py
+++ b/wickvane/quotas/membership_view.py
@@ -7,8 +7,9 @@
 from functools import lru_cache
 from typing import Any, Protocol
 
-from wickvane.cluster.membership import ALIVE, SUSPECT, mark
-from wickvane.cluster.standing import divisor
+from wickvane.cluster.member import ALIVE, VIEW_STATES, Member, member_hash
+from wickvane.cluster.node import Node
+from wickvane.cluster.quorum import divisor
 from wickvane.quotas.incarnation import Incarnation
 
 
@@ -30,18 +31,18 @@
 @lru_cache(1 << 14)
 def mark_of(incarnation: Incarnation) -> int:
     """The 32 bits by which messages identify an incarnation."""
-    return mark(*incarnation) & 0xFFFFFFFF
+    return member_hash(*incarnation) & 0xFFFFFFFF
 
 
 class MembershipView:
     """The members of the cluster as one of its nodes believes them, and the way to send to them."""
 
-    def __init__(self, node: Any) -> None:
+    def __init__(self, node: Node) -> None:
         self._node = node
 
     def attach(self, task: GossipTask) -> None:
         """Lets the node call a task in its rounds, and hand it what arrives for it."""
-        self._node.rider = _ClusterRider(self, task)
+        self._node.delegate = _TaskDelegate(task)
 
     @property
     def now(self) -> int:
@@ -51,12 +52,12 @@
     @property
     def own_incarnation(self) -> Incarnation:
         """The incarnation of this dispatcher, which may take a later epoch."""
-        return self.incarnation_of(0)
+        return self._node.table.local.id
 
     @property
     def max_members(self) -> int:
         """How many incarnations the node knows at most."""
-        return self._node.table.most
+        return self._node.table.capacity
 
     @property
     def configured_count(self) -> int:
@@ -67,57 +68,49 @@
         """The number of dispatchers that may exist, at least the configured one."""
         return divisor(self._node.configured, self._node.table)
 
-    def incarnation_of(self, row: int) -> Incarnation:
-        """The incarnation at a row of the node's table."""
-        table = self._node.table
-        return table.name[row], table.epoch[row]
-
     def known_incarnations(self) -> Iterable[Incarnation]:
         """All incarnations in the node's table."""
-        return self._node.table.rows
+        return self._node.table.members
 
     def present_incarnations(self) -> set[Incarnation]:
         """Those that are alive, or suspected and not confirmed as failed."""
-        table = self._node.table
-        return {self.incarnation_of(row) for row in table.living if table.state[row] in (ALIVE, SUSPECT)}
+        return {member.id for member in self._node.table.living if member.state in VIEW_STATES}
 
     def random_delay(self, bound: int) -> int:
         """A random time below a bound, so that members do not act in step."""
-        return self._node.chance.randrange(bound)
+        return self._node.random.randrange(bound)
 
-    def random_rows(self, count: int) -> list[int]:
+    def random_members(self, count: int) -> list[Member]:
         """Up to `count` random other members, for send()."""
-        return self._node.detector.some(count)
+        return self._node.detector.sample_members(count)
 
     def random_alive(self, count: int) -> list[Incarnation]:
         """Of up to `count` random other members, those that are alive."""
-        state = self._node.table.state
-        return [self.incarnation_of(row) for row in self.random_rows(count) if state[row] == ALIVE]
+        return [member.id for member in self.random_members(count) if member.state == ALIVE]
 
-    def send(self, row: int, payload: bytes) -> None:
+    def send(self, member: Member, payload: bytes) -> None:
         """Sends to a member: may be lost, is delivered once at most."""
-        self._node.carry(row, payload)
+        self._node.send_payload(member, payload)
 
     def send_to(self, incarnation: Incarnation, payload: bytes) -> None:
         """Sends to an incarnation; nothing where the node does not know it."""
-        row = self._node.table.rows.get(incarnation)
-        if row is not None:
-            self._node.carry(row, payload)
+        member = self._node.table.members.get(incarnation)
+        if member is not None:
+            self._node.send_payload(member, payload)
 
     @contextmanager
     def final_round(self, now: int, writer: Any) -> Iterator[None]:
         """A last round of the node, after which more can be sent until the block ends."""
-        self._node.round(now, [], writer)
-        self._node.out = writer
+        self._node.run_round(now, [], writer)
+        self._node.sender.begin(now, writer)
         yield
-        self._node.out = None
+        self._node.sender.end()
 
 
-class _ClusterRider:
-    """A GossipTask by the names that the cluster's node calls."""
+class _TaskDelegate:
+    """A GossipTask as a delegate of the cluster's node."""
 
-    def __init__(self, view: MembershipView, task: GossipTask) -> None:
-        self._view = view
+    def __init__(self, task: GossipTask) -> None:
         self._task = task
 
     @property
@@ -125,13 +118,13 @@
         """When the task wants to run."""
         return self._task.next_at
 
-    def round(self, now: int) -> None:
+    def run_round(self, now: int) -> None:
         """Runs the task."""
         self._task.run(now)
 
-    def came(self, now: int, row: int, payload: bytes) -> None:
+    def receive_payload(self, now: int, sender: Member, payload: bytes) -> None:
         """Hands a payload to the task."""
-        self._task.receive(now, self._view.incarnation_of(row), payload)
+        self._task.receive(now, sender.id, payload)
 
     def status(self) -> dict[str, Any]:
         """The task's figures."""
