--- a/wickvane/rehearsal/earlier_modules.py
+++ b/wickvane/rehearsal/earlier_modules.py
@@ -170,32 +170,35 @@
     if module is None:
         raise UnknownRevisionError("git knows no such commit with a decision module here")
     scheduler = next(getattr(module, name) for name in CLASS_NAMES if hasattr(module, name))
-    types_module = modules.first(EVENT_MODULE_NAMES)
     text = "\n".join(modules.texts[name] for name in sorted(modules.texts))
+    return _translated(scheduler, modules.first(EVENT_MODULE_NAMES)), text
+
+
+def _event_translator(types_module: types.ModuleType | None) -> Callable[[Any], tuple]:
+    """Turns today's events into those of a commit, whose event types are classes of their own."""
     if hasattr(types_module, "QueryArrived"):
-        return scheduler, text
-    return _translated(scheduler, types_module), text
+        return lambda event: getattr(types_module, type(event).__name__)(*event)
+    if hasattr(types_module, "Taken"):
+        return lambda event: getattr(types_module, FORMER_EVENT_NAMES[type(event)])(*event)
+    return lambda event: (EVENT_CODES[type(event)], *event)
 
 
 def _translated(scheduler: type, types_module: types.ModuleType | None) -> type:
-    typed = hasattr(types_module, "Taken")
-
-    def former_event(event: Any) -> tuple:
-        if typed:
-            return getattr(types_module, FORMER_EVENT_NAMES[type(event)])(*event)
-        return EVENT_CODES[type(event)], *event
+    translate = _event_translator(types_module)
+    has_todays_names = hasattr(types_module, "QueryArrived")
 
     class EarlierScheduler:
         """The same decisions, called as today."""
 
         def __init__(self, seed: Any, deployment: today.Deployment) -> None:
-            if hasattr(types_module, "Deployment"):
+            if hasattr(types_module, "Deployment") and not has_todays_names:
                 groups = [former_record(group, types_module.ResourceGroup) for group in deployment.groups]
                 deployment = former_record(deployment, types_module.Deployment)._replace(groups=groups)
             self._scheduler = scheduler(seed, deployment)
 
         def round(self, now: int, events: list, out: today.Writer) -> None:
             """One round, with each event as it was then."""
-            self._scheduler.round(now, [former_event(event) for event in events], FormerWriter(out))
+            writer = out if has_todays_names else FormerWriter(out)
+            self._scheduler.round(now, [translate(event) for event in events], writer)
 
     return EarlierScheduler
