--- a/wickvane/scheduling/concurrency.py
+++ b/wickvane/scheduling/concurrency.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Mapping
 
-from wickvane.events import Deployment, EngineState
+from wickvane.events import Deployment
 from wickvane.scheduling.engine_table import EngineTable
 from wickvane.scheduling.estimates import WorkEstimates
 from wickvane.scheduling.query import Query
@@ -60,24 +60,20 @@
 
     def current(self, engine: int, now: int) -> float:
         """An engine's load factor, faded into the usual one by its age."""
-        age = now - self.engines.load_factor_at[engine]
-        weight = max(0.0, 1 - age / self._memory)
+        weight = max(0.0, 1 - (now - self.engines.load_factor_at[engine]) / self._memory)
         return self.usual_load_factor + (self.engines.load_factor[engine] - self.usual_load_factor) * weight
 
-    def observe(
-        self, engine: int, slowdown: float, report: Mapping | None, overdue_counted: bool, now: int
-    ) -> None:
-        """An attempt finished; report: may have the number of attempts that the engine runs."""
+    def observe(self, engine: int, slowdown: float, report: Mapping | None, counted: bool, now: int) -> None:
+        """An attempt finished, which the median may have counted; report: as the engine sent it."""
         slowdown *= self._slow_start.capacity_fraction(engine, now)  # slow start is no load
         # Where answers of an engine are rarer than its load factor fades, an overload there is never known.
-        self._answer_gap += ANSWER_GAP_GAIN * (
-            min(now - self._answered_at, TICKS_PER_SECOND) - self._answer_gap
-        )
+        gap = min(now - self._answered_at, TICKS_PER_SECOND)
+        self._answer_gap += ANSWER_GAP_GAIN * (gap - self._answer_gap)
         self._answered_at = now
         self._memory = max(LOAD_FACTOR_MEMORY, ANSWER_GAPS * self._answer_gap * len(self.engines))
         # The median over recent answers, not over engines: with many, most answered long ago. Against the
         # baseline, since estimates may all err to one side.
-        if not overdue_counted:
+        if not counted:
             step = MEDIAN_STEP if slowdown > self.median_latency else 1 / MEDIAN_STEP
             self.median_latency = max(0.1, self.median_latency * step)
         self._baseline_latency = min(self._baseline_latency * BASELINE_STEP, max(self.median_latency, 0.5))
@@ -158,11 +154,8 @@
         return self.backlogged and not self.pool_has_capacity(now) and self._largest_limit < threads
 
     def _update_pool(self, now: int) -> None:
-        limits = [
-            self.limit(engine, self._slow_start.capacity_fraction(engine, now))
-            for engine, state in enumerate(self._engines.state)
-            if state == EngineState.READY
-        ]
+        fraction = self._slow_start.capacity_fraction
+        limits = [self.limit(engine, fraction(engine, now)) for engine in self._engines.ready()]
         self.total_limit = sum(limits)
         self._largest_limit = max(limits, default=0.0)
         self._pool = self.total_limit * self._scale
@@ -194,25 +187,19 @@
             return True
         return self._load.current(engine, now) > PRESSURE_FACTOR
 
-    def attempt_started(self, engine: int, threads: int) -> None:
-        """Threads are in flight on an engine."""
+    def add_in_flight(self, engine: int, threads: int) -> None:
+        """An attempt started with so many threads; negative: it ended."""
         self._engines.in_flight[engine] += threads
         self.threads_in_flight += threads
 
-    def attempt_ended(self, engine: int, threads: int) -> None:
-        """Threads are free again."""
-        self._engines.in_flight[engine] -= threads
-        self.threads_in_flight -= threads
-
     def attempt_finished(self, engine: int) -> None:
         """Raises an engine's own limit by one an answer to each of its threads."""
         self._engines.concurrency_limit[engine] += 1 / self._engines.concurrency_limit[engine]
 
     def attempt_rejected(self, engine: int, now: int) -> None:
         """Cuts an engine's own limit: what it rejects uses up retries."""
-        table = self._engines
-        table.rejected_at[engine] = now
-        table.concurrency_limit[engine] = max(1.0, REJECTION_CUT * table.in_flight[engine])
+        self._engines.rejected_at[engine] = now
+        self._engines.concurrency_limit[engine] = max(1.0, REJECTION_CUT * self._engines.in_flight[engine])
         self.decrease(now)
 
     def adapt(self, now: int) -> None:
--- a/wickvane/scheduling/deadlines.py
+++ b/wickvane/scheduling/deadlines.py
@@ -30,7 +30,7 @@
         """Sets the query's times and its place in the queue; whether it can be answered in time at all."""
         group = self.groups[query.resource_group]
         # Else a client would give up at the same time as its query is given up here.
-        left = self._time_to_answer(time_left, now)
+        left = min(time_left - min(ANSWER_MARGIN, time_left // 10), self._shutdown_at - now)
         query.deadline = now + left
         # A retry is queued behind first attempts of a quarter more cost, whose place it would take in a
         # storm; behind all, the longest first attempts would go ahead of the shortest retries.
@@ -43,9 +43,6 @@
         query.queue_until = min(self.last_start(query), queue_until)
         return now < query.queue_until
 
-    def _time_to_answer(self, time_left: int, now: int) -> int:
-        return min(time_left - min(ANSWER_MARGIN, time_left // 10), self._shutdown_at - now)
-
     def turn_is_too_late(self, query: Query, turn_at: float, now: int) -> bool:
         """Whether a query whose key is free at turn_at is better rejected, with time left for the client."""
         return turn_at > now + TURN_FRACTION * (query.deadline - now)
@@ -103,8 +100,7 @@
             return 0
         rate = self._work_at(now) / WORK_MEMORY
         if rate > 0:
-            queue_time = queued_cost / rate
-            self._last_retry_at = max(self._last_retry_at, now + queue_time) + query.cost / rate
+            self._last_retry_at = max(self._last_retry_at, now + queued_cost / rate) + query.cost / rate
             if self._last_retry_at <= now + self._longest:
                 return min(self._longest, int(self._last_retry_at - now) + 1)
         self._last_retry_at = now + self._longest
--- a/wickvane/scheduling/engine_table.py
+++ b/wickvane/scheduling/engine_table.py
@@ -5,7 +5,7 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from wickvane.events import FOREVER, EngineUpdated
+from wickvane.events import FOREVER, EngineState, EngineUpdated
 
 NEVER = -FOREVER
 
@@ -18,6 +18,14 @@
     RUN = "reset at each start of a process"
 
 
+class EngineChange(Enum):
+    """What is new in an engine's entry in the endpoint list."""
+
+    ENTRY = "the same process"
+    PROCESS = "a process started"
+    IDENTITY = "another engine has the index"
+
+
 class Column(NamedTuple):
     """One figure of every engine; times are ticks."""
 
@@ -72,15 +80,30 @@
     def __len__(self) -> int:
         return len(self.rank)
 
+    def ready(self) -> list[int]:
+        """The engines that the endpoint list says are ready."""
+        return [engine for engine, state in enumerate(self.state) if state == EngineState.READY]
+
     def grow(self, size: int) -> None:
         """Makes room for engines up to index `size` - 1."""
         for column in COLUMNS:
             values = getattr(self, column.name)
             values.extend(column.initial() for _ in range(size - len(values)))
 
-    def set_listed(self, event: EngineUpdated, cores: float) -> None:
-        """Sets what the endpoint list says of an engine."""
+    def update(self, event: EngineUpdated, cores: float, now: int) -> EngineChange:
+        """Takes in an engine's entry in the endpoint list."""
         engine = event.engine
+        self.grow(engine + 1)
+        change = EngineChange.ENTRY
+        if self.rank[engine] != event.rank:
+            change = EngineChange.IDENTITY
+            self.reset(engine, Lifetime.PROCESS)
+        elif self.started_at[engine] != event.started:
+            change = EngineChange.PROCESS
+        if change != EngineChange.ENTRY:
+            self.reset(engine, Lifetime.RUN)
+            self.load_factor_at[engine] = now
+            self.last_contact_at[engine] = now
         self.rank[engine] = event.rank
         self.state[engine] = event.state
         self.zone[engine] = event.zone
@@ -88,6 +111,7 @@
         self.cell[engine] = event.cell
         self.started_at[engine] = event.started
         self.cores[engine] = cores
+        return change
 
     def reset(self, engine: int, lifetime: Lifetime) -> None:
         """Sets all figures of one lifetime to their initial values."""
--- a/wickvane/scheduling/estimates.py
+++ b/wickvane/scheduling/estimates.py
@@ -67,9 +67,7 @@
             return None
         priority = self._priority(query, now)
         grant = self._memory_grant(query)
-        if priority == query.priority and not grant:
-            return None
-        return priority, grant
+        return (priority, grant) if priority != query.priority or grant else None
 
     def _priority(self, query: Query, now: int) -> int:
         groups = self.deployment.groups
--- a/wickvane/scheduling/fair_queue.py
+++ b/wickvane/scheduling/fair_queue.py
@@ -58,9 +58,7 @@
         """What a visit adds to a tenant's deficit."""
         return (QUANTUM_MEANS * self._estimates.overall_mean_cost or TICKS_PER_SECOND) * self.weights[tenant]
 
-    def release(
-        self, find_engine: Callable[[Query], int], start_attempt: Callable[[Query, int], None]
-    ) -> None:
+    def release(self, find_engine: Callable[[Query], int], start: Callable[[Query, int], None]) -> None:
         """Starts attempts until no tenant's next query finds capacity.
 
         A visit adds one quantum and lasts while the next query fits and finds capacity. One that ends for
@@ -91,7 +89,7 @@
             short_of = {}
             self.deficits[tenant] -= query.cost
             self._queues[tenant].remove(query)
-            start_attempt(query, engine)
+            start(query, engine)
             self._deactivate_if_empty(tenant)
 
     def _next(self, tenant: int, find_engine: Callable[[Query], int]) -> tuple[Query | None, int]:
--- a/wickvane/scheduling/outlier_ejection.py
+++ b/wickvane/scheduling/outlier_ejection.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from wickvane.events import Ending, EngineState, ResourceGroup
+from wickvane.events import Ending, ResourceGroup
 from wickvane.scheduling.engine_table import EngineTable
 from wickvane.scheduling.query import Query
 from wickvane.units import TICKS_PER_SECOND
@@ -27,6 +27,10 @@
         """Which engines are usable is worked out anew when it is next asked for."""
         self._usable.clear()
 
+    def engine_started(self, engine: int) -> None:
+        """An engine is new, or has a new process."""
+        self.engines.ejection_time[engine] = EJECTION_FIRST
+
     def usable(self, resource_group: int, now: int) -> frozenset[int]:
         """The engines that are ready, permitted and not ejected."""
         if resource_group not in self._usable:
@@ -35,11 +39,7 @@
 
     def _find_usable(self, resource_group: int, now: int) -> list[int]:
         table = self.engines
-        ready = [
-            engine
-            for engine, state in enumerate(table.state)
-            if state == EngineState.READY and self._permitted(resource_group, engine)
-        ]
+        ready = [engine for engine in table.ready() if self._permitted(resource_group, engine)]
         usable = [engine for engine in ready if table.ejected_until[engine] <= now]
         # More than half ejected at once is no fault of the engines: a common cause, and nowhere better to
         # go. An engine that refuses connections is down all the same, and would only use up attempts.
@@ -50,9 +50,8 @@
 
     def _permitted(self, resource_group: int, engine: int) -> bool:
         group = self.groups[resource_group]
-        table = self.engines
-        return (group.zones is None or table.zone[engine] in group.zones) and (
-            group.kinds is None or table.kind[engine] in group.kinds
+        return (group.zones is None or self.engines.zone[engine] in group.zones) and (
+            group.kinds is None or self.engines.kind[engine] in group.kinds
         )
 
     def record(self, query: Query, engine: int, ending: Ending, now: int) -> None:
@@ -81,11 +80,8 @@
 
     def eject_silent(self, overdue: Mapping[int, int], now: int) -> list[int]:
         """Ejects engines with several overdue attempts and no contact since; returns those ejected now."""
-        silent = [
-            engine
-            for engine, count in overdue.items()
-            if count >= SILENT_ATTEMPTS and now >= self.engines.ejected_until[engine]
-        ]
+        until = self.engines.ejected_until
+        silent = [one for one, count in overdue.items() if count >= SILENT_ATTEMPTS and now >= until[one]]
         for engine in silent:
             self._eject(engine, now)
         return silent
--- a/wickvane/scheduling/placement.py
+++ b/wickvane/scheduling/placement.py
@@ -5,7 +5,6 @@
 
 from wickvane.events import FOREVER, Deployment, Effect, Ending, KeyScope
 from wickvane.scheduling.concurrency import LOAD_FACTOR_MEMORY, ConcurrencyLimits, LoadTracker
-from wickvane.scheduling.engine_table import EngineTable
 from wickvane.scheduling.estimates import WorkEstimates
 from wickvane.scheduling.fleet_hook import FleetHook
 from wickvane.scheduling.outlier_ejection import OutlierEjection
@@ -32,7 +31,6 @@
     def __init__(
         self,
         deployment: Deployment,
-        engines: EngineTable,
         chance: Random,
         estimates: WorkEstimates,
         slow_start: SlowStart,
@@ -43,7 +41,7 @@
         self.fleet: FleetHook | None = None
         self.deployment = deployment
         self.groups = deployment.groups
-        self.engines = engines
+        self.engines = load.engines
         self._chance = chance
         self._estimates = estimates
         self._slow_start = slow_start
@@ -136,14 +134,12 @@
         # first, unless it was heard from lately: its warm tables are worth staying for then.
         small = self._limit(found[0], now) < self.groups[query.resource_group].threads
         is_blind = small and now - self.engines.load_factor_at[found[0]] > LOAD_FACTOR_MEMORY // 3
-        return min(
-            found,
-            key=lambda engine: (
-                self._bulk_loads_there(query, engine),
-                self._load_of(engine, now),
-                self._chance.random() if is_blind else 0,
-            ),
-        )
+
+        def sort_key(engine: int) -> tuple[int, float, float]:
+            draw = self._chance.random() if is_blind else 0
+            return self._bulk_loads_there(query, engine), self._load_of(engine, now), draw
+
+        return min(found, key=sort_key)
 
     def _bulk_loads_there(self, query: Query, engine: int) -> int:
         # Bulk loads of one table group run one after another on an engine, their keys behind them.
@@ -171,7 +167,7 @@
         engine = query.engine
         group = self.groups[query.resource_group]
         self.engines.last_used_at[engine] = now
-        self._limits.attempt_started(engine, group.threads)
+        self._limits.add_in_flight(engine, group.threads)
         if group.is_bulk_load:
             self.engines.bulk_loads[engine].append(query.table_group)
         if self._slow_start.capacity_fraction(engine, now) < 1.0:
@@ -181,7 +177,7 @@
     def attempt_ended(self, query: Query, engine: int, ending: Ending, now: int) -> None:
         """An attempt has ended."""
         group = self.groups[query.resource_group]
-        self._limits.attempt_ended(engine, group.threads)
+        self._limits.add_in_flight(engine, -group.threads)
         if group.is_bulk_load:
             self.engines.bulk_loads[engine].remove(query.table_group)
         is_connected = ending not in (Ending.NO_CONNECTION, Ending.RESET)
--- a/wickvane/scheduling/retries.py
+++ b/wickvane/scheduling/retries.py
@@ -39,13 +39,12 @@
 
     def is_available(self, now: int) -> bool:
         """Whether one more retry is allowed; drops what is past the window."""
-        deployment = self.deployment
-        window = deployment.retry_budget_window
+        window = self.deployment.retry_budget_window
         while self._retries and self._retries[0] < now - window - RETRIES_LONGER:
             self._retries.popleft()
         while self.arrivals and self.arrivals[0] <= now - window + ARRIVALS_SHORTER:
             self.arrivals.popleft()
-        most = deployment.retry_budget_minimum + deployment.retry_budget_ratio * len(self.arrivals)
+        most = self.deployment.retry_budget_minimum + self.deployment.retry_budget_ratio * len(self.arrivals)
         return not window or len(self._retries) + 1 <= most
 
 
@@ -132,16 +131,13 @@
         group = self.groups[query.resource_group]
         if query.ran_at is None and not query.in_flight:
             return True
-        is_known_anywhere = group.key_scope == KeyScope.ANY_ENGINE
-        return group.effect == Effect.READ_ONLY or (
-            group.effect == Effect.IDEMPOTENCY_KEY and is_known_anywhere
-        )
+        has_key = group.effect == Effect.IDEMPOTENCY_KEY and group.key_scope == KeyScope.ANY_ENGINE
+        return group.effect == Effect.READ_ONLY or has_key
 
     def is_lost(self, query: Query, now: int) -> bool:
         """Whether an attempt without progress runs so long that it is lost, hung or badly planned."""
-        threads = self.groups[query.resource_group].threads
         load_factor = min(max(1.0, self._load.usual_load_factor), LOST_LOAD_FACTOR_MOST)
-        expected = load_factor * query.cost / threads
+        expected = load_factor * query.cost / self.groups[query.resource_group].threads
         return not query.fraction_done and now - query.sent_at > LOST_FACTOR * expected + LOST_OFFSET
 
     def is_runaway(self, query: Query, now: int) -> bool:
--- a/wickvane/scheduling/scheduler.py
+++ b/wickvane/scheduling/scheduler.py
@@ -25,11 +25,11 @@
 )
 from wickvane.scheduling.concurrency import ConcurrencyLimits, LoadTracker
 from wickvane.scheduling.deadlines import SWEEP_INTERVAL, Deadlines, RetryAfter
-from wickvane.scheduling.engine_table import EngineTable, Lifetime
+from wickvane.scheduling.engine_table import EngineChange, EngineTable
 from wickvane.scheduling.estimates import TermsPolicy, WorkEstimates
 from wickvane.scheduling.fair_queue import FairQueue
 from wickvane.scheduling.fleet_hook import FleetHook
-from wickvane.scheduling.outlier_ejection import EJECTION_FIRST, OutlierEjection
+from wickvane.scheduling.outlier_ejection import OutlierEjection
 from wickvane.scheduling.placement import NO_ENGINE, Placement
 from wickvane.scheduling.query import Query
 from wickvane.scheduling.retries import LOST_SHARE_MOST, KeyOrder, RetryPolicy
@@ -60,14 +60,7 @@
         self.limits = ConcurrencyLimits(deployment, self.engines, self.slow_start, self.load)
         self.ejection = OutlierEjection(self.groups, self.engines)
         self.placement = Placement(
-            deployment,
-            self.engines,
-            chance,
-            self.estimates,
-            self.slow_start,
-            self.load,
-            self.limits,
-            self.ejection,
+            deployment, chance, self.estimates, self.slow_start, self.load, self.limits, self.ejection
         )
         self.fair_queue = FairQueue([share for share, _ in deployment.tenants], self.estimates)
         self.deadlines = Deadlines(deployment, self.load)
@@ -88,7 +81,7 @@
             QueryArrived: self._take_query,
             AttemptEnded: self._end_attempt,
             ClientGone: self._drop_query,
-            TimerFired: self._ignore_timer,
+            TimerFired: lambda event: None,  # a timer is set for the round that it brings about
             AttemptProgressed: self._note_progress,
             EngineUpdated: self._update_engine,
             EndpointListLost: self._schedule_poll,
@@ -124,20 +117,11 @@
         else:
             self.fleet.handle(event, self._now)
 
-    # Queries
-
     def _take_query(self, event: QueryArrived) -> None:
-        group = self.groups[event.group]
         self.fair_queue.add_tenants_up_to(event.tenant)
-        query = Query(
-            event.query,
-            event.group,
-            event.tenant,
-            event.table_group,
-            event.key if group.ordered else None,
-            self.estimates.estimate(event),
-            event.memory,
-        )
+        key = event.key if self.groups[event.group].ordered else None
+        cost = self.estimates.estimate(event)
+        query = Query(event.query, event.group, event.tenant, event.table_group, key, cost, event.memory)
         is_in_time = self.deadlines.set_on_arrival(query, event.time_left, event.is_retry, self._now)
         self._queries[query.index] = query
         self.retries.budget.record_arrival(self._now)
@@ -175,8 +159,6 @@
         self.keys.remove(query)
         self._queries.pop(query.index, None)
 
-    # Attempts
-
     def _start_attempt(self, query: Query, engine: int) -> None:
         query.engine = engine
         query.sent_at = self._now
@@ -201,7 +183,9 @@
         self.placement.attempt_ended(query, event.engine, event.ending, self._now)
         self.ejection.record(query, event.engine, event.ending, self._now)
         work = event.work or event.elapsed * self.groups[query.resource_group].threads
-        self._account(query, event, work)
+        # Corrects the tenant's charge; what was proven not to have run costs nothing.
+        true_cost = work if event.ending < Ending.REJECTED else 0
+        self.fair_queue.deficits[query.tenant] += query.cost - true_cost
         if event.ending == Ending.FINISHED:
             self._learn(query, event, work)
         elif event.ending == Ending.REJECTED:
@@ -218,11 +202,6 @@
         else:
             self._retrying.append(query)
 
-    def _account(self, query: Query, event: AttemptEnded, work: float) -> None:
-        """Corrects the tenant's charge by the true work; what was proven not to have run costs nothing."""
-        true_cost = work if event.ending < Ending.REJECTED else 0
-        self.fair_queue.deficits[query.tenant] += query.cost - true_cost
-
     def _learn(self, query: Query, event: AttemptEnded, work: float) -> None:
         slowdown = self.load.slowdown(query, event.elapsed, event.work)
         self.limits.attempt_finished(event.engine)
@@ -249,21 +228,12 @@
                 self._writer.cancel_attempt(query.index, query.attempts - 1)
                 query.replanned = True
 
-    # Engines, the endpoint list and this process
-
     def _update_engine(self, event: EngineUpdated) -> None:
-        table = self.engines
-        engine = event.engine
-        table.grow(engine + 1)
-        is_other = table.rank[engine] != event.rank
-        if is_other or table.started_at[engine] != event.started:
-            table.reset(engine, Lifetime.RUN)
-            table.load_factor_at[engine] = table.last_contact_at[engine] = self._now
-            table.ejection_time[engine] = EJECTION_FIRST
-        if is_other:
-            table.reset(engine, Lifetime.PROCESS)
+        change = self.engines.update(event, self._cores(event), self._now)
+        if change != EngineChange.ENTRY:
+            self.ejection.engine_started(event.engine)
+        if change == EngineChange.IDENTITY:
             self.placement.engines_changed()
-        table.set_listed(event, self._cores(event))
         self.ejection.invalidate()
 
     def _cores(self, event: EngineUpdated) -> float:
@@ -286,9 +256,6 @@
         for query in self._queries.values():
             self.deadlines.cut_to_shutdown(query)
 
-    def _ignore_timer(self, event: TimerFired) -> None:
-        """A timer is set for the round that it brings about."""
-
     def _set_timer(self) -> None:
         waiting = self.fair_queue.active or self._retrying
         if not waiting and not self._running and not self._poll_at:
@@ -301,8 +268,6 @@
             self._timer_at = at
             self._writer.set_timer(ROUND_TIMER, at)
 
-    # Steps of a round
-
     def _sweep(self) -> None:
         """Looks at all that waits and runs."""
         self._next_sweep = self._now + SWEEP_INTERVAL
--- a/wickvane/scheduling/slow_start.py
+++ b/wickvane/scheduling/slow_start.py
@@ -3,7 +3,7 @@
 from math import sqrt
 from random import Random
 
-from wickvane.events import Deployment, EngineState
+from wickvane.events import Deployment
 from wickvane.scheduling.engine_table import EngineTable
 
 SAFETY = 0.5  # of the collapse budget, since true speeds are not known
@@ -28,13 +28,8 @@
         self.engines = engines
         self._chance = chance
         # What an engine may get of this dispatcher in a window, in work a core.
-        self.budget_per_core = (
-            SAFETY
-            * deployment.collapse_multiple
-            * USABLE_CORES
-            * deployment.collapse_window
-            / deployment.dispatcher_count
-        )
+        budget = SAFETY * deployment.collapse_multiple * USABLE_CORES * deployment.collapse_window
+        self.budget_per_core = budget / deployment.dispatcher_count
 
     def capacity_fraction(self, engine: int, now: int) -> float:
         """The fraction of its cores that an engine counts for."""
@@ -58,8 +53,8 @@
         """The largest part in use of what an engine may get while it warms up."""
         window_began = now - self.deployment.collapse_window
         most = 0.0
-        for engine, state in enumerate(self.engines.state):
-            fraction = self.capacity_fraction(engine, now) if state == EngineState.READY else 1.0
+        for engine in self.engines.ready():
+            fraction = self.capacity_fraction(engine, now)
             if fraction < 1.0:
                 sent = self.engines.slow_start_work[engine]
                 work = sum(work for at, work in sent if at > window_began)
