--- a/tests/test_xds_snapshot.py
+++ b/tests/xds_service/test_snapshot_store.py
@@ -5,7 +5,7 @@
 
 from wickvane.xds import store
 
-STORED = Path(__file__).parent / "data/xds-snapshot-c5b2902"
+STORED = Path(__file__).parent.parent / "data/xds-snapshot-c5b2902"
 
 
 def test_a_snapshot_of_the_version_before_is_read(tmp_path):
