--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -164,7 +164,7 @@
 def whole(engines, tables):
     """Octets of all endpoints, as a proxy that holds nothing is sent them."""
     from wickvane.id_registry import IdRegistry
-    from wickvane.xds import fleet as fl
+    from wickvane.xds import endpoint_snapshot
     from wickvane.xds.placement import Placement
     from wickvane.xds.resources import Make
 
@@ -173,14 +173,18 @@
         registry.deployment, registry.group_names, range(tables + 1), 10, list(registry.kinds.index)
     )
     rows = [(f"e{n}", ("127.0.0.1", 10_000 + n), 0, "dc", "old", 0, 0, 1.0) for n in range(engines)]
-    fleet, _ = fl.changed(fl.Fleet(), 0, 1, True, rows, fl.Floor())
+    fleet, _ = endpoint_snapshot.changed(
+        endpoint_snapshot.Fleet(), 0, 1, True, rows, endpoint_snapshot.Floor()
+    )
     began = time.process_time()
     placement.list(0, fleet)
     bodies = [make.assignment(name, places) for name, places in placement.cache.items()]
     first = time.process_time() - began
     again, clusters, began, drains = 0, 0, time.process_time(), 20
     for n in range(drains):
-        fleet, _ = fl.changed(fleet, 0, 2 + n, False, [rows[n][:2] + (1,) + rows[n][3:]], fl.Floor())
+        fleet, _ = endpoint_snapshot.changed(
+            fleet, 0, 2 + n, False, [rows[n][:2] + (1,) + rows[n][3:]], endpoint_snapshot.Floor()
+        )
         changed, _ = placement.list(0, fleet)
         again += sum(len(make.assignment(name, placement.cache[name])) for name in changed)
         clusters += len(changed)
@@ -216,10 +220,10 @@
     from wickvane.rehearsal import script as scripts
     from wickvane.rehearsal.world import play
     from wickvane.scheduler import Scheduler
-    from wickvane.xds.follower import Follower
+    from wickvane.xds.simulated_proxies import SimulatedProxies
 
     found = {}
-    for name, made in (("dispatchers", Scheduler), ("proxies", Follower)):
+    for name, made in (("dispatchers", Scheduler), ("proxies", SimulatedProxies)):
         text = DAY.format(gateways=gateways, engines=engines, rate=0.6 * engines * 40, more=more)
         outcome = play(scripts.read_text(text), 1, False, made)
         found[name] = [round(outcome.service(), 3), dict(Counter(rule for rule, _ in outcome.breaches))]
--- a/tests/test_members_files.py
+++ b/tests/test_members_files.py
@@ -39,8 +39,7 @@
 from wickvane.net.clock import Clock
 from wickvane.net.counters import Counters
 from wickvane.net.service import Service
-from wickvane.xds import fleet as fl
-from wickvane.xds import tool
+from wickvane.xds import command, endpoint_snapshot
 from wickvane.xds.catalog import Catalog
 
 
@@ -649,11 +648,15 @@
 
 def test_back_lets_a_name_that_was_drained_by_hand_return_and_nothing_else_does():
     row = ("e1", ("127.0.0.1", 1), EngineState.READY, "dc", "old", 0, 0, 1.0)
-    fleet_, _ = fl.changed(fl.Fleet(), 0, 1, True, [row], fl.FLOOR)
-    fleet_, _ = fl.changed(fleet_, 1, 2, False, [(*row[:2], EngineState.DRAINING, *row[3:])], fl.FLOOR)
-    still, notes = fl.changed(fleet_, 2, 3, False, [row], fl.FLOOR)
+    fleet_, _ = endpoint_snapshot.changed(
+        endpoint_snapshot.Fleet(), 0, 1, True, [row], endpoint_snapshot.FLOOR
+    )
+    fleet_, _ = endpoint_snapshot.changed(
+        fleet_, 1, 2, False, [(*row[:2], EngineState.DRAINING, *row[3:])], endpoint_snapshot.FLOOR
+    )
+    still, notes = endpoint_snapshot.changed(fleet_, 2, 3, False, [row], endpoint_snapshot.FLOOR)
     assert still.engines["e1"].state == EngineState.DRAINING and notes
-    again, notes = fl.changed(fleet_, 2, 3, False, [row], fl.FLOOR, {"e1"})
+    again, notes = endpoint_snapshot.changed(fleet_, 2, 3, False, [row], endpoint_snapshot.FLOOR, {"e1"})
     assert again.engines["e1"].state == EngineState.READY and not notes
 
 
@@ -671,7 +674,7 @@
     import asyncio
 
     from standins.xds_proxy import Proxy
-    from test_control_sockets import Loop
+    from xds_service.test_service import Loop
 
     from wickvane.xds.server import Server
 
@@ -708,7 +711,7 @@
     with open(path, "w") as file:
         file.write(text)
     until(lambda: proxy.sends_to() == {"e0", "e1", "e2", "e3"})
-    (row,) = {(r["generation"], r["digest"]) for r in tool.ask(f"127.0.0.1:{port}")}
+    (row,) = {(r["generation"], r["digest"]) for r in command.ask(f"127.0.0.1:{port}")}
     assert row == (3, server.members.membership.target.digest)
     loop.stop(proxy)
     server.stop()
--- a/tests/xds_service/instance.py
+++ b/tests/xds_service/instance.py
@@ -7,13 +7,12 @@
 from bench_free import SETTINGS
 
 from wickvane.net.service import parse_config
-from wickvane.xds import fleet as fl
-from wickvane.xds import store
-from wickvane.xds.hub import Hub, Nodes, Refused
+from wickvane.xds import endpoint_snapshot, snapshot_store
+from wickvane.xds.control_plane import Hub, Nodes, Refused
 from wickvane.xds.placement import Placement
 from wickvane.xds.resources import Make
 from wickvane.xds.server import Encoder
-from wickvane.xds.session import SOTW, Broken
+from wickvane.xds.stream import SOTW, Broken
 
 __all__ = ["SOTW", "Instance", "Rejection"]
 
@@ -67,14 +66,14 @@
     """The service's decisions behind plain calls."""
 
     def __init__(self, ttl: int, tables: int) -> None:
-        floor = fl.Floor(0.4, 1, fl.STEPS, 50_000)
+        floor = endpoint_snapshot.Floor(0.4, 1, endpoint_snapshot.STEPS, 50_000)
         self.hub = Hub(_placement(tables), Make(), GRACE, Nodes((), 20, 2), floor, ttl)
         self.encode = Encoder(self.hub)
         self.ttl = ttl
 
     def restarted_from_snapshot(self, now: int, ttl: int, tables: int) -> "Instance":
         fresh = Instance(ttl, tables)
-        fresh.hub.restore(now, store.read(store.written(self.hub.fleet)))
+        fresh.hub.restore(now, snapshot_store.read(snapshot_store.written(self.hub.fleet)))
         return fresh
 
     def endpoint_event(self, now: int, index: int, is_complete: bool, entries: list[tuple]) -> None:
--- a/tests/test_control.py
+++ b/tests/xds_service/test_control_plane.py
@@ -13,12 +13,11 @@
 from wickvane.events import EngineState, EngineUpdated
 from wickvane.scheduler import FIRST_ENGINES, Scheduler
 from wickvane.units import TICKS_PER_SECOND
-from wickvane.xds import fleet as fl
-from wickvane.xds import store
+from wickvane.xds import endpoint_snapshot, snapshot_store
 from wickvane.xds.catalog import CDS, EDS, LDS, RDS, read_version
-from wickvane.xds.hub import Hub, Nodes, Refused
+from wickvane.xds.control_plane import Hub, Nodes, Refused
 from wickvane.xds.placement import FIRST_MOST, LATER, WARM_STEPS, Placement
-from wickvane.xds.session import ASKS_MOST, DELTA, SOTW, Broken
+from wickvane.xds.stream import ASKS_MOST, DELTA, SOTW, Broken
 
 TABLES = (1, 2, 3)
 
@@ -58,63 +57,86 @@
 
 
 def test_what_drained_never_comes_back_but_as_a_later_process():
-    found, _ = fl.changed(fl.Fleet(), 0, 1, True, [entry("e1"), entry("e2")], fl.Floor())
-    found, _ = fl.changed(found, 5, 2, False, [entry("e1", EngineState.DRAINING)], fl.Floor())
+    found, _ = endpoint_snapshot.changed(
+        endpoint_snapshot.Fleet(), 0, 1, True, [entry("e1"), entry("e2")], endpoint_snapshot.Floor()
+    )
+    found, _ = endpoint_snapshot.changed(
+        found, 5, 2, False, [entry("e1", EngineState.DRAINING)], endpoint_snapshot.Floor()
+    )
     assert found.engines["e1"].told == 5 and [e.name for e in found.ready()] == ["e2"]
     for index, again in ((3, [entry("e1")]), (4, [entry("e1", EngineState.GONE)]), (5, [entry("e1")])):
-        found, notes = fl.changed(found, 9, index, False, again, fl.Floor())
+        found, notes = endpoint_snapshot.changed(found, 9, index, False, again, endpoint_snapshot.Floor())
         assert [e.name for e in found.ready()] == ["e2"]
     assert notes == [("engine-not-taken-back", {"engine": "e1", "index": 5})]
-    found, _ = fl.changed(found, 9, 6, False, [entry("e1", started=7)], fl.Floor())
+    found, _ = endpoint_snapshot.changed(
+        found, 9, 6, False, [entry("e1", started=7)], endpoint_snapshot.Floor()
+    )
     assert sorted(e.name for e in found.ready()) == ["e1", "e2"]
-    old, notes = fl.changed(found, 9, 6, False, [entry("e2", EngineState.GONE)], fl.Floor())
+    old, notes = endpoint_snapshot.changed(
+        found, 9, 6, False, [entry("e2", EngineState.GONE)], endpoint_snapshot.Floor()
+    )
     assert old is found and notes[0][0] == "list-older"
 
 
-@pytest.mark.parametrize("what,left", [(fl.TAKE, 1), (fl.HOLD, 10), (fl.STEPS, 8)])
+@pytest.mark.parametrize(
+    "what,left", [(endpoint_snapshot.TAKE, 1), (endpoint_snapshot.HOLD, 10), (endpoint_snapshot.STEPS, 8)]
+)
 def test_a_list_that_loses_nine_tenths_of_its_engines_does_what_the_floor_says(what, left):
-    floor = fl.Floor(0.2, 1, what, 100)
-    found, _ = fl.changed(fl.Fleet(), 0, 1, True, [entry(f"e{n}") for n in range(10)], floor)
-    found, notes = fl.changed(found, 0, 2, True, [entry("e0")], floor)
-    assert len(found.ready()) == left and (notes != []) == (what != fl.TAKE)
+    floor = endpoint_snapshot.Floor(0.2, 1, what, 100)
+    found, _ = endpoint_snapshot.changed(
+        endpoint_snapshot.Fleet(), 0, 1, True, [entry(f"e{n}") for n in range(10)], floor
+    )
+    found, notes = endpoint_snapshot.changed(found, 0, 2, True, [entry("e0")], floor)
+    assert len(found.ready()) == left and (notes != []) == (what != endpoint_snapshot.TAKE)
     counts = []
     for now in range(0, 1200, 100):
-        found, _ = fl.passed(found, now)
+        found, _ = endpoint_snapshot.passed(found, now)
         counts.append(len(found.ready()))
-    assert counts[-1] == 1 and (what != fl.STEPS or counts[:5] == [8, 6, 4, 2, 1])
+    assert counts[-1] == 1 and (what != endpoint_snapshot.STEPS or counts[:5] == [8, 6, 4, 2, 1])
     # Named as draining it is taken at its word, however many.
-    found, _ = fl.changed(fl.Fleet(), 0, 1, True, [entry(f"e{n}") for n in range(10)], floor)
-    found, _ = fl.changed(found, 0, 2, False, [entry(f"e{n}", EngineState.DRAINING) for n in range(9)], floor)
+    found, _ = endpoint_snapshot.changed(
+        endpoint_snapshot.Fleet(), 0, 1, True, [entry(f"e{n}") for n in range(10)], floor
+    )
+    found, _ = endpoint_snapshot.changed(
+        found, 0, 2, False, [entry(f"e{n}", EngineState.DRAINING) for n in range(9)], floor
+    )
     assert len(found.ready()) == 1
 
 
 def test_an_empty_list_is_held_and_one_that_names_them_again_ends_it():
-    floor = fl.Floor(1.0, 5, fl.HOLD, 100)
-    found, _ = fl.changed(fl.Fleet(), 0, 1, True, [entry("e1"), entry("e2")], floor)
-    found, notes = fl.changed(found, 0, 2, True, [], floor)
+    floor = endpoint_snapshot.Floor(1.0, 5, endpoint_snapshot.HOLD, 100)
+    found, _ = endpoint_snapshot.changed(
+        endpoint_snapshot.Fleet(), 0, 1, True, [entry("e1"), entry("e2")], floor
+    )
+    found, notes = endpoint_snapshot.changed(found, 0, 2, True, [], floor)
     assert len(found.ready()) == 2 and notes[0][0] == "list-past-floor"
-    found, _ = fl.changed(found, 50, 3, True, [entry("e1"), entry("e2")], floor)
-    assert fl.next_due(found) is None and len(fl.passed(found, 10_000)[0].ready()) == 2
+    found, _ = endpoint_snapshot.changed(found, 50, 3, True, [entry("e1"), entry("e2")], floor)
+    assert (
+        endpoint_snapshot.next_due(found) is None
+        and len(endpoint_snapshot.passed(found, 10_000)[0].ready()) == 2
+    )
 
 
 def test_a_snapshot_cut_or_spoilt_at_any_octet_is_told_and_a_whole_one_comes_back(tmp_path):
-    floor = fl.Floor()
-    found, _ = fl.changed(fl.Fleet(), 0, 1, True, [entry(f"e{n}") for n in range(4)], floor)
-    found, _ = fl.changed(
+    floor = endpoint_snapshot.Floor()
+    found, _ = endpoint_snapshot.changed(
+        endpoint_snapshot.Fleet(), 0, 1, True, [entry(f"e{n}") for n in range(4)], floor
+    )
+    found, _ = endpoint_snapshot.changed(
         found, 7, 2, False, [entry("e1", EngineState.DRAINING), entry("e2", EngineState.GONE)], floor
     )
-    store.save(tmp_path, found)
-    back = store.load(tmp_path)
+    snapshot_store.save(tmp_path, found)
+    back = snapshot_store.load(tmp_path)
     assert back == found._replace(old=True)
-    back, _ = fl.changed(back, 9, 3, False, [entry("e1"), entry("e2")], floor)
+    back, _ = endpoint_snapshot.changed(back, 9, 3, False, [entry("e1"), entry("e2")], floor)
     assert sorted(e.name for e in back.ready()) == ["e0", "e3"] and not back.old
-    data = store.written(found)
+    data = snapshot_store.written(found)
     for at in range(len(data)):
-        with pytest.raises(store.Unreadable):
-            store.read(data[:at])
-        with pytest.raises(store.Unreadable):
-            store.read(data[:at] + bytes((data[at] ^ 1,)) + data[at + 1 :])
-    assert store.load(tmp_path / "none") is None
+        with pytest.raises(snapshot_store.Unreadable):
+            snapshot_store.read(data[:at])
+        with pytest.raises(snapshot_store.Unreadable):
+            snapshot_store.read(data[:at] + bytes((data[at] ^ 1,)) + data[at + 1 :])
+    assert snapshot_store.load(tmp_path / "none") is None
 
 
 # What clusters hold
@@ -153,11 +175,11 @@
 )
 def test_clusters_follow_the_list_as_the_rule_says_however_it_changes(events, batch):
     """Incremental upkeep beside working it out anew, also past MANY changes at once."""
-    made, fleet, index = placed(), fl.Fleet(), 0
+    made, fleet, index = placed(), endpoint_snapshot.Fleet(), 0
     for at in range(0, len(events), batch):
         index += 1
         rows = [entry(f"e{n}", state, 990 if cold else 0) for n, state, cold in events[at : at + batch]]
-        fleet, _ = fl.changed(fleet, 9_900, index, False, rows, fl.Floor())
+        fleet, _ = endpoint_snapshot.changed(fleet, 9_900, index, False, rows, endpoint_snapshot.Floor())
         changed, drained = made.list(9_900, fleet)
         assert drained <= changed
         for table in TABLES:
@@ -169,7 +191,9 @@
 def test_the_order_is_the_dispatcher_s_own():
     made, gateway = placed(), Gateways(site([group()]))
     names = [f"e{n}" for n in range(20)]
-    fleet, _ = fl.changed(fl.Fleet(), 0, 1, True, [entry(name) for name in names], fl.Floor())
+    fleet, _ = endpoint_snapshot.changed(
+        endpoint_snapshot.Fleet(), 0, 1, True, [entry(name) for name in names], endpoint_snapshot.Floor()
+    )
     made.list(0, fleet)
     for n, name in enumerate(names):
         gateway.round(EngineUpdated(n, name.encode(), EngineState.READY, 0, 0, 0, 0, 1.0))
@@ -183,7 +207,9 @@
     deployment = site([group(), group(kinds=frozenset([1])), group(zones=frozenset([1])), group()])
     made = Placement(deployment, ["a", "b", "c", "d"], TABLES, 2, ["old", "new"], ["dc", "far"])
     rows = [entry(f"e{n}", kind=("old", "new")[n % 2], zone=("dc", "far")[n // 2 % 2]) for n in range(16)]
-    fleet, _ = fl.changed(fl.Fleet(), 0, 1, True, rows, fl.Floor())
+    fleet, _ = endpoint_snapshot.changed(
+        endpoint_snapshot.Fleet(), 0, 1, True, rows, endpoint_snapshot.Floor()
+    )
     made.list(0, fleet)
     assert made.class_of == {"a": "a", "b": "b", "c": "c", "d": "a"}
     for table in TABLES:
@@ -203,7 +229,9 @@
     made, chance = placed(), random.Random(seed)
     now = 100 * TICKS_PER_SECOND
     rows = [entry(f"e{n}", started=(now - age) / 10 if n % 3 == 0 else 0) for n in range(count)]
-    fleet, _ = fl.changed(fl.Fleet(), 0, 1, True, rows, fl.Floor())
+    fleet, _ = endpoint_snapshot.changed(
+        endpoint_snapshot.Fleet(), 0, 1, True, rows, endpoint_snapshot.Floor()
+    )
     made.lateness, before, updates = late, {}, 0
     made.list(now, fleet)
     for _ in range(60):
@@ -229,7 +257,9 @@
 def test_a_third_of_the_fleet_cold_gets_no_more_of_any_cluster_than_its_part_over_a_warm_one_s():
     made = placed()
     rows = [entry(f"e{n}", started=100 if n % 3 == 0 else 0) for n in range(30)]
-    fleet, _ = fl.changed(fl.Fleet(), 0, 1, True, rows, fl.Floor())
+    fleet, _ = endpoint_snapshot.changed(
+        endpoint_snapshot.Fleet(), 0, 1, True, rows, endpoint_snapshot.Floor()
+    )
     made.list(1_000, fleet)
     for table in TABLES:
         first = [p for p in made.cache[f"g0/{table}"] if not p.priority]
@@ -393,7 +423,7 @@
             if proxy.hub is old:
                 proxy.disconnect(self.now)
         fresh = hub()
-        fresh.restore(self.now, store.read(store.written(old.fleet)))
+        fresh.restore(self.now, snapshot_store.read(snapshot_store.written(old.fleet)))
         self.hubs[which] = fresh
 
     @invariant()
--- a/tests/test_control_sockets.py
+++ b/tests/xds_service/test_service.py
@@ -19,7 +19,7 @@
 from test_rehearsal import ROOT
 
 from wickvane import parts
-from wickvane.xds import store, tool
+from wickvane.xds import command, snapshot_store
 from wickvane.xds.server import Server
 
 COLD = SETTINGS | {
@@ -148,10 +148,10 @@
     for n in range(20):
         control.tell(one(100 + n))
     until(lambda: control.server.hub.fleet.index == control.index)
-    rows = {(row["node"], row["type"]): row for row in tool.ask(f"127.0.0.1:{control.port}")}
+    rows = {(row["node"], row["type"]): row for row in command.ask(f"127.0.0.1:{control.port}")}
     assert rows["mad0", "CDS"]["state"] == "ERROR" and "takes nothing" in rows["mad0", "CDS"]["why"]
     place = f"127.0.0.1:{control.port}"
-    until(lambda: {row["state"] for row in tool.ask(place) if row["node"] == "good"} == {"SYNCED"})
+    until(lambda: {row["state"] for row in command.ask(place) if row["node"] == "good"} == {"SYNCED"})
     for proxy in (good, *mad):
         loop.stop(proxy)
     control.stop()
@@ -168,7 +168,7 @@
     until(lambda: "e2" in proxy.sends_to())
     loop.stop(proxy)  # it is cut off while the drain is told
     control.tell(one(2, "Terminating"))
-    until(lambda: os.path.exists(tmp_path / store.NAME) and store.load(tmp_path).index == 2)
+    until(lambda: os.path.exists(tmp_path / snapshot_store.NAME) and snapshot_store.load(tmp_path).index == 2)
     control.stop()
     control.coordinator.end()
     fresh = Control(more=more, events=control.coordinator, known=[], port=control.port)
@@ -180,7 +180,7 @@
     loop.stop(again)
     fresh.stop()
     # One whose snapshot is spoilt, with no coordinator, tells nothing rather than an empty list.
-    path = tmp_path / store.NAME
+    path = tmp_path / snapshot_store.NAME
     path.write_bytes(path.read_bytes()[:-3])
     empty = Control(more=more, events=control.coordinator, known=[])
     other = loop.start(Proxy("other", variant), empty.port)
--- a/wickvane/__main__.py
+++ b/wickvane/__main__.py
@@ -108,7 +108,7 @@
         if asked[word]:
             return importlib.import_module(module).main(asked)
     if asked["status"]:
-        from wickvane.xds.tool import status
+        from wickvane.xds.command import status
 
         return status(asked["--to"], asked["--tls"], asked["--json"])
     path = os.environ.get("LB_CONFIG") if asked["--config"] == "$LB_CONFIG" else asked["--config"]
--- a/wickvane/parts.py
+++ b/wickvane/parts.py
@@ -15,7 +15,7 @@
     "flows": "wickvane.flows.part",
     "tds": "wickvane.net.tds.part",
     "storms": "wickvane.net.storms",
-    "control": "wickvane.xds.part",
+    "control": "wickvane.xds.extension",
     "members": "wickvane.endpoints.part",
     "peers": "wickvane.cluster.part",
     "shares": "wickvane.quotas.part",
--- a/wickvane/xds/hub.py
+++ b/wickvane/xds/control_plane.py
@@ -7,9 +7,9 @@
 from fnmatch import fnmatchcase
 from typing import NamedTuple
 
-from wickvane.xds import fleet as fl
+from wickvane.xds import endpoint_snapshot
 from wickvane.xds.catalog import CDS, EDS, LDS, RDS, Catalog
-from wickvane.xds.session import Session
+from wickvane.xds.stream import Session
 
 RETIRE = 50_000  # what is no longer wanted is kept so long at most for those who do not acknowledge
 LATE_MOST = 100_000  # a proxy later than that holds back no engine's warm-up; its end of drains is its TTL's
@@ -43,9 +43,11 @@
     """make: what turns placement into bodies, by type (wickvane.xds.resources); site: the settings'
     Deployment."""
 
-    def __init__(self, placement, make, grace, nodes=NOBODY_ELSE, floor=fl.FLOOR, ttl=0, epoch="0"):
+    def __init__(
+        self, placement, make, grace, nodes=NOBODY_ELSE, floor=endpoint_snapshot.FLOOR, ttl=0, epoch="0"
+    ):
         self.placement, self.make, self.grace, self.nodes = placement, make, grace, nodes
-        self.floor, self.ttl, self.fleet = floor, ttl, fl.Fleet()
+        self.floor, self.ttl, self.fleet = floor, ttl, endpoint_snapshot.Fleet()
         self.catalog, self.sessions, self.numbers = Catalog(epoch), {}, 0
         self.ready, self.turns, self.retiring = set(), [], None
         self.counts = dict.fromkeys(
@@ -58,7 +60,7 @@
     def listed(self, now, index, whole, entries, back=()):
         """An event of the list."""
         self.counts["list-events"] += 1
-        self.follow(now, *fl.changed(self.fleet, now, index, whole, entries, self.floor, back))
+        self.follow(now, *endpoint_snapshot.changed(self.fleet, now, index, whole, entries, self.floor, back))
 
     def restore(self, now, fleet):
         """A list from a snapshot, before any event."""
@@ -95,7 +97,7 @@
 
     def tick(self, now):
         """What time brings; when to be called again, None for not before something happens."""
-        fleet, notes = fl.passed(self.fleet, now)
+        fleet, notes = endpoint_snapshot.passed(self.fleet, now)
         if notes:
             self.follow(now, fleet, notes)
         at = self.placement.next_step()
@@ -104,7 +106,11 @@
             self.put(*self.placement.step(now))
         if self.retiring is not None:
             self.retire(now)
-        times = [self.placement.next_step(), fl.next_due(self.fleet), self.retiring and now + 1_000]
+        times = [
+            self.placement.next_step(),
+            endpoint_snapshot.next_due(self.fleet),
+            self.retiring and now + 1_000,
+        ]
         return min((t for t in times if t is not None), default=None)
 
     def lateness(self, now):
--- a/wickvane/xds/part.py
+++ b/wickvane/xds/extension.py
@@ -3,8 +3,8 @@
 from typing import NamedTuple
 
 from wickvane import parts
-from wickvane.xds import fleet
-from wickvane.xds.hub import Nodes
+from wickvane.xds import endpoint_snapshot
+from wickvane.xds.control_plane import Nodes
 
 
 class Secrets(NamedTuple):
@@ -25,7 +25,7 @@
     epoch: str
     ttl: int
     snapshot: str | None
-    floor: fleet.Floor
+    floor: endpoint_snapshot.Floor
     nodes: Nodes
     tls: Secrets | None
     stall: int
@@ -62,12 +62,16 @@
             group.done()
         rules.append((child.argument(pattern), tuple(groups) or None))
         child.done()
-    floor, guard = fleet.Floor(), node.child("floor")
+    floor, guard = endpoint_snapshot.Floor(), node.child("floor")
     if guard:
-        floor = fleet.Floor(
+        floor = endpoint_snapshot.Floor(
             guard.property("share", parts.share(0.01, 1), floor.share),
             guard.property("least", parts.whole(1, 10_000), floor.least),
-            guard.property("past", parts.word(fleet.HOLD, fleet.STEPS, fleet.TAKE), floor.what),
+            guard.property(
+                "past",
+                parts.word(endpoint_snapshot.HOLD, endpoint_snapshot.STEPS, endpoint_snapshot.TAKE),
+                floor.what,
+            ),
             guard.property("time", parts.duration("1s", "24h"), floor.time),
         )
         guard.done()
--- a/wickvane/xds/server.py
+++ b/wickvane/xds/server.py
@@ -25,12 +25,12 @@
 from wickvane.net.counters import Counters
 from wickvane.net.log import Log
 from wickvane.net.threads import Threads
-from wickvane.xds import store
+from wickvane.xds import snapshot_store
 from wickvane.xds.catalog import EDS, NUMBER, TYPES, WORDS
-from wickvane.xds.hub import Hub, Refused
+from wickvane.xds.control_plane import Hub, Refused
 from wickvane.xds.placement import Placement
 from wickvane.xds.resources import Make
-from wickvane.xds.session import DELTA, SOTW, Broken
+from wickvane.xds.stream import DELTA, SOTW, Broken
 
 REQUEST_MOST = 4 << 20
 SUPPORTS_TTL = "xds.config.supports-resource-ttl"
@@ -462,7 +462,7 @@
 
     def save_now(self, found):
         try:
-            store.save(self.part.snapshot, found)
+            snapshot_store.save(self.part.snapshot, found)
         except OSError as error:
             self.counters.add("snapshots-failed")
             self.log.line("snapshot-failed", why=error.strerror)
@@ -471,8 +471,8 @@
         if not self.part.snapshot:
             return
         try:
-            found = store.load(self.part.snapshot)
-        except store.Unreadable as error:
+            found = snapshot_store.load(self.part.snapshot)
+        except snapshot_store.Unreadable as error:
             self.counters.add("snapshots-unreadable")
             self.log.line("snapshot-unreadable", why=str(error))
             return
--- a/wickvane/xds/follower.py
+++ b/wickvane/xds/simulated_proxies.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from wickvane.events import AttemptEnded, ClientGone, Effect, Ending, EngineUpdated, QueryArrived
-from wickvane.xds import fleet as fl
+from wickvane.xds import endpoint_snapshot
 from wickvane.xds.placement import CHOICES, EJECT_SHARE, Placement, cluster_name
 
 OVER, ROW = 1.4, 3
@@ -39,7 +39,7 @@
         self.limit = max(1.0, min(self.pace.most, step * self.limit + sqrt(step * self.limit)))
 
 
-class Follower:
+class SimulatedProxies:
     """A gateway in name; tables: how many table groups there are."""
 
     tables = 20
@@ -49,7 +49,7 @@
         names = [f"g{n}" for n in range(len(site.groups))]
         kinds = range(len(site.cores))
         self.placement = Placement(site, names, range(self.tables), site.dispatcher_count, kinds, [0])
-        self.fleet, self.names, self.numbers = fl.Fleet(), {}, {}
+        self.fleet, self.names, self.numbers = endpoint_snapshot.Fleet(), {}, {}
         self.out, self.open, self.active = {}, {}, {}  # by engine; by query; by cluster
         self.failed, self.ejected = {}, {}
         self.gradients = [Gradient(self.placement.pace(group)) for group in site.groups]
@@ -75,7 +75,9 @@
         name = rank.decode()
         self.names[e], self.numbers[name], self.index = name, e, self.index + 1
         row = name, (name, 1), state, 0, kind, cell, started / 10, weight
-        self.fleet, _ = fl.changed(self.fleet, now, self.index, False, [row], fl.FLOOR)
+        self.fleet, _ = endpoint_snapshot.changed(
+            self.fleet, now, self.index, False, [row], endpoint_snapshot.FLOOR
+        )
         self.placement.list(now, self.fleet)
 
     def taken(self, now, out, q, resource_group, tenant, cost, memory, table_group, key, left, again=False):
--- a/wickvane/xds/store.py
+++ b/wickvane/xds/snapshot_store.py
@@ -1,7 +1,7 @@
 """The list on disk: one file, whole or not there.
 
     wickvane-list 1 CHECKSUM LENGTH\\n
-    as many octets of JSON, as wickvane.xds.fleet.plain() has it
+    as many octets of JSON, as wickvane.xds.endpoint_snapshot.plain() has it
 
 The checksum is BLAKE2b of 16 octets over the JSON. It is written beside the old one, forced to disk and put
 in its place by one rename, so that a cut at any octet leaves the old one.
@@ -12,7 +12,7 @@
 
 import orjson
 
-from wickvane.xds import fleet
+from wickvane.xds import endpoint_snapshot
 
 NAME, MAGIC, MOST = "list.wickvane", b"wickvane-list 1 ", 64 << 20
 
@@ -23,7 +23,7 @@
 
 def written(found):
     """The octets of a snapshot."""
-    body = orjson.dumps(fleet.plain(found))
+    body = orjson.dumps(endpoint_snapshot.plain(found))
     mark = blake2b(body, digest_size=16).hexdigest().encode()
     return MAGIC + mark + b" %d\n" % len(body) + body
 
@@ -39,7 +39,7 @@
     if blake2b(body, digest_size=16).hexdigest().encode() != words[0]:
         raise Unreadable("its checksum is another one")
     try:
-        return fleet.restored(orjson.loads(body))
+        return endpoint_snapshot.restored(orjson.loads(body))
     except (ValueError, orjson.JSONDecodeError) as error:
         raise Unreadable(str(error)) from None
 
--- a/wickvane/xds/session.py
+++ b/wickvane/xds/stream.py
@@ -7,7 +7,7 @@
     one out          of each type one response is out at a time; meanwhile changes gather, so that a list
                      that flaps costs a slow proxy nothing but the newest state, and nobody waits behind it
     made before      clusters, their endpoints, listeners, routes (what is no longer wanted goes the other way
-    broken           round: wickvane.xds.hub)
+    broken           round: wickvane.xds.control_plane)
     refused          content that was refused is not sent again; the last good one stands. A drain is
     older behind     a proxy that holds content of a newer list than this instance knows is sent no endpoints
     newer            until this one has caught up, since an engine that has drained could come back by it
