--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -164,29 +164,25 @@
 def whole(engines, tables):
     """Octets of all endpoints, as a proxy that holds nothing is sent them."""
     from wickvane.id_registry import IdRegistry
-    from wickvane.xds import endpoint_snapshot
+    from wickvane.xds.endpoint_snapshot import EndpointSnapshot, RemovalLimit, apply_event
     from wickvane.xds.placement import Placement
-    from wickvane.xds.resources import Make
+    from wickvane.xds.resources import ResourceBuilder
 
-    registry, make = IdRegistry(SETTINGS), Make()
+    registry, make = IdRegistry(SETTINGS), ResourceBuilder()
     placement = Placement(
         registry.deployment, registry.group_names, range(tables + 1), 10, list(registry.kinds.index)
     )
     rows = [(f"e{n}", ("127.0.0.1", 10_000 + n), 0, "dc", "old", 0, 0, 1.0) for n in range(engines)]
-    fleet, _ = endpoint_snapshot.changed(
-        endpoint_snapshot.Fleet(), 0, 1, True, rows, endpoint_snapshot.Floor()
-    )
+    fleet, _ = apply_event(EndpointSnapshot(), 0, 1, True, rows, RemovalLimit())
     began = time.process_time()
-    placement.list(0, fleet)
-    bodies = [make.assignment(name, places) for name, places in placement.cache.items()]
+    placement.update(0, fleet)
+    bodies = [make.build_assignment(name, places) for name, places in placement.clusters.items()]
     first = time.process_time() - began
     again, clusters, began, drains = 0, 0, time.process_time(), 20
     for n in range(drains):
-        fleet, _ = endpoint_snapshot.changed(
-            fleet, 0, 2 + n, False, [rows[n][:2] + (1,) + rows[n][3:]], endpoint_snapshot.Floor()
-        )
-        changed, _ = placement.list(0, fleet)
-        again += sum(len(make.assignment(name, placement.cache[name])) for name in changed)
+        fleet, _ = apply_event(fleet, 0, 2 + n, False, [rows[n][:2] + (1,) + rows[n][3:]], RemovalLimit())
+        changed, _ = placement.update(0, fleet)
+        again += sum(len(make.build_assignment(name, placement.clusters[name])) for name in changed)
         clusters += len(changed)
     return {
         "octets_all": sum(map(len, bodies)),
--- a/tests/test_members_files.py
+++ b/tests/test_members_files.py
@@ -39,8 +39,9 @@
 from wickvane.net.clock import Clock
 from wickvane.net.counters import Counters
 from wickvane.net.service import Service
-from wickvane.xds import command, endpoint_snapshot
 from wickvane.xds.catalog import Catalog
+from wickvane.xds.command import fetch_client_status
+from wickvane.xds.endpoint_snapshot import DEFAULT_REMOVAL_LIMIT, EndpointSnapshot, apply_event
 
 
 class Following:
@@ -648,25 +649,23 @@
 
 def test_back_lets_a_name_that_was_drained_by_hand_return_and_nothing_else_does():
     row = ("e1", ("127.0.0.1", 1), EngineState.READY, "dc", "old", 0, 0, 1.0)
-    fleet_, _ = endpoint_snapshot.changed(
-        endpoint_snapshot.Fleet(), 0, 1, True, [row], endpoint_snapshot.FLOOR
+    fleet_, _ = apply_event(EndpointSnapshot(), 0, 1, True, [row], DEFAULT_REMOVAL_LIMIT)
+    fleet_, _ = apply_event(
+        fleet_, 1, 2, False, [(*row[:2], EngineState.DRAINING, *row[3:])], DEFAULT_REMOVAL_LIMIT
     )
-    fleet_, _ = endpoint_snapshot.changed(
-        fleet_, 1, 2, False, [(*row[:2], EngineState.DRAINING, *row[3:])], endpoint_snapshot.FLOOR
-    )
-    still, notes = endpoint_snapshot.changed(fleet_, 2, 3, False, [row], endpoint_snapshot.FLOOR)
-    assert still.engines["e1"].state == EngineState.DRAINING and notes
-    again, notes = endpoint_snapshot.changed(fleet_, 2, 3, False, [row], endpoint_snapshot.FLOOR, {"e1"})
-    assert again.engines["e1"].state == EngineState.READY and not notes
+    still, notes = apply_event(fleet_, 2, 3, False, [row], DEFAULT_REMOVAL_LIMIT)
+    assert still.endpoints["e1"].state == EngineState.DRAINING and notes
+    again, notes = apply_event(fleet_, 2, 3, False, [row], DEFAULT_REMOVAL_LIMIT, {"e1"})
+    assert again.endpoints["e1"].state == EngineState.READY and not notes
 
 
 def test_of_two_sources_an_instance_is_behind_by_either():
     catalog = Catalog()
-    catalog.index, catalog.parted = 5 << 29 | 100, True
+    catalog.index, catalog.has_two_sources = 5 << 29 | 100, True
     assert catalog.is_behind(6 << 29 | 90) and catalog.is_behind(4 << 29 | 101)
     assert not catalog.is_behind(5 << 29 | 100) and not catalog.is_behind(4 << 29 | 99)
-    assert catalog.joined(6 << 29 | 90, 4 << 29 | 101) == 6 << 29 | 101
-    catalog.parted = False
+    assert catalog.merged_index(6 << 29 | 90, 4 << 29 | 101) == 6 << 29 | 101
+    catalog.has_two_sources = False
     assert not catalog.is_behind(4 << 29 | 101)
 
 
@@ -711,7 +710,7 @@
     with open(path, "w") as file:
         file.write(text)
     until(lambda: proxy.sends_to() == {"e0", "e1", "e2", "e3"})
-    (row,) = {(r["generation"], r["digest"]) for r in command.ask(f"127.0.0.1:{port}")}
+    (row,) = {(r["generation"], r["digest"]) for r in fetch_client_status(f"127.0.0.1:{port}")}
     assert row == (3, server.members.membership.target.digest)
     loop.stop(proxy)
     server.stop()
--- a/tests/xds_service/instance.py
+++ b/tests/xds_service/instance.py
@@ -7,15 +7,22 @@
 from bench_free import SETTINGS
 
 from wickvane.net.service import parse_config
-from wickvane.xds import endpoint_snapshot, snapshot_store
-from wickvane.xds.control_plane import Hub, Nodes, Refused
+from wickvane.xds.control_plane import ControlPlane
+from wickvane.xds.encoder import ResponseEncoder
+from wickvane.xds.endpoint_snapshot import ExcessAction, RemovalLimit
+from wickvane.xds.errors import StreamProtocolError, StreamRejectedError
+from wickvane.xds.load_reports import LoadKey
+from wickvane.xds.log_events import to_log_record
+from wickvane.xds.messages import DeltaDiscoveryRequest, DiscoveryRequest, Variant
+from wickvane.xds.node_access import NodeAccess
 from wickvane.xds.placement import Placement
-from wickvane.xds.resources import Make
-from wickvane.xds.server import Encoder
-from wickvane.xds.stream import SOTW, Broken
+from wickvane.xds.resource_types import ResourceType
+from wickvane.xds.resources import ResourceBuilder
+from wickvane.xds.snapshot_store import decode_snapshot, encode_snapshot
 
 __all__ = ["SOTW", "Instance", "Rejection"]
 
+SOTW = Variant.SOTW.value
 GRACE = 20_000  # ticks
 SLOW_START = {"cold_from": 0.3, "cold_ms": 15_000.0, "fall_multiple": 2.5, "fall_ms": 3000.0}
 
@@ -66,69 +73,73 @@
     """The service's decisions behind plain calls."""
 
     def __init__(self, ttl: int, tables: int) -> None:
-        floor = endpoint_snapshot.Floor(0.4, 1, endpoint_snapshot.STEPS, 50_000)
-        self.hub = Hub(_placement(tables), Make(), GRACE, Nodes((), 20, 2), floor, ttl)
-        self.encode = Encoder(self.hub)
+        limit = RemovalLimit(0.4, 1, ExcessAction.REMOVE_IN_STEPS, 50_000)
+        access = NodeAccess((), 20, 2)
+        self.control_plane = ControlPlane(_placement(tables), ResourceBuilder(), GRACE, access, limit, ttl)
+        self.encoder = ResponseEncoder(self.control_plane.catalog)
         self.ttl = ttl
 
     def restarted_from_snapshot(self, now: int, ttl: int, tables: int) -> "Instance":
         fresh = Instance(ttl, tables)
-        fresh.hub.restore(now, snapshot_store.read(snapshot_store.written(self.hub.fleet)))
+        stored = encode_snapshot(self.control_plane.snapshot)
+        fresh.control_plane.restore(now, decode_snapshot(stored))
         return fresh
 
     def endpoint_event(self, now: int, index: int, is_complete: bool, entries: list[tuple]) -> None:
-        self.hub.listed(now, index, is_complete, entries)
+        self.control_plane.apply_endpoint_event(now, index, is_complete, entries)
 
     def tick(self, now: int) -> int | None:
-        return self.hub.tick(now)
+        return self.control_plane.tick(now)
 
     def change_tables(self, now: int, tables: int) -> None:
-        self.hub.settle(now, _placement(tables), Make())
+        self.control_plane.change_settings(now, _placement(tables), ResourceBuilder())
 
     def change_node_rules(self, rules: tuple) -> None:
-        self.hub.regroup(Nodes(rules, 20, 2))
+        self.control_plane.change_access(NodeAccess(rules, 20, 2))
 
     def open(self, now: int, variant: str, node: str) -> int:
         number = None
         try:
-            number = self.hub.opened(now, variant)
-            self.hub.named(number, node)
-        except Refused as error:
+            number = self.control_plane.open_stream(now, Variant(variant))
+            self.control_plane.identify(number, node)
+        except StreamRejectedError as error:
             if number is not None:
-                self.hub.closed(number)
+                self.control_plane.close_stream(number)
             raise Rejection(str(error)) from None
         return number
 
     def close(self, stream: int) -> None:
-        self.hub.closed(stream)
+        self.control_plane.close_stream(stream)
 
     def sotw_request(self, stream, now, kind, version, nonce, names, error) -> None:
-        try:
-            self.hub.sessions[stream].asked_sotw(now, kind, version, nonce, names, error)
-        except Broken as problem:
-            raise Rejection(str(problem)) from None
+        request = DiscoveryRequest(ResourceType(kind), version, nonce, names, error)
+        self._receive(stream, now, request)
 
     def delta_request(self, stream, now, kind, nonce, subscribe, unsubscribe, initial, error) -> None:
+        request = DeltaDiscoveryRequest(ResourceType(kind), nonce, subscribe, unsubscribe, initial, error)
+        self._receive(stream, now, request)
+
+    def _receive(self, stream: int, now: int, request: DiscoveryRequest | DeltaDiscoveryRequest) -> None:
         try:
-            self.hub.sessions[stream].asked_delta(now, kind, nonce, subscribe, unsubscribe, initial, error)
-        except Broken as problem:
+            self.control_plane.streams[stream].receive(now, request)
+        except StreamProtocolError as problem:
             raise Rejection(str(problem)) from None
 
     def last_nonce(self, stream: int, kind: int) -> str:
-        return self.hub.sessions[stream].kinds[kind].nonce
+        return self.control_plane.streams[stream].subscriptions[kind].last_nonce
 
-    def next_response(self, stream: int, now: int) -> Received | None:
-        session = self.hub.sessions[stream]
+    def next_response(self, number: int, now: int) -> Received | None:
+        stream = self.control_plane.streams[number]
         try:
-            response = self.hub.next(stream, now)
-        except Broken as problem:
+            response = self.control_plane.next_response(number, now)
+        except StreamProtocolError as problem:
             raise Rejection(str(problem)) from None
         if response is None:
             return None
         kind, nonce, version, names, removed, drain, heartbeat = response
-        entries = self.hub.catalog.entries[kind]
-        bodies = blake2b(b"".join(entries[name].body for name in names), digest_size=8).hexdigest()
-        wire = self.encode(session.variant, response, session.ttl)
+        resources = self.control_plane.catalog.resources[kind]
+        bodies = blake2b(b"".join(resources[name].body for name in names), digest_size=8).hexdigest()
+        wire = self.encoder.encode(stream.variant, response, stream.ttl)
         wire_hash = blake2b(wire, digest_size=8).hexdigest()
         described = (
             int(kind),
@@ -142,25 +153,26 @@
             len(wire),
             wire_hash,
         )
-        versions = {name: entries[name].version for name in names}
+        versions = {name: resources[name].version for name in names}
         return Received(int(kind), nonce, version, versions, removed, heartbeat, described)
 
     def next_response_time(self, stream: int, now: int) -> int | None:
-        return self.hub.sessions[stream].next_at(now)
+        return self.control_plane.streams[stream].next_response_time(now)
 
     def log_events(self) -> list[tuple]:
-        return self.hub.told()
+        return [to_log_record(event) for event in self.control_plane.take_log_events()]
 
     def take_ready(self) -> list[int]:
-        ready = sorted(self.hub.ready)
-        self.hub.ready.clear()
+        ready = sorted(self.control_plane.ready_streams)
+        self.control_plane.ready_streams.clear()
         return ready
 
-    def report_load(self, now, node, cluster, engine, done, errors, in_flight) -> None:
-        self.hub.loaded(now, node, cluster, engine, done, errors, in_flight)
+    def report_load(self, now, node, cluster, endpoint, done, errors, in_flight) -> None:
+        key = LoadKey(node, cluster, endpoint)
+        self.control_plane.report_load(now, key, done, errors, in_flight)
 
     def load(self, now: int) -> float | None:
-        return self.hub.load(now)
+        return self.control_plane.requests_in_progress(now)
 
     def status(self, now: int) -> str:
-        return orjson.dumps(self.hub.status(now), option=orjson.OPT_SORT_KEYS).decode()
+        return orjson.dumps(self.control_plane.status(now), option=orjson.OPT_SORT_KEYS).decode()
--- a/tests/xds_service/test_service.py
+++ b/tests/xds_service/test_service.py
@@ -19,8 +19,9 @@
 from test_rehearsal import ROOT
 
 from wickvane import parts
-from wickvane.xds import command, snapshot_store
+from wickvane.xds.command import fetch_client_status
 from wickvane.xds.server import Server
+from wickvane.xds.snapshot_store import FILE_NAME, load_snapshot
 
 COLD = SETTINGS | {
     "obligations": SETTINGS["obligations"]
@@ -147,11 +148,11 @@
     assert "good" not in late and "mad1" in late and time.monotonic() - told < 2.0 + 0.5
     for n in range(20):
         control.tell(one(100 + n))
-    until(lambda: control.server.hub.fleet.index == control.index)
-    rows = {(row["node"], row["type"]): row for row in command.ask(f"127.0.0.1:{control.port}")}
+    until(lambda: control.server.control_plane.snapshot.index == control.index)
+    rows = {(row["node"], row["type"]): row for row in fetch_client_status(f"127.0.0.1:{control.port}")}
     assert rows["mad0", "CDS"]["state"] == "ERROR" and "takes nothing" in rows["mad0", "CDS"]["why"]
     place = f"127.0.0.1:{control.port}"
-    until(lambda: {row["state"] for row in command.ask(place) if row["node"] == "good"} == {"SYNCED"})
+    until(lambda: {row["state"] for row in fetch_client_status(place) if row["node"] == "good"} == {"SYNCED"})
     for proxy in (good, *mad):
         loop.stop(proxy)
     control.stop()
@@ -168,11 +169,13 @@
     until(lambda: "e2" in proxy.sends_to())
     loop.stop(proxy)  # it is cut off while the drain is told
     control.tell(one(2, "Terminating"))
-    until(lambda: os.path.exists(tmp_path / snapshot_store.NAME) and snapshot_store.load(tmp_path).index == 2)
+    until(lambda: os.path.exists(tmp_path / FILE_NAME) and load_snapshot(tmp_path).index == 2)
     control.stop()
     control.coordinator.end()
     fresh = Control(more=more, events=control.coordinator, known=[], port=control.port)
-    assert fresh.server.hub.fleet.old and until(lambda: fresh.logged("list-from-snapshot"))
+    assert fresh.server.control_plane.snapshot.is_restored and until(
+        lambda: fresh.logged("list-from-snapshot")
+    )
     again = loop.start(proxy, fresh.port)
     began = time.monotonic()
     until(lambda: "e2" not in again.sends_to())
@@ -180,13 +183,13 @@
     loop.stop(again)
     fresh.stop()
     # One whose snapshot is spoilt, with no coordinator, tells nothing rather than an empty list.
-    path = tmp_path / snapshot_store.NAME
+    path = tmp_path / FILE_NAME
     path.write_bytes(path.read_bytes()[:-3])
     empty = Control(more=more, events=control.coordinator, known=[])
     other = loop.start(Proxy("other", variant), empty.port)
     time.sleep(0.3)
     assert until(lambda: empty.logged("snapshot-unreadable"))
-    assert not other.held[CDS] and not empty.server.hub.served
+    assert not other.held[CDS] and not empty.server.control_plane.is_serving
     loop.stop(other)
     empty.stop()
 
@@ -202,7 +205,7 @@
     loop.start(proxy, older.port)
     until(lambda: older.logged("proxy-ahead"))
     time.sleep(0.2)
-    assert "e3" not in proxy.sends_to() and older.server.hub.fleet.index == 1
+    assert "e3" not in proxy.sends_to() and older.server.control_plane.snapshot.index == 1
     older.tell(one(3, "Terminating"))
     older.tell(one(9))
     until(lambda: "e9" in proxy.sends_to())
@@ -281,7 +284,7 @@
 
 
 def test_hostile_streams_cost_their_own_and_a_first_word_is_waited_for_in_time(loop, monkeypatch):
-    monkeypatch.setattr("wickvane.xds.server.FIRST_S", 0.3)
+    monkeypatch.setattr("wickvane.xds.services.FIRST_REQUEST_TIMEOUT_S", 0.3)
     control = Control(more=MORE + "streams 20\n streams-a-node 2")
     good = loop.start(Proxy("good"), control.port)
     until(lambda: good.sends_to())
@@ -308,7 +311,7 @@
     until(lambda: sum(proxy.ended is not None for proxy in many) >= 2)
     control.tell(one(1, "Terminating"))
     until(lambda: "e1" not in good.sends_to())
-    until(lambda: len(control.server.hub.sessions) <= 3)
+    until(lambda: len(control.server.control_plane.streams) <= 3)
     for proxy in (good, *many):
         loop.stop(proxy)
     control.stop()
@@ -393,7 +396,9 @@
         stderr=subprocess.PIPE,
         env=os.environ | {"GRPC_XDS_BOOTSTRAP_CONFIG": json.dumps(bootstrap)},
     )
-    until(lambda: any(s.node == "grpc-client" for s in list(control.server.hub.sessions.values())), 20)
+    until(
+        lambda: any(s.node == "grpc-client" for s in list(control.server.control_plane.streams.values())), 20
+    )
     time.sleep(1.5)
     drained = time.time()
     control.tell(one(1, "Terminating", port=engines[1].port))
@@ -452,7 +457,7 @@
     ],
 )
 def test_a_document_that_cannot_be_used_says_why(text, words):
-    assert parts.read(os.path.join(ROOT, "deploy", "control.kdl"))["control"].tables == 100
+    assert parts.read(os.path.join(ROOT, "deploy", "control.kdl"))["control"].table_groups == 100
     with pytest.raises(parts.Unusable, match=words):
         parts.read_text(text)
 
@@ -523,7 +528,7 @@
     until(lambda: control.logged("coordinator-connection-ended"))
     for _ in range(10):
         control.server.clock.zero += 60 * 10_000  # as if a minute had passed
-        control.server.loop.call_soon_threadsafe(control.server.tick_later)
+        control.server.loop.call_soon_threadsafe(control.server.tick)
         time.sleep(0.05)
     fresh = loop.start(Proxy("fresh", "sotw"), control.port)
     until(lambda: len(fresh.sends_to()) == 5)
--- a/tests/xds_service/test_snapshot_store.py
+++ b/tests/xds_service/test_snapshot_store.py
@@ -1,21 +1,53 @@
-"""The snapshot of the endpoint list on disk: one that the version before wrote is read."""
+"""The endpoint snapshot on disk: damaged files, and a file that the version before wrote."""
 
 import shutil
 from pathlib import Path
 
-from wickvane.xds import snapshot_store
+import pytest
+
+from wickvane.events import EngineState
+from wickvane.xds.endpoint_snapshot import (
+    EndpointSnapshot,
+    RemovalLimit,
+    apply_event,
+)
+from wickvane.xds.errors import SnapshotError
+from wickvane.xds.snapshot_store import decode_snapshot, encode_snapshot, load_snapshot, save_snapshot
+from xds_service.plain_proxy import (
+    entry,
+)
 
 STORED = Path(__file__).parent.parent / "data/xds-snapshot-c5b2902"
 
 
 def test_a_snapshot_of_the_version_before_is_read(tmp_path):
     shutil.copy(STORED / "list.wickvane", tmp_path)
-    found = snapshot_store.load(str(tmp_path))
-    assert found.old and found.index == 7
-    assert {name: tuple(engine) for name, engine in found.engines.items()} == {
+    found = load_snapshot(str(tmp_path))
+    assert found.is_restored and found.index == 7
+    assert {name: tuple(endpoint) for name, endpoint in found.endpoints.items()} == {
         "e0": ("e0", ("10.0.0.1", 7001), 0, "a", "std", 0, 17_000_000_000_000, 1.0, 7, 0),
         "e1": ("e1", ("10.0.0.2", 7002), 0, "b", "big", 3, 0, 0.5, 5, 0),
         "e3": ("e3", ("10.0.0.4", 7004), 0, "b", "big", 3, 0, 0.5, 5, 0),
     }
-    assert dict(found.gone) == {"e2": (6, 17_000_000_005_000)}
+    assert dict(found.removed) == {"e2": (6, 17_000_000_005_000)}
     assert dict(found.missing) == {"e1": 17_000_000_620_000, "e3": 17_000_000_620_000}
+
+
+def test_truncated_or_corrupt_snapshot_is_an_error_and_a_complete_one_is_read(tmp_path):
+    floor = RemovalLimit()
+    found, _ = apply_event(EndpointSnapshot(), 0, 1, True, [entry(f"e{n}") for n in range(4)], floor)
+    found, _ = apply_event(
+        found, 7, 2, False, [entry("e1", EngineState.DRAINING), entry("e2", EngineState.GONE)], floor
+    )
+    save_snapshot(tmp_path, found)
+    back = load_snapshot(tmp_path)
+    assert back == found._replace(is_restored=True)
+    back, _ = apply_event(back, 9, 3, False, [entry("e1"), entry("e2")], floor)
+    assert sorted(e.name for e in back.ready()) == ["e0", "e3"] and not back.is_restored
+    data = encode_snapshot(found)
+    for at in range(len(data)):
+        with pytest.raises(SnapshotError):
+            decode_snapshot(data[:at])
+        with pytest.raises(SnapshotError):
+            decode_snapshot(data[:at] + bytes((data[at] ^ 1,)) + data[at + 1 :])
+    assert load_snapshot(tmp_path / "none") is None
--- a/wickvane/xds/catalog.py
+++ b/wickvane/xds/catalog.py
@@ -1,148 +1,169 @@
-"""All resources as they are now, by type and name, with their versions; free of I/O.
-
-A version follows from the content: instances that know the same list tell the same, and so does one that
-was restarted. Ahead of the digest stands the index of the newest event of the list that the resource follows
-from, so that older content can be told from newer where a proxy comes from another instance.
-
-    EPOCH.INDEX.DIGEST      lists that are numbered anew get another epoch; across epochs nothing is older
-"""
+"""All resources as they are now, by type and name, with their versions; free of I/O."""
 
 from collections import deque
+from collections.abc import Collection, Iterable, Mapping
 from hashlib import blake2b
 from typing import NamedTuple
 
 from immutables import Map
 
-CDS, EDS, LDS, RDS = range(4)
-TYPES = (
-    "type.googleapis.com/envoy.config.cluster.v3.Cluster",
-    "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
-    "type.googleapis.com/envoy.config.listener.v3.Listener",
-    "type.googleapis.com/envoy.config.route.v3.RouteConfiguration",
-)
-NUMBER = {url: n for n, url in enumerate(TYPES)}
-WORDS = ("CDS", "EDS", "LDS", "RDS")
-SOURCE_BITS = 29  # of an index: the coordinator's number, below that of watched files
-LOG_MOST = 4096  # changes looked up one by one; whoever is further behind looks at all
-
+from wickvane.xds.resource_types import ResourceType
+from wickvane.xds.resource_version import DIGEST_BYTES, ResourceVersion, digest_of, parse_version
 
-class Entry(NamedTuple):
-    """at: generation of its last change; drained: generation of the last one that took an engine from it."""
+STREAM_INDEX_BITS = 29  # of an index: the coordinator's number, below that of watched files
+MAX_CHANGE_LOG = 4096  # changes a type; a stream that is further behind compares all resources
 
-    version: str
-    body: bytes
-    at: int
-    drained: int
 
+class CachedResource(NamedTuple):
+    """A resource as it is now.
 
-def digest(body):
-    return blake2b(body, digest_size=8).hexdigest()
+    changed_at: generation of its last change; drained_at: of the last one that took an endpoint from it.
+    """
 
-
-def version(epoch, index, mark):
-    return f"{epoch}.{index}.{mark}"
+    version: str
+    body: bytes
+    changed_at: int
+    drained_at: int
 
 
-def read_version(text):
-    """(epoch, index, digest) of a version, None of anything else."""
-    parts = text.split(".")
-    if len(parts) != 3 or not parts[1].isascii() or not parts[1].isdigit() or len(parts[1]) > 19:
-        return None
-    return parts[0], int(parts[1]), parts[2]
+class _Change(NamedTuple):
+    generation: int
+    name: str
 
 
 class Catalog:
-    """generation: grows by one with each set of changes; index: of the list that all of it follows from;
-    parted: it tells of two sources at once, see parts_of()."""
-
-    def __init__(self, epoch="0"):
-        self.epoch, self.index, self.generation, self.parted = epoch, 0, 0, False
-        self.entries = [Map() for _ in TYPES]
-        self.log = [deque() for _ in TYPES]  # (generation, name), of what lies in it
-        self.whole_since = [0] * len(TYPES)  # generations up to this are no longer in the log
-        self.named = [0] * len(TYPES)  # how often names came or went
-        self.wholes = {}
-
-    def parts_of(self, index):
-        """What an index says of each source. Where files override what a coordinator lists, one instance may
-        be ahead by the file and another by the stream, and neither list is the newer one."""
-        return divmod(index, 1 << SOURCE_BITS) if self.parted else (index,)
-
-    def is_behind(self, index):
-        """Whether that index knows of something that this one does not."""
-        return any(theirs > ours for theirs, ours in zip(self.parts_of(index), self.parts_of(self.index)))
-
-    def joined(self, one, other):
+    """The resources of all types.
+
+    generation: grows by one with each set of changes; index: of the endpoint event that all of it follows
+    from; has_two_sources: the index combines those of a coordinator and of watched files.
+    """
+
+    def __init__(self, epoch: str = "0") -> None:
+        self.epoch = epoch
+        self.index = 0
+        self.generation = 0
+        self.has_two_sources = False
+        self.resources: list[Map] = [Map() for _ in ResourceType]
+        self.name_changes = [0 for _ in ResourceType]  # how often names came or went
+        self._change_logs: list[deque[_Change]] = [deque() for _ in ResourceType]
+        self._forgotten_generations = [0 for _ in ResourceType]  # up to this, changes are not in the log
+        self._type_versions: dict[tuple[ResourceType, frozenset[str]], str] = {}
+
+    def _source_indexes(self, index: int) -> tuple[int, ...]:
+        """The index of each source. Where files override what a coordinator lists, one instance may be ahead
+        by the file and another by the stream, and neither list is the newer one."""
+        return divmod(index, 1 << STREAM_INDEX_BITS) if self.has_two_sources else (index,)
+
+    def is_behind(self, index: int) -> bool:
+        """Whether a list of that index knows of an event that this one does not."""
+        theirs = self._source_indexes(index)
+        ours = self._source_indexes(self.index)
+        return any(their_index > our_index for their_index, our_index in zip(theirs, ours))
+
+    def merged_index(self, one: int, other: int) -> int:
         """The least index that is behind neither of two."""
-        if not self.parted:
+        if not self.has_two_sources:
             return max(one, other)
-        (a, b), (c, d) = self.parts_of(one), self.parts_of(other)
-        return max(a, c) << SOURCE_BITS | max(b, d)
-
-    def put(self, index, bodies, removed=(), drained=frozenset()):
-        """bodies: {type: {name: body}}; removed: (type, name) each; drained: names of EDS that lost an
-        engine. Whether anything is other than it was."""
+        (one_file, one_stream), (other_file, other_stream) = (
+            self._source_indexes(one),
+            self._source_indexes(other),
+        )
+        return max(one_file, other_file) << STREAM_INDEX_BITS | max(one_stream, other_stream)
+
+    def update(
+        self,
+        index: int,
+        bodies: Mapping[ResourceType, Mapping[str, bytes]],
+        removed: Iterable[tuple[ResourceType, str]] = (),
+        drained: Collection[str] = frozenset(),
+    ) -> bool:
+        """Takes in encoded resources; whether anything differs from before.
+
+        drained: names of EDS resources that lost an endpoint to a drain.
+        """
         self.index = max(self.index, index)
-        self.wholes.clear()
-        generation, any_change = self.generation + 1, False
-        for kind, found in bodies.items():
-            with self.entries[kind].mutate() as table:
-                for name in sorted(found):
-                    body = found[name]
-                    before = table.get(name)
-                    if before is not None and before.body == body:
-                        continue
-                    self.named[kind] += before is None
-                    at = index if kind == EDS else 0  # others follow from the settings alone
-                    drains = generation if name in drained else before.drained if before else 0
-                    table[name] = Entry(version(self.epoch, at, digest(body)), body, generation, drains)
-                    self.noted(kind, generation, name)
-                    any_change = True
-                self.entries[kind] = table.finish()
-        for kind, name in removed:
-            if name in self.entries[kind]:
-                self.entries[kind] = self.entries[kind].delete(name)
-                self.named[kind] += 1
-                self.noted(kind, generation, name)
-                any_change = True
-        self.generation += any_change
-        return any_change
-
-    def noted(self, kind, generation, name):
-        log = self.log[kind]
-        log.append((generation, name))
-        while len(log) > LOG_MOST:
-            self.whole_since[kind] = log.popleft()[0]
-
-    def changed_since(self, kind, generation):
+        self._type_versions.clear()
+        generation = self.generation + 1
+        has_changed = False
+        for resource_type, found in bodies.items():
+            resource_index = index if resource_type == ResourceType.EDS else 0  # others follow from settings
+            if self._update_type(resource_type, resource_index, generation, found, drained):
+                has_changed = True
+        for resource_type, name in removed:
+            if name in self.resources[resource_type]:
+                self.resources[resource_type] = self.resources[resource_type].delete(name)
+                self.name_changes[resource_type] += 1
+                self._log_change(resource_type, generation, name)
+                has_changed = True
+        self.generation += has_changed
+        return has_changed
+
+    def _update_type(
+        self,
+        resource_type: ResourceType,
+        index: int,
+        generation: int,
+        bodies: Mapping[str, bytes],
+        drained: Collection[str],
+    ) -> bool:
+        has_changed = False
+        table = self.resources[resource_type].mutate()
+        for name in sorted(bodies):
+            body = bodies[name]
+            before = table.get(name)
+            if before is not None and before.body == body:
+                continue
+            self.name_changes[resource_type] += before is None
+            version = str(ResourceVersion(self.epoch, index, digest_of(body)))
+            if name in drained:
+                drained_at = generation
+            else:
+                drained_at = before.drained_at if before else 0
+            table[name] = CachedResource(version, body, generation, drained_at)
+            self._log_change(resource_type, generation, name)
+            has_changed = True
+        self.resources[resource_type] = table.finish()
+        return has_changed
+
+    def _log_change(self, resource_type: ResourceType, generation: int, name: str) -> None:
+        log = self._change_logs[resource_type]
+        log.append(_Change(generation, name))
+        while len(log) > MAX_CHANGE_LOG:
+            self._forgotten_generations[resource_type] = log.popleft().generation
+
+    def changed_since(self, resource_type: ResourceType, generation: int) -> Collection[str] | None:
         """Names that changed after a generation, None where that is too long ago to tell."""
         if generation >= self.generation:
             return ()
-        if generation < self.whole_since[kind] or generation == 0:
+        if generation < self._forgotten_generations[resource_type] or generation == 0:
             return None
         found = set()
-        for at, name in reversed(self.log[kind]):
-            if at <= generation:
+        for change in reversed(self._change_logs[resource_type]):
+            if change.generation <= generation:
                 break
-            found.add(name)
+            found.add(change.name)
         return found
 
-    def whole_version(self, kind, names):
-        """Of a whole type in the state of the world, for these names (a frozenset): the list's index and a
-        digest of all. Worked out once for all streams that ask for the same."""
-        found = self.wholes.get((kind, names))
+    def type_version(self, resource_type: ResourceType, names: frozenset[str]) -> str:
+        """The version of a state-of-the-world response with these names: the newest index, and a digest of
+        all. Computed once for all streams that subscribe to the same."""
+        key = resource_type, names
+        found = self._type_versions.get(key)
         if found is None:
-            found = self.wholes[kind, names] = self.made_whole(kind, names)
+            found = self._compute_type_version(resource_type, names)
+            self._type_versions[key] = found
         return found
 
-    def made_whole(self, kind, names):
-        entries, newest = self.entries[kind], 0
-        made = blake2b(digest_size=8)
+    def _compute_type_version(self, resource_type: ResourceType, names: frozenset[str]) -> str:
+        resources = self.resources[resource_type]
+        newest_index = 0
+        content = blake2b(digest_size=DIGEST_BYTES)
         for name in sorted(names):
-            entry = entries.get(name)
-            if entry is not None:
-                _, at, mark = read_version(entry.version)
-                newest = max(newest, at)
-                made.update(f"{name}={mark}\n".encode())
-        # The list as a whole is as new as its newest event, whichever of the resources that touched.
-        return version(self.epoch, self.index if kind == EDS else newest, made.hexdigest())
+            resource = resources.get(name)
+            if resource is not None:
+                version = parse_version(resource.version)
+                newest_index = max(newest_index, version.index)
+                content.update(f"{name}={version.digest}\n".encode())
+        # An endpoint list is as new as its newest event, whichever of the resources that changed.
+        index = self.index if resource_type == ResourceType.EDS else newest_index
+        return str(ResourceVersion(self.epoch, index, content.hexdigest()))
--- a/wickvane/xds/command.py
+++ b/wickvane/xds/command.py
@@ -2,74 +2,92 @@
 
 import json
 import sys
+from pathlib import Path
+from typing import Any, TextIO
 
 import grpc
 from envoy.service.status.v3 import csds_pb2
 from google.protobuf.json_format import MessageToDict
 
-from wickvane.xds.catalog import NUMBER, WORDS
+from wickvane.xds.resource_types import RESOURCE_TYPE_BY_URL, ResourceType
 
-WAIT_S = 5.0
+TIMEOUT_S = 5.0
+METHOD = "/envoy.service.status.v3.ClientStatusDiscoveryService/FetchClientStatus"
+TLS_FILE_COUNT = 3  # authority, certificate, key
+DEFAULT_WIDTH = 160  # characters, where the output is no terminal
+COLUMNS = ("node", "type", "version", "state", "lag_ms", "sent", "refused", "late", "why")
+FILE_COLUMNS = ("generation", "digest")  # where the endpoint list is from watched files
+FILE_COLUMNS_AFTER = "state"
 
 
-def ask(address, tls=None):
-    """A row a node and type, of what the service at `address` says. Raises OSError where it says nothing."""
-    if tls:
-        read = []
-        for path in tls.split(","):
-            with open(path, "rb") as file:
-                read.append(file.read())
-        if len(read) != 3:
-            raise OSError("--tls wants three files")
-        channel = grpc.secure_channel(address, grpc.ssl_channel_credentials(read[0], read[2], read[1]))
-    else:
-        channel = grpc.insecure_channel(address)
-    with channel:
+def fetch_client_status(address: str, tls: str | None = None) -> list[dict[str, Any]]:
+    """A row for each node and resource type, from the service at the address.
+
+    tls: paths of authority, certificate and key, with commas between. Raises OSError without an answer.
+    """
+    with _open_channel(address, tls) as channel:
         call = channel.unary_unary(
-            "/envoy.service.status.v3.ClientStatusDiscoveryService/FetchClientStatus",
+            METHOD,
             csds_pb2.ClientStatusRequest.SerializeToString,
             csds_pb2.ClientStatusResponse.FromString,
         )
         try:
-            found = call(csds_pb2.ClientStatusRequest(), timeout=WAIT_S)
+            response = call(csds_pb2.ClientStatusRequest(), timeout=TIMEOUT_S)
         except grpc.RpcError as error:
             raise OSError(f"{error.code().name}: {error.details()}") from None
-    rows = []
-    for one in found.config:
-        more = MessageToDict(one.node.metadata)
-        for state in one.generic_xds_configs:
-            rows.append(
-                {
-                    "node": one.node.id,
-                    "type": WORDS[NUMBER[state.type_url]],
-                    "version": state.version_info,
-                    "state": csds_pb2.ConfigStatus.Name(state.config_status),
-                    **more,
-                    "why": state.error_state.details,
-                }
-            )
-    return rows
-
-
-def status(address, tls, as_json, out=sys.stdout):
+    return [row for config in response.config for row in _rows(config)]
+
+
+def _open_channel(address: str, tls: str | None) -> grpc.Channel:
+    if not tls:
+        return grpc.insecure_channel(address)
+    contents = [Path(path).read_bytes() for path in tls.split(",")]
+    if len(contents) != TLS_FILE_COUNT:
+        raise OSError("--tls wants three files")
+    authority, certificate, key = contents
+    return grpc.secure_channel(address, grpc.ssl_channel_credentials(authority, key, certificate))
+
+
+def _rows(config: csds_pb2.ClientConfig) -> list[dict[str, Any]]:
+    metadata = MessageToDict(config.node.metadata)
+    return [
+        {
+            "node": config.node.id,
+            "type": RESOURCE_TYPE_BY_URL[state.type_url].name,
+            "version": state.version_info,
+            "state": csds_pb2.ConfigStatus.Name(state.config_status),
+            **metadata,
+            "why": state.error_state.details,
+        }
+        for state in config.generic_xds_configs
+    ]
+
+
+def status(address: str, tls: str | None, as_json: bool, out: TextIO = sys.stdout) -> int:
+    """Prints the status of all proxies; the exit code."""
     try:
-        rows = ask(address, tls)
+        rows = fetch_client_status(address, tls)
     except OSError as error:
         print(f"wickvane: the control service at {address}: {error}", file=sys.stderr)
         return 1
     if as_json:
         out.write(json.dumps(rows) + "\n")
-        return 0
+    else:
+        _print_table(rows, out)
+    return 0
+
+
+def _print_table(rows: list[dict[str, Any]], out: TextIO) -> None:
     from rich.console import Console
     from rich.table import Table
 
-    table = Table(title=f"{len({row['node'] for row in rows})} nodes")
-    columns = ["node", "type", "version", "state", "lag_ms", "sent", "refused", "late", "why"]
+    columns = list(COLUMNS)
     if any("generation" in row for row in rows):
-        columns[4:4] = ["generation", "digest"]
+        position = columns.index(FILE_COLUMNS_AFTER) + 1
+        columns[position:position] = FILE_COLUMNS
+    table = Table(title=f"{len({row['node'] for row in rows})} nodes")
     for column in columns:
         table.add_column(column)
-    for row in sorted(rows, key=lambda row: (row["node"], WORDS.index(row["type"]))):
+    for row in sorted(rows, key=lambda row: (row["node"], ResourceType[row["type"]])):
         table.add_row(*(str(row.get(column, "")) for column in columns))
-    Console(file=out, width=None if out.isatty() else 160).print(table)
-    return 0
+    Console(file=out, width=None if out.isatty() else DEFAULT_WIDTH).print(table)
--- a/wickvane/xds/control_plane.py
+++ b/wickvane/xds/control_plane.py
@@ -1,265 +1,346 @@
-"""All streams together: what an event of the list brings about, whose turn it is, who is late; free of I/O.
+"""All discovery streams of one instance and what they are served: endpoint events in, responses out; free of
+I/O.
 
-The shell hands in events and takes from `ready` the streams that may have something to send. Times are tenths
-of a millisecond.
+The shell takes from `ready_streams` the streams that may have something to send. Times are ticks.
 """
 
-from fnmatch import fnmatchcase
-from typing import NamedTuple
-
-from wickvane.xds import endpoint_snapshot
-from wickvane.xds.catalog import CDS, EDS, LDS, RDS, Catalog
-from wickvane.xds.stream import Session
-
-RETIRE = 50_000  # what is no longer wanted is kept so long at most for those who do not acknowledge
-LATE_MOST = 100_000  # a proxy later than that holds back no engine's warm-up; its end of drains is its TTL's
-LATE_FADES = 600_000
-LOADS_FRESH = 300_000  # a proxy that has not reported since says nothing of now
-LOADS_MOST = 20_000  # (node, cluster, engine) of which loads are kept
+from collections.abc import Collection, Iterable
+from dataclasses import dataclass
+from typing import Any, NamedTuple
+
+from wickvane.units import to_milliseconds
+from wickvane.xds.catalog import Catalog
+from wickvane.xds.endpoint_snapshot import (
+    DEFAULT_REMOVAL_LIMIT,
+    EndpointSnapshot,
+    RemovalLimit,
+    apply_event,
+    next_removal_time,
+    remove_overdue,
+)
+from wickvane.xds.errors import StreamRejectedError
+from wickvane.xds.load_reports import LoadKey, LoadReports
+from wickvane.xds.log_events import LogEvent, OnStream, SnapshotRestored
+from wickvane.xds.messages import DiscoveryResponse, Variant
+from wickvane.xds.node_access import DEFAULT_NODE_ACCESS, MAX_NODE_CHARACTERS, NodeAccess
+from wickvane.xds.placement import Placement
+from wickvane.xds.resource_types import ResourceType
+from wickvane.xds.resources import ResourceBuilder
+from wickvane.xds.stream import DiscoveryStream
+
+RETIREMENT_TIME = 50_000  # ticks; obsolete resources stay no longer for streams that do not acknowledge
+RETIREMENT_POLL = 1_000  # ticks
+MAX_ACK_LATENCY = 100_000  # ticks; a slower proxy holds back no slow start, and its endpoints' TTL ends
+ACK_LATENCY_DECAY = 600_000  # ticks
+
+
+@dataclass(slots=True)
+class ControlPlaneCounters:
+    """What an instance has done since its start."""
+
+    endpoint_events: int = 0
+    updates: int = 0
+    drains: int = 0
+    streams: int = 0
+    streams_rejected: int = 0
+    load_reports: int = 0
+
+    def counts(self) -> dict[str, int]:
+        """The counts by the names that the log has."""
+        return {
+            "list-events": self.endpoint_events,
+            "updates": self.updates,
+            "drains": self.drains,
+            "streams": self.streams,
+            "streams-refused": self.streams_rejected,
+            "loads": self.load_reports,
+        }
 
 
-class Nodes(NamedTuple):
-    """Who may have what. groups: resource groups by patterns of node names, None: all; first match counts."""
+@dataclass(slots=True)
+class AckLatency:
+    """The latency of the slowest proxy, which decays once that proxy is faster or gone."""
 
-    rules: tuple = ()
-    streams_most: int = 1000
-    a_node_most: int = 4
+    latency: int = 0
+    measured_at: int = 0
 
-    def groups_of(self, node):
-        """The resource groups of a node: None for all, () for a node that nobody knows."""
-        if not self.rules:
-            return None
-        return next((groups for pattern, groups in self.rules if fnmatchcase(node, pattern)), ())
+    def observe(self, now: int, slowest: int) -> float:
+        """Takes in the slowest of all streams; the latency to reckon with, in ticks."""
+        decayed = self.latency * max(0.0, 1 - (now - self.measured_at) / ACK_LATENCY_DECAY)
+        bounded = min(MAX_ACK_LATENCY, slowest)
+        if slowest >= decayed:
+            self.latency = bounded
+            self.measured_at = now
+        return max(bounded, decayed)
 
 
-NOBODY_ELSE = Nodes()
+class Retirement(NamedTuple):
+    """Obsolete resources, which go once no routes name them, or at that time."""
 
+    until: int
+    resources: list[tuple[ResourceType, str]]
 
-class Refused(Exception):
-    """A stream that is not taken."""
 
+class ControlPlane:
+    """One instance's decisions.
 
-class Hub:
-    """make: what turns placement into bodies, by type (wickvane.xds.resources); site: the settings'
-    Deployment."""
+    resource_builder: encodes what the placement holds; grace: ticks within which proxies must have a drain;
+    ttl: time to live of endpoints in ticks, 0 for none; epoch: of the endpoint lists' numbering.
+    """
 
     def __init__(
-        self, placement, make, grace, nodes=NOBODY_ELSE, floor=endpoint_snapshot.FLOOR, ttl=0, epoch="0"
-    ):
-        self.placement, self.make, self.grace, self.nodes = placement, make, grace, nodes
-        self.floor, self.ttl, self.fleet = floor, ttl, endpoint_snapshot.Fleet()
-        self.catalog, self.sessions, self.numbers = Catalog(epoch), {}, 0
-        self.ready, self.turns, self.retiring = set(), [], None
-        self.counts = dict.fromkeys(
-            ("list-events", "updates", "drains", "streams", "streams-refused", "loads"), 0
+        self,
+        placement: Placement,
+        resource_builder: ResourceBuilder,
+        grace: int,
+        access: NodeAccess = DEFAULT_NODE_ACCESS,
+        removal_limit: RemovalLimit = DEFAULT_REMOVAL_LIMIT,
+        ttl: int = 0,
+        epoch: str = "0",
+    ) -> None:
+        self.placement = placement
+        self.removal_limit = removal_limit
+        self.snapshot = EndpointSnapshot()
+        self.catalog = Catalog(epoch)
+        self.streams: dict[int, DiscoveryStream] = {}
+        self.ready_streams: set[int] = set()
+        self.is_serving = False  # resources have been published
+        self.retirement: Retirement | None = None
+        self._resource_builder = resource_builder
+        self._grace = grace
+        self._access = access
+        self._ttl = ttl
+        self._last_stream = 0
+        self._log_events: list[LogEvent] = []
+        self._counters = ControlPlaneCounters()
+        self._ack_latency = AckLatency()
+        self._load_reports = LoadReports()
+
+    # endpoints
+
+    def apply_endpoint_event(
+        self,
+        now: int,
+        index: int,
+        is_complete: bool,
+        entries: Iterable[tuple],
+        readmitted: Collection[str] = (),
+    ) -> None:
+        """Takes in an event of the endpoint list (wickvane.xds.endpoint_snapshot.apply_event)."""
+        self._counters.endpoint_events += 1
+        snapshot, events = apply_event(
+            self.snapshot, now, index, is_complete, entries, self.removal_limit, readmitted
         )
-        self.late, self.late_at, self.loads, self.served = 0, 0, {}, False
-
-    # The list
-
-    def listed(self, now, index, whole, entries, back=()):
-        """An event of the list."""
-        self.counts["list-events"] += 1
-        self.follow(now, *endpoint_snapshot.changed(self.fleet, now, index, whole, entries, self.floor, back))
-
-    def restore(self, now, fleet):
-        """A list from a snapshot, before any event."""
-        if fleet.index > self.fleet.index:
-            self.follow(
-                now, fleet, [("list-from-snapshot", {"index": fleet.index, "engines": len(fleet.engines)})]
+        self._log_events += events
+        self._take_snapshot(now, snapshot)
+
+    def restore(self, now: int, snapshot: EndpointSnapshot) -> None:
+        """Takes in a stored snapshot, before any event."""
+        if snapshot.index > self.snapshot.index:
+            self._log_events.append(SnapshotRestored(snapshot.index, len(snapshot.endpoints)))
+            self._take_snapshot(now, snapshot)
+
+    def _take_snapshot(self, now: int, snapshot: EndpointSnapshot) -> None:
+        self.snapshot = snapshot
+        self._publish(*self.placement.update(now, snapshot))
+
+    def _publish(self, changed: Collection[str], drained: Collection[str]) -> None:
+        """Encodes changed clusters' endpoints; drained: those that lost an endpoint to a drain."""
+        if not self.is_serving and not self.snapshot.ready():
+            return  # an instance that has just started sends no empty list
+        bodies = {}
+        if not self.is_serving:
+            self.is_serving = True
+            changed = self.placement.cluster_names()
+            bodies = self._resource_builder.build_static(self.placement)
+        bodies[ResourceType.EDS] = self._build_assignments(self._resource_builder, self.placement, changed)
+        # The index of endpoint resources is the list's, also where only weights have changed.
+        if self.catalog.update(self.snapshot.index, bodies, drained=drained):
+            self._counters.updates += 1
+            self._counters.drains += bool(drained)
+            self.ready_streams.update(self.streams)
+        else:
+            # Only the index has changed: streams whose proxies were ahead of this instance look again.
+            self.ready_streams.update(
+                number for number, stream in self.streams.items() if stream.endpoints.newer_index is not None
             )
 
-    def follow(self, now, fleet, notes):
-        self.turns += notes
-        self.fleet = fleet
-        changed, drained = self.placement.list(now, fleet)
-        self.put(changed, drained)
-
-    def put(self, changed, drained):
-        if not self.served and not self.fleet.ready():
-            return  # no start-up tells proxies an empty list
-        if not self.served:
-            self.served, changed = True, set(self.placement.clusters())
-            bodies = self.make.settled(self.placement)
-        else:
-            bodies = {}
-        bodies[EDS] = {
-            name: self.make.assignment(name, self.placement.cache.get(name, ())) for name in changed
-        }
-        # The index that a resource follows from is the list's, also where only its weights have moved on.
-        if self.catalog.put(self.fleet.index, bodies, drained=drained):
-            self.counts["updates"] += 1
-            self.counts["drains"] += bool(drained)
-            self.ready.update(self.sessions)
-        else:
-            # Nothing but the index: streams that wait for a list as new as theirs look again.
-            self.ready.update(n for n, s in self.sessions.items() if s.kinds[EDS].ahead is not None)
-
-    def tick(self, now):
-        """What time brings; when to be called again, None for not before something happens."""
-        fleet, notes = endpoint_snapshot.passed(self.fleet, now)
-        if notes:
-            self.follow(now, fleet, notes)
-        at = self.placement.next_step()
-        if at is not None and now >= at:
-            self.placement.lateness = self.lateness(now)
-            self.put(*self.placement.step(now))
-        if self.retiring is not None:
-            self.retire(now)
-        times = [
-            self.placement.next_step(),
-            endpoint_snapshot.next_due(self.fleet),
-            self.retiring and now + 1_000,
+    @staticmethod
+    def _build_assignments(
+        builder: ResourceBuilder, placement: Placement, clusters: Iterable[str]
+    ) -> dict[str, bytes]:
+        return {name: builder.build_assignment(name, placement.endpoints_of(name)) for name in clusters}
+
+    def tick(self, now: int) -> int | None:
+        """Does what time alone brings; when to be called again, None for not before something happens."""
+        snapshot, events = remove_overdue(self.snapshot, now)
+        if events:
+            self._log_events += events
+            self._take_snapshot(now, snapshot)
+        next_step = self.placement.next_step()
+        if next_step is not None and now >= next_step:
+            self.placement.ack_latency = self._ack_latency_on_grid(now)
+            self._publish(*self.placement.step(now))
+        if self.retirement is not None:
+            self._retire(now)
+        times = [self.placement.next_step(), next_removal_time(self.snapshot)]
+        if self.retirement is not None:
+            times.append(now + RETIREMENT_POLL)
+        return min((time for time in times if time is not None), default=None)
+
+    def _ack_latency_on_grid(self, now: int) -> int:
+        """The slowest proxy's latency by its ACKs and by responses that it has not acknowledged, in steps of
+        the placement's grid, so that a small change of it moves no weight."""
+        latencies = [
+            max(stream.metrics.ack_latency, stream.endpoints.unacknowledged_time(now))
+            for stream in self.streams.values()
         ]
-        return min((t for t in times if t is not None), default=None)
-
-    def lateness(self, now):
-        """Of the slowest proxy, by its acknowledgements and by what it leaves unacknowledged; in steps of the
-        placement's grid, so that a little more or less of it moves no weight."""
-        worst = max(
-            (
-                max(s.lag, now - s.kinds[EDS].out[0].at if s.kinds[EDS].out else 0)
-                for s in self.sessions.values()
-            ),
-            default=0,
-        )
-        faded = self.late * max(0.0, 1 - (now - self.late_at) / LATE_FADES)
-        if worst >= faded:
-            self.late, self.late_at = min(LATE_MOST, worst), now
-        late, grid = max(min(LATE_MOST, worst), faded), self.placement.grid
-        return 0 if late < grid / 2 else int(-(-late // grid) * grid)
-
-    # Settings that change while it runs
-
-    def settle(self, now, placement, make):
-        """Other table groups or resource groups: what is new is told first, what is gone goes once the routes
-        without it are settled."""
-        placement.lateness = self.placement.lateness
-        placement.list(now, self.fleet)
-        old = {(kind, name) for kind in (CDS, EDS, LDS, RDS) for name in self.catalog.entries[kind]}
-        self.placement, self.make = placement, make
-        bodies = make.settled(placement)
-        bodies[EDS] = {
-            name: make.assignment(name, placement.cache.get(name, ())) for name in placement.clusters()
+        latency = self._ack_latency.observe(now, max(latencies, default=0))
+        grid = self.placement.grid
+        return 0 if latency < grid / 2 else int(-(-latency // grid) * grid)
+
+    # settings that change while it runs
+
+    def change_settings(self, now: int, placement: Placement, resource_builder: ResourceBuilder) -> None:
+        """Takes in other table groups or resource groups: new resources are published at once, obsolete ones
+        retired once no routes name them."""
+        placement.ack_latency = self.placement.ack_latency
+        placement.update(now, self.snapshot)
+        before = {
+            (resource_type, name)
+            for resource_type in ResourceType
+            for name in self.catalog.resources[resource_type]
         }
-        stays = {(kind, name) for kind, found in bodies.items() for name in found}
-        self.retire(now, last=True)
-        going = sorted(old - stays)
-        if going:
-            self.retiring = now + RETIRE, going
-        self.catalog.put(self.fleet.index, bodies)
-        self.ready.update(self.sessions)
-
-    def regroup(self, nodes):
-        """Who may see what, from now on and on streams that are open: what a node lost is taken from it at
-        once, and one that is no longer known is let go."""
-        self.nodes = nodes
-        for session in self.sessions.values():
-            if session.node is not None:
-                session.regrouped(nodes.groups_of(session.node) == ())
-        self.ready.update(self.sessions)
-
-    def retire(self, now, last=False):
-        if self.retiring is None:
-            return
-        until, going = self.retiring
-        if last or now >= until or all(s.routes_settled() for s in self.sessions.values()):
-            self.retiring = None
-            self.catalog.put(self.fleet.index, {}, going)
-            self.ready.update(self.sessions)
-
-    # Streams
-
-    def opened(self, now, variant):
-        """A new stream's number."""
-        if len(self.sessions) >= self.nodes.streams_most:
-            self.counts["streams-refused"] += 1
-            raise Refused("too many streams")
-        self.numbers += 1
-        self.counts["streams"] += 1
-        self.sessions[self.numbers] = Session(
-            self.numbers, variant, now, self.catalog, self.visible, self.grace, self.ttl
+        self.placement = placement
+        self._resource_builder = resource_builder
+        bodies = resource_builder.build_static(placement)
+        bodies[ResourceType.EDS] = self._build_assignments(
+            resource_builder, placement, placement.cluster_names()
         )
-        return self.numbers
-
-    def named(self, number, node):
-        """Who a stream is, by its first request."""
-        session = self.sessions[number]
-        if session.node is not None:
-            if node and node != session.node:
-                raise Refused("another node on the same stream")
+        after = {(resource_type, name) for resource_type, found in bodies.items() for name in found}
+        self._retire(now, must_finish=True)
+        obsolete = sorted(before - after)
+        if obsolete:
+            self.retirement = Retirement(now + RETIREMENT_TIME, obsolete)
+        self.catalog.update(self.snapshot.index, bodies)
+        self.ready_streams.update(self.streams)
+
+    def change_access(self, access: NodeAccess) -> None:
+        """Takes in other rules, for open streams too: resources that a node may no longer see are removed
+        from it, and streams of nodes that are no longer known end."""
+        self._access = access
+        for stream in self.streams.values():
+            if stream.node is not None:
+                stream.reset_visibility(is_node_unknown=not access.is_known(stream.node))
+        self.ready_streams.update(self.streams)
+
+    def _retire(self, now: int, must_finish: bool = False) -> None:
+        """Removes obsolete resources once all routes without them are acknowledged, or their time is over."""
+        if self.retirement is None:
             return
-        if not node or len(node) > 256:
-            raise Refused("a node without a name, or with too long a one")
-        if self.nodes.groups_of(node) == ():
-            raise Refused(f"node {node} is not known here")
-        if sum(s.node == node for s in self.sessions.values()) >= self.nodes.a_node_most:
-            raise Refused(f"node {node} has too many streams")
-        session.node = node
-
-    def visible(self, node, kind, name):
-        groups = self.nodes.groups_of(node)
-        return groups is None or self.make.is_for(self.placement, kind, name, groups)
-
-    def closed(self, number):
-        session = self.sessions.pop(number, None)
-        self.ready.discard(number)
-        if session is None:
+        routes = (stream.subscriptions[ResourceType.RDS] for stream in self.streams.values())
+        is_due = must_finish or now >= self.retirement.until
+        if is_due or all(subscription.is_settled() for subscription in routes):
+            obsolete = self.retirement.resources
+            self.retirement = None
+            self.catalog.update(self.snapshot.index, {}, obsolete)
+            self.ready_streams.update(self.streams)
+
+    # streams
+
+    def open_stream(self, now: int, variant: Variant) -> int:
+        """A new stream's number. Raises StreamRejectedError."""
+        if len(self.streams) >= self._access.max_streams:
+            self._counters.streams_rejected += 1
+            raise StreamRejectedError("too many streams")
+        self._last_stream += 1
+        self._counters.streams += 1
+        number = self._last_stream
+        self.streams[number] = DiscoveryStream(
+            number, variant, now, self.catalog, self._is_visible, self._grace, self._ttl
+        )
+        return number
+
+    def identify(self, number: int, node: str) -> None:
+        """Takes in the node that a stream's request names. Raises StreamRejectedError."""
+        stream = self.streams[number]
+        if stream.node is not None:
+            if node and node != stream.node:
+                raise StreamRejectedError("another node on the same stream")
             return
-        self.turns += [(event, fields | {"node": session.node}) for event, fields in session.told()]
-
-    def next(self, number, now):
-        """The next Response of a stream, drains of any ahead of all else by the shell's order of `ready`."""
-        session = self.sessions[number]
-        found = session.next(now)
-        for event, fields in session.told():
-            self.turns.append((event, fields | {"node": session.node, "stream": number}))
-        return found
-
-    def told(self):
-        """(event, fields) since the last call, for the log."""
-        found, self.turns = self.turns, []
-        return found
-
-    # What proxies report
-
-    def loaded(self, now, node, cluster, engine, done, errors, out):
-        """A load report: requests done and failed since the last one, and out now."""
-        key = node, cluster, engine
-        if key not in self.loads and len(self.loads) >= LOADS_MOST:
-            self.loads.pop(next(iter(self.loads)))
-        before = self.loads.pop(key, (0, 0, 0, now))
-        self.loads[key] = before[0] + done, before[1] + errors, out, now
-        self.counts["loads"] += 1
-
-    def load(self, now):
-        """Requests out at all engines together by the reports of late, None where nobody reports."""
-        out = [out for _, _, out, at in self.loads.values() if now - at <= LOADS_FRESH]
-        return float(sum(out)) if out else None
-
-    # What operators see
-
-    def status(self, now):
+        if not node or len(node) > MAX_NODE_CHARACTERS:
+            raise StreamRejectedError("a node without a name, or with too long a one")
+        if not self._access.is_known(node):
+            raise StreamRejectedError(f"node {node} is not known here")
+        open_count = sum(other.node == node for other in self.streams.values())
+        if open_count >= self._access.max_streams_per_node:
+            raise StreamRejectedError(f"node {node} has too many streams")
+        stream.node = node
+
+    def _is_visible(self, node: str | None, resource_type: ResourceType, name: str) -> bool:
+        groups = self._access.groups_of(node)
+        return groups is None or self._resource_builder.belongs_to(
+            self.placement, resource_type, name, groups
+        )
+
+    def close_stream(self, number: int) -> None:
+        """Forgets a stream."""
+        stream = self.streams.pop(number, None)
+        self.ready_streams.discard(number)
+        if stream is not None:
+            self._log_events += [OnStream(event, stream.node, None) for event in stream.take_log_events()]
+
+    def next_response(self, number: int, now: int) -> DiscoveryResponse | None:
+        """The response that a stream is to be sent now. Raises StreamProtocolError."""
+        stream = self.streams[number]
+        response = stream.next_response(now)
+        for event in stream.take_log_events():
+            self._log_events.append(OnStream(event, stream.node, number))
+        return response
+
+    # what proxies report, what operators see
+
+    def report_load(self, now: int, key: LoadKey, succeeded: int, failed: int, in_progress: int) -> None:
+        """Takes in a load report: requests that ended since the last one, and those in progress."""
+        self._load_reports.record(now, key, succeeded, failed, in_progress)
+        self._counters.load_reports += 1
+
+    def requests_in_progress(self, now: int) -> float | None:
+        """Requests in progress at all endpoints, None where no proxy reports."""
+        return self._load_reports.requests_in_progress(now)
+
+    def take_log_events(self) -> list[LogEvent]:
+        """What is to be logged since the last call."""
+        events = self._log_events
+        self._log_events = []
+        return events
+
+    def status(self, now: int) -> dict[str, Any]:
+        """What operators see, by the names that log and client status have."""
         return {
-            "index": self.fleet.index,
-            "old": self.fleet.old,
-            "served": self.served,
+            "index": self.snapshot.index,
+            "old": self.snapshot.is_restored,
+            "served": self.is_serving,
             "generation": self.catalog.generation,
-            "engines": len(self.fleet.engines),
-            "ready": len(self.fleet.ready()),
-            "missing": len(self.fleet.missing),
-            "lateness_ms": self.late / 10,
-            "counts": dict(self.counts),
+            "engines": len(self.snapshot.endpoints),
+            "ready": len(self.snapshot.ready()),
+            "missing": len(self.snapshot.missing),
+            "lateness_ms": to_milliseconds(self._ack_latency.latency),
+            "counts": self._counters.counts(),
             "nodes": [
-                {
-                    "node": s.node,
-                    "stream": s.number,
-                    "variant": s.variant,
-                    "types": s.status(now),
-                    "lag_ms": s.lag / 10,
-                    **s.counts,
-                }
-                for s in self.sessions.values()
-                if s.node is not None
+                self._stream_status(now, stream)
+                for stream in self.streams.values()
+                if stream.node is not None
             ],
         }
+
+    @staticmethod
+    def _stream_status(now: int, stream: DiscoveryStream) -> dict[str, Any]:
+        return {
+            "node": stream.node,
+            "stream": stream.number,
+            "variant": stream.variant.value,
+            "types": stream.status(now),
+            "lag_ms": to_milliseconds(stream.metrics.ack_latency),
+            **stream.metrics.counts(),
+        }
--- a/wickvane/xds/endpoint_snapshot.py
+++ b/wickvane/xds/endpoint_snapshot.py
@@ -1,208 +1,240 @@
-"""The list of engines as proxies are to know it: what one change may do to it, free of I/O.
+"""The endpoint list as proxies are to know it, and what one event may change of it; free of I/O.
 
-A Fleet is immutable: whoever holds one holds a whole one, and the next shares all that has not changed with
-it (persistent maps). What was told to drain never comes back: a name that left the ready ones is ready again
-only as a process that started later, in a later event. A whole list that leaves out more engines than the
-floor allows is somebody's mistake more often than the truth (an empty answer, a lost list); an engine that is
-named as draining or gone is always taken at its word, since nothing new may go there.
+A snapshot is immutable and shares what has not changed with the one before (persistent maps). A drained
+endpoint never becomes ready again but as a process that started later, in a later event. A complete list that
+leaves out more ready endpoints than the limit allows is more often a mistake (an empty answer, a lost list)
+than the truth; an endpoint that is listed as draining or gone is always taken out, since nothing new may be
+sent there.
 
-Times are tenths of a millisecond.
+Times are ticks.
 """
 
+from collections.abc import Collection, Iterable
+from enum import Enum
 from typing import NamedTuple
 
 from immutables import Map
 
 from wickvane.events import EngineState
+from wickvane.units import TICKS_PER_MILLISECOND
+from wickvane.xds.log_events import (
+    EndpointNotReadmitted,
+    MissingEndpointsRemoved,
+    RemovalLimited,
+    SnapshotEvent,
+    StaleEventIgnored,
+)
 
-TAKE, HOLD, STEPS = "take", "hold", "steps"
-KEPT_GONE = 4096  # names that are gone and still remembered, so that none of them comes back
+MAX_REMEMBERED_REMOVALS = 4096
 
 
-class Engine(NamedTuple):
-    """index: of the event that told this last; told: when this instance heard that it leaves, 0 while it is
-    ready."""
+class ExcessAction(Enum):
+    """What is done with endpoints that a complete list leaves out past the limit; values: of the document."""
+
+    REMOVE = "take"
+    HOLD = "hold"
+    REMOVE_IN_STEPS = "steps"
+
+
+class Endpoint(NamedTuple):
+    """An engine's endpoint.
+
+    index: of the last event that named it; started_at: 0 for unknown; draining_since: when this instance
+    learned that it drains, 0 while it is ready.
+    """
 
     name: str
-    address: tuple | None
+    address: tuple[str, int] | None
     state: int
     zone: str | None
     kind: str | None
     cell: int
-    started: int
+    started_at: int
     weight: float
     index: int
-    told: int = 0
+    draining_since: int = 0
+
+    @property
+    def is_ready(self) -> bool:
+        """Whether new requests may be sent to it."""
+        return self.state == EngineState.READY
+
+
+class Removal(NamedTuple):
+    """An endpoint that is gone: the event's index, and when its process started."""
+
+    index: int
+    started_at: int
 
 
-class Fleet(NamedTuple):
-    """index: of the newest event in it. missing: ready engines that a whole list left out and that are kept
-    for now, by name with the time until which. old: from a snapshot on disk, not heard of since."""
+class EndpointSnapshot(NamedTuple):
+    """All endpoints as of one event.
+
+    index: of the newest event in it; removed: Removal by name, so that none of them comes back; missing:
+    ready endpoints that a complete list left out and that are kept for now, by name with the time until
+    which; is_restored: it comes from disk, and no event has confirmed it since.
+    """
 
     index: int = 0
-    engines: Map = Map()
-    gone: Map = Map()  # name: (index, started) of what has gone
+    endpoints: Map = Map()
+    removed: Map = Map()
     missing: Map = Map()
-    old: bool = False
-
-    def ready(self):
-        return [e for e in self.engines.values() if e.state == EngineState.READY]
-
-
-class Floor(NamedTuple):
-    """share: of the ready engines that one whole list may leave out; least: so many may always go; what: is
-    done past it: taken, held for so long, or taken in steps of that share, that far apart."""
-
-    share: float = 0.5
-    least: int = 1
-    what: str = HOLD
-    time: int = 600_000
-
-    def most(self, ready):
-        return max(self.least, int(self.share * ready))
-
-
-FLOOR = Floor()
-
-
-def changed(fleet, now, index, whole, entries, floor, back=()):
-    """(the fleet after an event, notes of it as (event, fields)). entries: as the coordinator's are read,
-    (name, address, state, zone, kind, cell, started, weight); started in milliseconds. back: names that were
-    drained by hand and that whoever did it lets have queries again."""
-    if index <= fleet.index and not (fleet.old and index == fleet.index):
-        return fleet, [("list-older", {"index": index, "held": fleet.index})]
-    notes, named = [], set()
-    engines, gone, missing = fleet.engines, fleet.gone, fleet.missing
-    with engines.mutate() as table:
-        for name, address, state, zone, kind, cell, started, weight in entries:
-            named.add(name)
-            started = int(started * 10)
-            known = table.get(name)
-            if state == EngineState.GONE:
-                if known is not None:
-                    del table[name]
-                    gone = gone.set(name, (index, known.started))
-                missing = without(missing, name)
-                continue
-            if (
-                state == EngineState.READY
-                and name not in back
-                and not may_be_ready(name, started, known, gone)
-            ):
-                notes.append(("engine-not-taken-back", {"engine": name, "index": index}))
-                continue
-            told = (
-                0 if state == EngineState.READY else known.told if known is not None and known.told else now
-            )
-            table[name] = Engine(name, address, state, zone, kind, cell, started, weight, index, told)
-            missing = without(missing, name)
-        after = table.finish()
-    if whole:
-        after, gone, missing, more = left_out(after, gone, missing, now, index, named, floor)
-        notes += more
-    while len(gone) > KEPT_GONE:
-        gone = gone.delete(min(gone, key=gone.get))
-    return Fleet(index, after, gone, missing, False), notes
-
-
-def may_be_ready(name, started, known, gone):
-    """Whether a name may be ready: a new one, one that is, or a later process under a name that left."""
-    if known is not None:
-        return known.state == EngineState.READY or started > known.started
-    return name not in gone or started > gone[name][1]
-
-
-def left_out(engines, gone, missing, now, index, named, floor):
-    """What a whole list does to those that it does not name."""
-    ready = [e for e in engines.values() if e.state == EngineState.READY]
-    absent = sorted(name for name in engines if name not in named)
-    going = [name for name in absent if engines[name].state != EngineState.READY]
-    lost = [name for name in absent if engines[name].state == EngineState.READY]
-    notes = []
-    # Nothing may ever go to a draining one again, so that it costs nothing to let it go.
-    if lost and floor.what != TAKE and (len(lost) > floor.most(len(ready)) or not named):
-        kept = lost if floor.what == HOLD else lost[floor.most(len(ready)) :]
-        notes.append(
-            (
-                "list-past-floor",
-                {
-                    "index": index,
-                    "missing": len(lost),
-                    "ready": len(ready),
-                    "kept": len(kept),
-                    "what": floor.what,
-                },
-            )
+    is_restored: bool = False
+
+    def ready(self) -> list[Endpoint]:
+        """The endpoints that new requests may be sent to."""
+        return [endpoint for endpoint in self.endpoints.values() if endpoint.is_ready]
+
+
+class RemovalLimit(NamedTuple):
+    """How many ready endpoints one complete list may leave out.
+
+    max_share: of the ready ones; min_count: so many may always go; duration: for which the others are held,
+    or the pause between two steps.
+    """
+
+    max_share: float = 0.5
+    min_count: int = 1
+    action: ExcessAction = ExcessAction.HOLD
+    duration: int = 600_000
+
+    def allowed(self, ready_count: int) -> int:
+        """How many of so many ready endpoints may go at once."""
+        return max(self.min_count, int(self.max_share * ready_count))
+
+
+DEFAULT_REMOVAL_LIMIT = RemovalLimit()
+
+
+def apply_event(
+    snapshot: EndpointSnapshot,
+    now: int,
+    index: int,
+    is_complete: bool,
+    entries: Iterable[tuple],
+    limit: RemovalLimit,
+    readmitted: Collection[str] = (),
+) -> tuple[EndpointSnapshot, list[SnapshotEvent]]:
+    """The snapshot after an event of the endpoint list, and what is to be logged.
+
+    entries: (name, address, state, zone, kind, cell, started, weight) each, as coordinator events are read,
+    started in milliseconds; readmitted: names that were drained by hand and may be ready again.
+    """
+    if index <= snapshot.index and not (snapshot.is_restored and index == snapshot.index):
+        return snapshot, [StaleEventIgnored(index, snapshot.index)]
+    change = _SnapshotChange(snapshot, now, index)
+    for entry in entries:
+        change.apply_entry(entry, readmitted)
+    if is_complete:
+        change.apply_absences(limit)
+    return change.finish(), change.log_events
+
+
+class _SnapshotChange:
+    """One event's change of a snapshot."""
+
+    def __init__(self, snapshot: EndpointSnapshot, now: int, index: int) -> None:
+        self._now = now
+        self._index = index
+        self._endpoints = snapshot.endpoints.mutate()
+        self._removed = snapshot.removed
+        self._missing = snapshot.missing
+        self._named: set[str] = set()
+        self.log_events: list[SnapshotEvent] = []
+
+    def apply_entry(self, entry: tuple, readmitted: Collection[str]) -> None:
+        name, address, state, zone, kind, cell, started, weight = entry
+        self._named.add(name)
+        started_at = int(started * TICKS_PER_MILLISECOND)
+        known = self._endpoints.get(name)
+        if state == EngineState.GONE:
+            if known is not None:
+                del self._endpoints[name]
+                self._removed = self._removed.set(name, Removal(self._index, known.started_at))
+            self._missing = _without(self._missing, name)
+            return
+        is_ready = state == EngineState.READY
+        if is_ready and name not in readmitted and not self._may_be_ready(name, started_at, known):
+            self.log_events.append(EndpointNotReadmitted(name, self._index))
+            return
+        if is_ready:
+            draining_since = 0
+        elif known is not None and known.draining_since:
+            draining_since = known.draining_since
+        else:
+            draining_since = self._now
+        self._endpoints[name] = Endpoint(
+            name, address, state, zone, kind, cell, started_at, weight, self._index, draining_since
+        )
+        self._missing = _without(self._missing, name)
+
+    def _may_be_ready(self, name: str, started_at: int, known: Endpoint | None) -> bool:
+        """Whether it is new, ready already, or a later process under a name that has drained."""
+        if known is not None:
+            return known.is_ready or started_at > known.started_at
+        removal = self._removed.get(name)
+        return removal is None or started_at > removal[1]
+
+    def apply_absences(self, limit: RemovalLimit) -> None:
+        """Takes out endpoints that a complete list does not name, ready ones within the limit."""
+        endpoints = self._endpoints.finish()
+        absent = sorted(name for name in endpoints if name not in self._named)
+        lost = [name for name in absent if endpoints[name].is_ready]
+        # Nothing new may be sent to a draining endpoint, so that its removal needs no limit.
+        going = [name for name in absent if not endpoints[name].is_ready]
+        ready_count = sum(endpoint.is_ready for endpoint in endpoints.values())
+        kept = self._keep_past_limit(lost, ready_count, limit)
+        self._endpoints = endpoints.mutate()
+        for name in going + [name for name in lost if name not in kept]:
+            self._removed = self._removed.set(name, Removal(self._index, endpoints[name].started_at))
+            del self._endpoints[name]
+            self._missing = _without(self._missing, name)
+
+    def _keep_past_limit(self, lost: list[str], ready_count: int, limit: RemovalLimit) -> set[str]:
+        """The lost endpoints that stay for now."""
+        allowed = limit.allowed(ready_count)
+        is_within_limit = len(lost) <= allowed and self._named
+        if not lost or limit.action is ExcessAction.REMOVE or is_within_limit:
+            return set()
+        is_held = limit.action is ExcessAction.HOLD
+        kept = lost if is_held else lost[allowed:]
+        self.log_events.append(
+            RemovalLimited(self._index, len(lost), ready_count, len(kept), limit.action.value)
         )
-        step = floor.time if floor.what == HOLD else 0
-        for n, name in enumerate(kept):
-            at = now + (step or floor.time * (1 + n // floor.most(len(ready))))
-            missing = missing.set(name, min(missing.get(name, at), at))
-        lost = [name for name in lost if name not in set(kept)]
-    for name in going + lost:
-        gone = gone.set(name, (index, engines[name].started))
-        engines, missing = engines.delete(name), without(missing, name)
-    return engines, gone, missing, notes
-
-
-def passed(fleet, now):
-    """(the fleet once the time of those that were kept is over, notes)."""
-    due = sorted(name for name, until in fleet.missing.items() if now >= until)
+        for position, name in enumerate(kept):
+            steps = 1 if is_held else 1 + position // allowed
+            until = self._now + limit.duration * steps
+            self._missing = self._missing.set(name, min(self._missing.get(name, until), until))
+        return set(kept)
+
+    def finish(self) -> EndpointSnapshot:
+        removed = self._removed
+        while len(removed) > MAX_REMEMBERED_REMOVALS:
+            removed = removed.delete(min(removed, key=removed.get))
+        return EndpointSnapshot(self._index, self._endpoints.finish(), removed, self._missing, False)
+
+
+def remove_overdue(snapshot: EndpointSnapshot, now: int) -> tuple[EndpointSnapshot, list[SnapshotEvent]]:
+    """The snapshot without missing endpoints whose time is over, and what is to be logged."""
+    due = sorted(name for name, until in snapshot.missing.items() if now >= until)
     if not due:
-        return fleet, []
-    engines, gone, missing = fleet.engines, fleet.gone, fleet.missing
+        return snapshot, []
+    endpoints = snapshot.endpoints
+    removed = snapshot.removed
+    missing = snapshot.missing
     for name in due:
-        if name in engines:
-            gone, engines = gone.set(name, (fleet.index, engines[name].started)), engines.delete(name)
+        if name in endpoints:
+            removed = removed.set(name, Removal(snapshot.index, endpoints[name].started_at))
+            endpoints = endpoints.delete(name)
         missing = missing.delete(name)
-    return fleet._replace(engines=engines, gone=gone, missing=missing), [
-        ("missing-let-go", {"engines": due[:20], "count": len(due)})
-    ]
+    after = snapshot._replace(endpoints=endpoints, removed=removed, missing=missing)
+    return after, [MissingEndpointsRemoved(tuple(due))]
 
 
-def next_due(fleet):
-    """When passed() has something to do, None for never."""
-    return min(fleet.missing.values(), default=None)
+def next_removal_time(snapshot: EndpointSnapshot) -> int | None:
+    """When remove_overdue() has something to do, None for never."""
+    return min(snapshot.missing.values(), default=None)
 
 
-def without(table, name):
+def _without(table: Map, name: str) -> Map:
     return table.delete(name) if name in table else table
-
-
-# A snapshot: plain data in, plain data out; what stores it checks it.
-
-FORM = 1
-
-
-def plain(fleet):
-    """As JSON has it."""
-    return {
-        "form": FORM,
-        "index": fleet.index,
-        "engines": [list(e) for _, e in sorted(fleet.engines.items())],
-        "gone": [[name, *of] for name, of in sorted(fleet.gone.items())],
-        "missing": [[name, until] for name, until in sorted(fleet.missing.items())],
-    }
-
-
-def restored(found):
-    """The Fleet of plain(), marked as old. Raises ValueError where it is none."""
-    try:
-        if found["form"] != FORM:
-            raise ValueError(f"form {found['form']} is not known")
-        engines = {}
-        for row in found["engines"]:
-            engine = Engine(*row)
-            address = (
-                engine.address if engine.address is None else (str(engine.address[0]), int(engine.address[1]))
-            )
-            engines[engine.name] = engine._replace(address=address)
-        return Fleet(
-            int(found["index"]),
-            Map(engines),
-            Map({name: (index, started) for name, index, started in found["gone"]}),
-            Map({name: until for name, until in found["missing"]}),
-            True,
-        )
-    except (KeyError, TypeError, IndexError) as error:
-        raise ValueError(f"no snapshot of a list: {error}") from None
--- /dev/null
+++ b/wickvane/xds/errors.py
@@ -0,0 +1,15 @@
+"""Errors of the xDS service."""
+
+from wickvane.errors import WickvaneError
+
+
+class StreamRejectedError(WickvaneError):
+    """A stream is not admitted: its node is unknown, or there are too many streams."""
+
+
+class StreamProtocolError(WickvaneError):
+    """A stream breaks the xDS protocol or exceeds a limit, and is ended."""
+
+
+class SnapshotError(WickvaneError):
+    """A stored endpoint snapshot cannot be read."""
--- a/wickvane/xds/extension.py
+++ b/wickvane/xds/extension.py
@@ -1,13 +1,23 @@
-"""The node `control` of the parts document."""
+"""The node `control` of the parts document: the one place that knows its names."""
 
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 from wickvane import parts
-from wickvane.xds import endpoint_snapshot
-from wickvane.xds.control_plane import Nodes
+from wickvane.xds.endpoint_snapshot import DEFAULT_REMOVAL_LIMIT, ExcessAction, RemovalLimit
+from wickvane.xds.node_access import NodeAccess, NodeRule
 
+MAX_PATTERN_CHARACTERS = 128
+MAX_TABLE_GROUPS = 5000
+DEFAULT_TABLE_GROUPS = 100
+MAX_PROXIES = 10_000
+MAX_STREAMS = 100_000
+MAX_STREAMS_PER_NODE = 1000
+DEFAULT_STALL_TIMEOUT = 100_000  # ticks
+IPV4_LOOPBACK = "127."
+IPV6_LOOPBACK = "::1"
 
-class Secrets(NamedTuple):
+
+class TlsFiles(NamedTuple):
     """Paths of the files of mutual TLS."""
 
     authority: str
@@ -15,79 +25,101 @@
     key: str
 
 
-class Part(NamedTuple):
-    """Times in tenths of a millisecond. tables: table groups from 0 up to this; proxies: that share the pool
-    at most, from which their bounds follow."""
+class ControlSettings(NamedTuple):
+    """The settings of the control service.
+
+    table_groups: from 0 up to this; proxy_count: that share the engines at most, from which their circuit
+    breakers follow; ttl: of endpoints in ticks, 0 for none; stall_timeout: ticks within which a proxy must
+    read a response.
+    """
 
-    listen: tuple
-    tables: int
-    proxies: int
+    listen: tuple[str, int]
+    table_groups: int
+    proxy_count: int
     epoch: str
     ttl: int
-    snapshot: str | None
-    floor: endpoint_snapshot.Floor
-    nodes: Nodes
-    tls: Secrets | None
-    stall: int
+    snapshot_folder: str | None
+    removal_limit: RemovalLimit
+    access: NodeAccess
+    tls: TlsFiles | None
+    stall_timeout: int
 
 
-def read_pattern(value):
-    return value if isinstance(value, str) and 0 < len(value) <= 128 and value.isprintable() else refuse()
+def read(node: Any) -> ControlSettings:
+    """The settings in a node. Raises parts.Unusable."""
+    listen = node.value("listen", parts.address, needed=True)
+    tls = _read_tls(node)
+    if tls is None and not _is_loopback(listen[0]):
+        raise node.wrong(
+            "a node tls, or an address of this machine's own", ":".join(map(str, listen)), "listen"
+        )
+    rules = _read_node_rules(node)
+    removal_limit = _read_removal_limit(node)
+    return ControlSettings(
+        listen,
+        node.value("tables", parts.whole(0, MAX_TABLE_GROUPS), DEFAULT_TABLE_GROUPS),
+        node.value("proxies", parts.whole(1, MAX_PROXIES), 1),
+        node.value("epoch", parts.name, "0").replace(".", "-"),
+        node.value("time-to-live", parts.duration("0ms", "24h"), 0),
+        node.value("snapshot", parts.path),
+        removal_limit,
+        NodeAccess(
+            rules,
+            node.value("streams", parts.whole(1, MAX_STREAMS), 1000),
+            node.value("streams-a-node", parts.whole(1, MAX_STREAMS_PER_NODE), 4),
+        ),
+        tls,
+        node.value("stall", parts.duration("100ms", "10m"), DEFAULT_STALL_TIMEOUT),
+    )
 
 
-def refuse():
-    raise ValueError
+def _read_pattern(value: Any) -> str:
+    is_short_text = isinstance(value, str) and 0 < len(value) <= MAX_PATTERN_CHARACTERS
+    if not is_short_text or not value.isprintable():
+        raise ValueError
+    return value
 
 
-pattern = parts.Kind("a pattern of node names (128 characters at most)", read_pattern)
+_PATTERN = parts.Kind("a pattern of node names (128 characters at most)", _read_pattern)
 
 
-def read(node):
-    listen = node.value("listen", parts.address, needed=True)
-    secret, tls = node.child("tls"), None
-    if secret:
-        tls = Secrets(
-            *(secret.value(name, parts.path, needed=True) for name in ("authority", "certificate", "key"))
-        )
-        secret.done()
-    elif not listen[0].startswith("127.") and listen[0] != "::1":
-        raise node.wrong(
-            "a node tls, or an address of this machine's own", ":".join(map(str, listen)), "listen"
-        )
+def _is_loopback(host: str) -> bool:
+    return host.startswith(IPV4_LOOPBACK) or host == IPV6_LOOPBACK
+
+
+def _read_tls(node: Any) -> TlsFiles | None:
+    child = node.child("tls")
+    if not child:
+        return None
+    paths = [child.value(name, parts.path, needed=True) for name in TlsFiles._fields]
+    child.done()
+    return TlsFiles(*paths)
+
+
+def _read_node_rules(node: Any) -> tuple[NodeRule, ...]:
     rules = []
     for child in node.children("node"):
         groups = []
         for group in child.children("group"):
             groups.append(group.argument(parts.name))
             group.done()
-        rules.append((child.argument(pattern), tuple(groups) or None))
+        rules.append(NodeRule(child.argument(_PATTERN), tuple(groups) or None))
         child.done()
-    floor, guard = endpoint_snapshot.Floor(), node.child("floor")
-    if guard:
-        floor = endpoint_snapshot.Floor(
-            guard.property("share", parts.share(0.01, 1), floor.share),
-            guard.property("least", parts.whole(1, 10_000), floor.least),
-            guard.property(
-                "past",
-                parts.word(endpoint_snapshot.HOLD, endpoint_snapshot.STEPS, endpoint_snapshot.TAKE),
-                floor.what,
-            ),
-            guard.property("time", parts.duration("1s", "24h"), floor.time),
-        )
-        guard.done()
-    return Part(
-        listen,
-        node.value("tables", parts.whole(0, 5000), 100),
-        node.value("proxies", parts.whole(1, 10_000), 1),
-        node.value("epoch", parts.name, "0").replace(".", "-"),
-        node.value("time-to-live", parts.duration("0ms", "24h"), 0),
-        node.value("snapshot", parts.path),
-        floor,
-        Nodes(
-            tuple(rules),
-            node.value("streams", parts.whole(1, 100_000), 1000),
-            node.value("streams-a-node", parts.whole(1, 1000), 4),
-        ),
-        tls,
-        node.value("stall", parts.duration("100ms", "10m"), 100_000),
+    return tuple(rules)
+
+
+def _read_removal_limit(node: Any) -> RemovalLimit:
+    child = node.child("floor")
+    default = DEFAULT_REMOVAL_LIMIT
+    if not child:
+        return default
+    actions = (ExcessAction.HOLD, ExcessAction.REMOVE_IN_STEPS, ExcessAction.REMOVE)
+    action_word = parts.word(*(action.value for action in actions))
+    limit = RemovalLimit(
+        child.property("share", parts.share(0.01, 1), default.max_share),
+        child.property("least", parts.whole(1, 10_000), default.min_count),
+        ExcessAction(child.property("past", action_word, default.action.value)),
+        child.property("time", parts.duration("1s", "24h"), default.duration),
     )
+    child.done()
+    return limit
--- /dev/null
+++ b/wickvane/xds/messages.py
@@ -0,0 +1,62 @@
+"""Discovery requests and responses as the decisions see them, apart from their encoding."""
+
+from collections.abc import Collection, Mapping
+from enum import Enum
+from typing import NamedTuple
+
+from wickvane.xds.resource_types import ResourceType
+
+
+class Variant(Enum):
+    """The variant of the xDS protocol that a stream speaks; values: as status and log show them."""
+
+    SOTW = "sotw"  # the state of the world
+    DELTA = "delta"  # incremental
+
+
+class DiscoveryRequest(NamedTuple):
+    """A state-of-the-world request: an ACK, a NACK, or a subscription; error: the reason of a NACK."""
+
+    resource_type: ResourceType
+    version: str
+    response_nonce: str
+    resource_names: Collection[str]
+    error: str | None = None
+
+
+class DeltaDiscoveryRequest(NamedTuple):
+    """An incremental request; initial_versions: by name, what the proxy holds from an earlier stream."""
+
+    resource_type: ResourceType
+    response_nonce: str
+    subscribe: Collection[str]
+    unsubscribe: Collection[str]
+    initial_versions: Mapping[str, str]
+    error: str | None = None
+
+
+class DiscoveryResponse(NamedTuple):
+    """A response to be sent.
+
+    names: of the resources in it, with their bodies unless it is a heartbeat; removed: names (incremental);
+    is_drain: it takes an endpoint from the proxy.
+    """
+
+    resource_type: ResourceType
+    nonce: str
+    version: str
+    names: tuple[str, ...]
+    removed: tuple[str, ...] = ()
+    is_drain: bool = False
+    is_heartbeat: bool = False
+
+
+class SentResponse(NamedTuple):
+    """A response in flight: its proxy has neither acknowledged nor rejected it yet."""
+
+    nonce: str
+    sent_at: int
+    generation: int
+    version: str
+    names: tuple[str, ...]
+    resource_versions: tuple[str, ...]
--- a/wickvane/xds/placement.py
+++ b/wickvane/xds/placement.py
@@ -1,23 +1,23 @@
-"""From the list and the settings to what proxies are told: which engines take a table group's queries, in
-which order and by what weight; free of I/O and of xDS.
-
-The design's ordinary path in a proxy's terms. A cluster is a table group for those resource groups that may
-use the same engines. Its engines are the first of the group's shared hash order, at priority 0, by weight of
-the cores that they have at least now; the next ones of the order stand behind at priority 1, for when those
-fail. The order, how many are first, how a cold engine warms up and the bound on threads are those of
-wickvane.scheduler.
-
-A cold engine counts for a part, so a cluster takes as many first engines as make up FIRST_ENGINES warm ones:
-of all that goes there a cold one is sent no larger part, over what a warm one is sent, than it has of its
-cores. Its part is read off a grid of time that all instances share, at the grid's last point, and never
-before the lateness of the slowest proxy has passed: what a proxy still holds is never more than what it may
-be told. Times are tenths of a millisecond.
+"""Which engines take a table group's queries, in which order and with what weight: from the endpoint list and
+the settings; free of I/O and of xDS messages.
+
+A cluster is a table group for those resource groups that may use the same engines. Its endpoints are the
+first of the table group's shared hash order, at priority 0, weighted by the cores that they may use now; the
+next ones of the order follow at priority 1, for when those fail. The order, the number of first endpoints,
+slow start and the bound on threads are those of wickvane.scheduler.
+
+An engine in slow start counts for a part, so that a cluster takes as many first endpoints as make up
+FIRST_ENGINES warm ones. Its part is read at the last point of a grid of time that all instances share, less
+the latency of the slowest proxy: what a proxy holds never exceeds what the engine may be sent.
+
+Times are ticks.
 """
 
 from bisect import bisect_left, insort
+from collections.abc import Iterable, Iterator, Sequence
 from typing import NamedTuple
 
-from wickvane.events import EngineState
+from wickvane.events import Deployment, EngineState, ResourceGroup
 from wickvane.scheduler import (
     BOUND_THREADS,
     EJECTION_FIRST,
@@ -26,254 +26,344 @@
     hash_place,
     warm_part,
 )
-
-LATER, FIRST_MOST = 3, 9  # engines behind the first ones; first ones at most, however cold they are
-WARM_STEPS = 4  # in which an engine's weight rises from cold to warm
-SCALE = 100  # of a weight: a core's hundredths
-NO_TABLE = 0  # what names no table group counts as this one, as it does with a dispatcher
-MANY = 32  # engines changed at once, from which all clusters are worked out anew
-EJECT_SHARE = 50  # more than half aside at once is no fault of the engines (wickvane.scheduler, usable())
-CHOICES = 3  # engines of which the one with fewest requests is taken
-# Of a proxy's own bound: most requests out, how often it moves, at what part of the promise the usual answer
-# shows pressure (half of the answers are longer, and what is late is of less use), and how much over that.
-PACE_MOST, PACE_EVERY, PACE_PART, PACE_BUFFER = 1000, 1_000, 0.25, 0.1
-RETRY_SHARE = 0.2  # where the settings state no budget of further submissions
-
-
-class Place(NamedTuple):
-    """An engine in a cluster, by its priority and weight."""
+from wickvane.xds.endpoint_snapshot import Endpoint, EndpointSnapshot
+
+MAX_BACKUP_ENDPOINTS = 3  # of priority 1
+MAX_FIRST_ENDPOINTS = 9  # of priority 0, however many are in slow start
+SLOW_START_STEPS = 4  # in which a weight rises
+WEIGHT_OF_CORE = 100
+NO_TABLE_GROUP = 0  # queries that name no table group count as this one, as with a dispatcher
+FULL_UPDATE_THRESHOLD = 32  # endpoints changed at once, from which all clusters are computed anew
+MAX_EJECTION_PERCENT = 50  # more than that failing at once is no fault of single engines
+CHOICE_COUNT = 3  # endpoints of which the one with the fewest requests is chosen
+DEFAULT_RETRY_BUDGET = 0.2  # of the requests in progress, where the settings have no retry budget
+MAX_CONCURRENCY = 1000
+CONCURRENCY_UPDATE_INTERVAL = 1_000  # ticks
+MIN_ROUND_TRIP = 10  # ticks
+# The part of the latency objective at which the median round trip shows overload, and the tolerance over it.
+ROUND_TRIP_PART = 0.25
+ROUND_TRIP_TOLERANCE = 0.1
+WARM_TOLERANCE = 1e-6  # of a sum of parts that is to reach FIRST_ENGINES
+
+
+class PlacedEndpoint(NamedTuple):
+    """An endpoint of a cluster."""
 
     name: str
-    address: tuple
+    address: tuple[str, int]
     zone: str
     priority: int
     weight: int
 
 
-class Limits(NamedTuple):
-    """What a proxy keeps by itself. requests: out at a time in one cluster; pending: waiting for a
-    connection; retry_share: of those out; eject, eject_most: how long an engine that fails is left alone."""
+class CircuitBreakers(NamedTuple):
+    """What a proxy limits by itself in one cluster.
 
-    requests: int
-    pending: int
-    retry_share: float
-    eject: int
-    eject_most: int
+    max_requests: in progress; max_pending: waiting for a connection; retry_budget: share of those in
+    progress; base_ejection, max_ejection: ticks for which an endpoint that fails is ejected.
+    """
 
+    max_requests: int
+    max_pending: int
+    retry_budget: float
+    base_ejection: int
+    max_ejection: int
 
-class Pace(NamedTuple):
-    """A bound on what is out of one resource group that binds under pressure alone: it shrinks while the
-    median round trip is over round_trip and a part more (buffer), and grows while it is under."""
 
-    most: int
-    every: int
+class AdaptiveConcurrency(NamedTuple):
+    """A limit on a resource group's requests in progress that binds under overload: it shrinks while the
+    median round trip exceeds the given one by more than the tolerance, and grows while it is under."""
+
+    max_concurrency: int
+    update_interval: int
     round_trip: int
-    buffer: float
+    tolerance: float
+
+
+class EngineFilter(NamedTuple):
+    """Numbers of the zones and engine kinds that a resource group may use, None for all."""
+
+    zones: frozenset[int] | None
+    kinds: frozenset[int] | None
+
+
+def cluster_name(engine_class: str, table_group: int) -> str:
+    """The name of a cluster's CDS and EDS resources."""
+    return f"{engine_class}/{table_group}"
+
+
+class HashOrder:
+    """All endpoints by name, in each table group's shared hash order."""
+
+    def __init__(self, table_groups: Iterable[int]) -> None:
+        self._orders: dict[int, list[tuple]] = {table_group: [] for table_group in table_groups}
+
+    def add(self, names: Sequence[str]) -> None:
+        """Adds endpoints that are not in the order."""
+        for table_group, order in self._orders.items():
+            places = [(hash_place(name.encode(), table_group), name) for name in names]
+            if len(places) > FULL_UPDATE_THRESHOLD:
+                order += places
+                order.sort()
+            else:
+                for place in places:
+                    insort(order, place)
+
+    def remove(self, name: str) -> None:
+        """Removes an endpoint."""
+        for table_group, order in self._orders.items():
+            position = self._position(table_group, name)
+            if position < len(order) and order[position][1] == name:
+                del order[position]
 
+    def _position(self, table_group: int, name: str) -> int:
+        return bisect_left(self._orders[table_group], (hash_place(name.encode(), table_group), name))
 
-def cluster_name(klass, table):
-    return f"{klass}/{table}"
+    def positions(self, name: str) -> Iterator[tuple[int, int]]:
+        """Each table group with the position that the endpoint has or would have."""
+        for table_group in self._orders:
+            yield table_group, self._position(table_group, name)
+
+    def names(self, table_group: int) -> Iterator[str]:
+        """The endpoints in a table group's order."""
+        return (name for _, name in self._orders[table_group])
+
+    def size(self, table_group: int) -> int:
+        """The number of endpoints."""
+        return len(self._orders[table_group])
 
 
 class Placement:
-    """What each cluster holds, kept up with the list. proxies: that share the pool; lateness: of the slowest
-    of them, by their acknowledgements."""
-
-    def __init__(self, site, group_names, tables, proxies, kinds=(), zones=()):
-        self.site, self.proxies = site, max(1, proxies)
-        self.tables = sorted({NO_TABLE, *tables})
-        self.kind_of, self.zone_of = {k: n for n, k in enumerate(kinds)}, {z: n for n, z in enumerate(zones)}
-        # Classes: resource groups that may use the same engines, by the name of the first of them.
-        self.classes, self.class_of = {}, {}
-        for name, group in zip(group_names, site.groups):
-            allowed = (group.zones, group.kinds)
-            self.class_of[name] = self.classes.setdefault(allowed, name)
-        self.paces = {name: self.pace(group) for name, group in zip(group_names, site.groups)}
-        self.allowed = {klass: allowed for allowed, klass in self.classes.items()}
-        self.threads = {
-            klass: max(g.threads for name, g in zip(group_names, site.groups) if self.class_of[name] == klass)
-            for klass in self.allowed
-        }
-        self.engines, self.orders = {}, {table: [] for table in self.tables}
-        self.grid = max(1, site.slow_start_duration // WARM_STEPS // 2)
-        self.lateness, self.at, self.cache, self.stepping = 0, 0, {}, {}
+    """The endpoints of each cluster, kept up to date with the endpoint list.
+
+    proxy_count: that share the engines; kinds, zones: their names by number; ack_latency: ticks, of the
+    slowest proxy.
+    """
+
+    def __init__(
+        self,
+        deployment: Deployment,
+        group_names: Sequence[str],
+        table_groups: Iterable[int],
+        proxy_count: int,
+        kinds: Sequence[str] = (),
+        zones: Sequence[str] = (),
+    ) -> None:
+        self.deployment = deployment
+        self.table_groups = sorted({NO_TABLE_GROUP, *table_groups})
+        # Resource groups that may use the same engines are one class, by the name of the first of them.
+        self.engine_classes: dict[str, EngineFilter] = {}
+        self.class_of: dict[str, str] = {}
+        self.adaptive_concurrency: dict[str, AdaptiveConcurrency] = {}
+        self.clusters: dict[str, tuple[PlacedEndpoint, ...]] = {}
+        self.grid = max(1, deployment.slow_start_duration // SLOW_START_STEPS // 2)
+        self.ack_latency = 0
+        self.updated_at = 0
+        self._proxy_count = max(1, proxy_count)
+        self._kind_numbers = {kind: number for number, kind in enumerate(kinds)}
+        self._zone_numbers = {zone: number for number, zone in enumerate(zones)}
+        self._threads_per_request: dict[str, int] = {}
+        self._endpoints: dict[str, Endpoint] = {}
+        self._order = HashOrder(self.table_groups)
+        self._slow_start_ends: dict[str, int] = {}  # by name: when its weight no longer rises
+        self._classify(group_names)
+
+    def _classify(self, group_names: Sequence[str]) -> None:
+        class_of_filter: dict[EngineFilter, str] = {}
+        for name, group in zip(group_names, self.deployment.groups):
+            engine_filter = EngineFilter(group.zones, group.kinds)
+            engine_class = class_of_filter.setdefault(engine_filter, name)
+            self.engine_classes[engine_class] = engine_filter
+            self.class_of[name] = engine_class
+            self.adaptive_concurrency[name] = adaptive_concurrency_of(group)
+            threads = max(group.threads, self._threads_per_request.get(engine_class, group.threads))
+            self._threads_per_request[engine_class] = threads
+
+    def cluster_names(self) -> list[str]:
+        """The names of all clusters."""
+        return [
+            cluster_name(engine_class, table_group)
+            for engine_class in self.engine_classes
+            for table_group in self.table_groups
+        ]
 
-    def clusters(self):
-        return [cluster_name(klass, table) for klass in self.allowed for table in self.tables]
+    def endpoints_of(self, cluster: str) -> tuple[PlacedEndpoint, ...]:
+        """A cluster's endpoints in their order."""
+        return self.clusters.get(cluster, ())
 
-    # The list
+    # the endpoint list
 
-    def list(self, now, fleet):
-        """Takes in a Fleet; the names of the clusters whose places are others now, those that lost an engine
-        to a drain apart: (changed, drained)."""
-        before, after = self.engines, fleet.engines
-        self.at = max(self.at, now)
+    def update(self, now: int, snapshot: EndpointSnapshot) -> tuple[set[str], set[str]]:
+        """Takes in the endpoint list; clusters whose endpoints have changed, and those of them that lost one
+        to a drain."""
+        before = self._endpoints
+        after = snapshot.endpoints
+        self.updated_at = max(self.updated_at, now)
         lost = [name for name in before if name not in after]
         new = [name for name in after if name not in before]
-        other = [
+        modified = [name for name in after if name in before and _differs(before[name], after[name])]
+        drained = {
             name
-            for name, engine in after.items()
-            if name in before
-            and before[name] is not engine
-            and before[name]._replace(index=0, told=0) != engine._replace(index=0, told=0)
-        ]
-        gone = {
-            name
-            for name in lost + other
-            if before[name].state == EngineState.READY
-            and (name not in after or after[name].state != EngineState.READY)
+            for name in lost + modified
+            if before[name].is_ready and (name not in after or not after[name].is_ready)
         }
-        many, touched = len(lost) + len(new) + len(other) > MANY, set()
-        if many:
-            touched.update(self.tables)
-        for name in lost:
-            if not many:
-                touched.update(self.orders_with(name))
-            self.drop(name)
-        self.add(new)
-        if not many:
-            for name in other:
-                touched.update(self.orders_with(name))
-        self.engines = dict(after)
-        if not many:
-            for name in new + other:
-                touched.update(self.orders_with(name))
-        return self.again(touched, gone)
-
-    def add(self, names):
-        for table, order in self.orders.items():
-            places = [(hash_place(name.encode(), table), name) for name in names]
-            if len(places) > MANY:
-                order += places
-                order.sort()
-                continue
-            for place in places:
-                insort(order, place)
-
-    def drop(self, name):
-        for table, order in self.orders.items():
-            at = bisect_left(order, (hash_place(name.encode(), table), name))
-            if at < len(order) and order[at][1] == name:
-                del order[at]
-
-    def orders_with(self, name):
-        """Tables where a change of this engine may matter: it is held already, or stands early enough."""
-        for table, order in self.orders.items():
-            at = bisect_left(order, (hash_place(name.encode(), table), name))
-            if at < self.reach(order):
-                yield table
-
-    def reach(self, order):
-        """How far down an order any class looks, those passed over counted."""
-        found = dict.fromkeys(self.allowed, 0)
-        for n, (_, name) in enumerate(order):
-            engine = self.engines.get(name)
-            if engine is None:
+        if len(lost) + len(new) + len(modified) > FULL_UPDATE_THRESHOLD:
+            self._replace_endpoints(after, lost, new)
+            affected = set(self.table_groups)
+        else:
+            affected = self._affected_by(lost)
+            self._remove(lost)
+            self._order.add(new)
+            affected |= self._affected_by(modified)
+            self._endpoints = dict(after)
+            affected |= self._affected_by(new + modified)
+        return self._recompute(affected, drained)
+
+    def _replace_endpoints(self, after: dict[str, Endpoint], lost: list[str], new: list[str]) -> None:
+        self._remove(lost)
+        self._order.add(new)
+        self._endpoints = dict(after)
+
+    def _remove(self, names: Iterable[str]) -> None:
+        for name in names:
+            self._order.remove(name)
+
+    def _affected_by(self, names: Iterable[str]) -> set[int]:
+        """Table groups where a change of these endpoints may matter: where they are early enough."""
+        return {
+            table_group
+            for name in names
+            for table_group, position in self._order.positions(name)
+            if position < self._reach(table_group)
+        }
+
+    def _reach(self, table_group: int) -> int:
+        """How many endpoints of the order any class looks at, those that are passed over included."""
+        found = dict.fromkeys(self.engine_classes, 0)
+        for position, name in enumerate(self._order.names(table_group)):
+            endpoint = self._endpoints.get(name)
+            if endpoint is None:
                 continue
-            for klass in found:
-                if engine.state == EngineState.READY and self.permitted(klass, engine):
-                    found[klass] += 1
-            if all(count >= FIRST_MOST + LATER for count in found.values()):
-                return n + 1
-        return len(order) + 1
-
-    def permitted(self, klass, engine):
-        zones, kinds = self.allowed[klass]
-        return (zones is None or self.zone_of.get(engine.zone) in zones) and (
-            kinds is None or self.kind_of.get(engine.kind) in kinds
-        )
-
-    # Time
-
-    def step(self, now):
-        """Weights that rise with time: (changed, drained) as from list()."""
-        self.at = max(self.at, now)
-        cold = [name for name in self.stepping if name in self.engines]
-        tables = (
-            set(self.tables)
-            if len(cold) > MANY
-            else {table for name in cold for table in self.orders_with(name)}
-        )
-        for name in [n for n, until in self.stepping.items() if until <= self.at]:
-            del self.stepping[name]
-        return self.again(tables, set())
-
-    def next_step(self):
-        """When weights may be others, None where no engine is cold."""
-        return (self.at // self.grid + 1) * self.grid if self.stepping else None
-
-    def warmth(self, engine):
-        """The part of an engine's cores that may be told now, in steps, from the grid's last point less what
-        the slowest proxy is late."""
-        if not engine.started:
+            for engine_class in found:
+                if endpoint.state == EngineState.READY and self._is_allowed(engine_class, endpoint):
+                    found[engine_class] += 1
+            if all(count >= MAX_FIRST_ENDPOINTS + MAX_BACKUP_ENDPOINTS for count in found.values()):
+                return position + 1
+        return self._order.size(table_group) + 1
+
+    def _is_allowed(self, engine_class: str, endpoint: Endpoint) -> bool:
+        zones, kinds = self.engine_classes[engine_class]
+        if zones is not None and self._zone_numbers.get(endpoint.zone) not in zones:
+            return False
+        return kinds is None or self._kind_numbers.get(endpoint.kind) in kinds
+
+    # slow start
+
+    def step(self, now: int) -> tuple[set[str], set[str]]:
+        """Raises the weights of endpoints in slow start; changed clusters as from update()."""
+        self.updated_at = max(self.updated_at, now)
+        warming_up = [name for name in self._slow_start_ends if name in self._endpoints]
+        if len(warming_up) > FULL_UPDATE_THRESHOLD:
+            affected = set(self.table_groups)
+        else:
+            affected = self._affected_by(warming_up)
+        ended = [name for name, end in self._slow_start_ends.items() if end <= self.updated_at]
+        for name in ended:
+            del self._slow_start_ends[name]
+        return self._recompute(affected, set())
+
+    def next_step(self) -> int | None:
+        """When weights may rise, None where no endpoint is in slow start."""
+        return (self.updated_at // self.grid + 1) * self.grid if self._slow_start_ends else None
+
+    def _usable_part(self, endpoint: Endpoint) -> float:
+        """The part of its cores that may be used now, by slow start."""
+        if not endpoint.started_at:
             return 1.0
-        site, at = self.site, self.at // self.grid * self.grid - self.lateness
-        age = at - engine.started
-        if age >= site.slow_start_duration:
+        duration = self.deployment.slow_start_duration
+        grid_point = self.updated_at // self.grid * self.grid
+        age = grid_point - self.ack_latency - endpoint.started_at
+        if age >= duration:
             return 1.0
-        self.stepping[engine.name] = engine.started + site.slow_start_duration + self.lateness + self.grid
-        step = (
-            max(0, int(age * WARM_STEPS / site.slow_start_duration)) * site.slow_start_duration // WARM_STEPS
-        )
-        return warm_part(step, site.slow_start_fraction, site.slow_start_duration)
-
-    def cores(self, engine):
-        kind = self.kind_of.get(engine.kind, -1)
-        return self.site.cores[kind] if 0 <= kind < len(self.site.cores) else 1
-
-    def weight(self, engine):
-        return max(1, round(SCALE * self.cores(engine) * engine.weight * self.warmth(engine)))
-
-    # Clusters
-
-    def again(self, tables, gone):
-        """Works out anew what these tables' clusters hold."""
-        changed, drained = set(), set()
-        for table in tables:
-            for klass in self.allowed:
-                name = cluster_name(klass, table)
-                before, after = self.cache.get(name), self.places(klass, table)
+        self._slow_start_ends[endpoint.name] = endpoint.started_at + duration + self.ack_latency + self.grid
+        steps = max(0, int(age * SLOW_START_STEPS / duration))
+        return warm_part(steps * duration // SLOW_START_STEPS, self.deployment.slow_start_fraction, duration)
+
+    def _weight(self, endpoint: Endpoint, usable_part: float) -> int:
+        return max(1, round(WEIGHT_OF_CORE * self._cores(endpoint) * endpoint.weight * usable_part))
+
+    def _cores(self, endpoint: Endpoint) -> int:
+        kind = self._kind_numbers.get(endpoint.kind, -1)
+        cores = self.deployment.cores
+        return cores[kind] if 0 <= kind < len(cores) else 1
+
+    # clusters
+
+    def _recompute(
+        self, table_groups: Iterable[int], drained_endpoints: set[str]
+    ) -> tuple[set[str], set[str]]:
+        changed = set()
+        drained = set()
+        for table_group in table_groups:
+            for engine_class in self.engine_classes:
+                name = cluster_name(engine_class, table_group)
+                before = self.clusters.get(name)
+                after = self._place(engine_class, table_group)
                 if before == after:
                     continue
-                self.cache[name] = after
+                self.clusters[name] = after
                 changed.add(name)
-                if before and gone and any(place.name in gone for place in before):
+                if before and drained_endpoints and any(e.name in drained_endpoints for e in before):
                     drained.add(name)
         return changed, drained
 
-    def places(self, klass, table):
-        """The Places of a cluster, in the order that is told."""
-        found, first, later, warm = [], 0, 0, 0.0
-        for _, name in self.orders[table]:
-            engine = self.engines.get(name)
-            # One that drains is left out: proxies end what they have out there, and send nothing new. Told as
-            # draining it would depend on whether a client knows that state.
-            if engine is None or engine.state != EngineState.READY or engine.address is None:
+    def _place(self, engine_class: str, table_group: int) -> tuple[PlacedEndpoint, ...]:
+        """A cluster's endpoints, those of priority 0 first."""
+        found: list[PlacedEndpoint] = []
+        first_count = 0
+        warm_sum = 0.0
+        for name in self._order.names(table_group):
+            endpoint = self._endpoints.get(name)
+            # A draining endpoint is left out, since whether a client knows that health status is uncertain:
+            # proxies complete their requests there, and send no new ones.
+            if endpoint is None or endpoint.state != EngineState.READY or endpoint.address is None:
                 continue
-            if not self.permitted(klass, engine):
+            if not self._is_allowed(engine_class, endpoint):
                 continue
-            behind = warm > FIRST_ENGINES - 1e-6 or first >= FIRST_MOST
-            if behind and later >= LATER:
+            is_backup = warm_sum > FIRST_ENGINES - WARM_TOLERANCE or first_count >= MAX_FIRST_ENDPOINTS
+            if is_backup and len(found) - first_count >= MAX_BACKUP_ENDPOINTS:
                 break
-            found.append(Place(name, engine.address, engine.zone or "", int(behind), self.weight(engine)))
-            if behind:
-                later += 1
-            else:
-                first, warm = first + 1, warm + self.warmth(engine)
+            usable_part = self._usable_part(endpoint)
+            weight = self._weight(endpoint, usable_part)
+            found.append(PlacedEndpoint(name, endpoint.address, endpoint.zone or "", int(is_backup), weight))
+            if not is_backup:
+                first_count += 1
+                warm_sum += usable_part
         return tuple(found)
 
-    def pace(self, group):
-        """The design's bound under pressure, for a proxy that knows no best latency; from settings."""
-        return Pace(PACE_MOST, PACE_EVERY, max(10, int(group.latency_objective * PACE_PART)), PACE_BUFFER)
-
-    def limits(self, klass):
-        """The bound on threads of a cluster's first engines, over all proxies, and what of the module's own
-        guards a proxy can keep: of those out, no more further tries than the budget allows, and an engine
-        that fails left alone for as long. By the settings alone, so that no change of the list changes it."""
-        site, (_, kinds) = self.site, self.allowed[klass]
-        cores = [c for n, c in enumerate(site.cores) if kinds is None or n in kinds]
-        threads = BOUND_THREADS * FIRST_ENGINES * max(cores, default=1) / self.proxies
-        # At least one: the design's "an engine with none always takes one".
-        requests = max(1, int(threads / self.threads[klass]))
-        share = site.retry_budget_ratio if site.retry_budget_window else RETRY_SHARE
-        return Limits(requests, requests, share, EJECTION_FIRST, EJECTION_MOST)
+    def circuit_breakers(self, engine_class: str) -> CircuitBreakers:
+        """The scheduler's bound on threads for a cluster's first endpoints, shared by all proxies, its retry
+        budget, and for how long endpoints that fail are ejected. They follow from the settings alone, so that
+        no change of the endpoint list changes them."""
+        deployment = self.deployment
+        kinds = self.engine_classes[engine_class].kinds
+        cores = [count for kind, count in enumerate(deployment.cores) if kinds is None or kind in kinds]
+        threads = BOUND_THREADS * FIRST_ENGINES * max(cores, default=1) / self._proxy_count
+        # At least one, as an idle engine may always be sent a query.
+        max_requests = max(1, int(threads / self._threads_per_request[engine_class]))
+        has_budget = deployment.retry_budget_window
+        retry_budget = deployment.retry_budget_ratio if has_budget else DEFAULT_RETRY_BUDGET
+        return CircuitBreakers(max_requests, max_requests, retry_budget, EJECTION_FIRST, EJECTION_MOST)
+
+
+def adaptive_concurrency_of(group: ResourceGroup) -> AdaptiveConcurrency:
+    """The limit for a resource group, by its latency objective: for proxies that know no best latency."""
+    round_trip = max(MIN_ROUND_TRIP, int(group.latency_objective * ROUND_TRIP_PART))
+    return AdaptiveConcurrency(MAX_CONCURRENCY, CONCURRENCY_UPDATE_INTERVAL, round_trip, ROUND_TRIP_TOLERANCE)
+
+
+def _differs(before: Endpoint, after: Endpoint) -> bool:
+    """Whether two states of an endpoint differ in more than when they were learnt."""
+    if before is after:
+        return False
+    return before._replace(index=0, draining_since=0) != after._replace(index=0, draining_since=0)
--- a/wickvane/xds/resources.py
+++ b/wickvane/xds/resources.py
@@ -1,9 +1,10 @@
-"""xDS v3 resources of what wickvane.xds.placement has worked out: a codec, which decides nothing.
+"""Encodes the placement as xDS v3 resources (envoy.config.*.v3); it decides nothing.
 
-From the published API (envoy.config.*.v3). Serialized deterministically, since versions follow from the
-octets.
+Serialized deterministically, since versions follow from the bytes.
 """
 
+from collections.abc import Collection, Iterable
+
 from envoy.config.cluster.v3 import circuit_breaker_pb2, cluster_pb2, outlier_detection_pb2
 from envoy.config.core.v3 import address_pb2, base_pb2, config_source_pb2, health_check_pb2
 from envoy.config.endpoint.v3 import endpoint_components_pb2, endpoint_pb2
@@ -19,174 +20,211 @@
 from envoy.extensions.load_balancing_policies.wrr_locality.v3 import wrr_locality_pb2
 from envoy.type.matcher.v3 import string_pb2
 from google.protobuf import any_pb2
+from google.protobuf.duration_pb2 import Duration
+from google.protobuf.message import Message
+
+from wickvane.units import TICKS_PER_SECOND
+from wickvane.xds.placement import (
+    CHOICE_COUNT,
+    MAX_EJECTION_PERCENT,
+    NO_TABLE_GROUP,
+    AdaptiveConcurrency,
+    CircuitBreakers,
+    PlacedEndpoint,
+    Placement,
+    cluster_name,
+)
+from wickvane.xds.resource_types import ResourceType
 
-from wickvane.xds.catalog import CDS, LDS, RDS
-from wickvane.xds.placement import CHOICES, EJECT_SHARE, NO_TABLE, cluster_name
-
-TABLE_HEADER = "x-wickvane-table"  # the table group's number, which the proxy's client or filter sets
+TABLE_GROUP_HEADER = "x-wickvane-table"  # the table group's number, set by the proxy's client or filter
+NANOSECONDS_PER_TICK = 100_000
+CONNECT_TIMEOUT = 2_500  # ticks
+OUTLIER_INTERVAL = 2_500  # ticks
+CONSECUTIVE_5XX = 5
+CONSECUTIVE_GATEWAY_FAILURES = 3
+ENFORCING_PERCENT = 100
+MIN_RETRY_CONCURRENCY = 1
+ROUND_TRIP_PERCENTILE = 50
+PERCENT = 100
 
 
-def octets(message):
-    return message.SerializeToString(deterministic=True)
+def set_duration(message: Duration, ticks: int) -> None:
+    """Writes ticks into a protobuf duration."""
+    message.seconds = ticks // TICKS_PER_SECOND
+    message.nanos = ticks % TICKS_PER_SECOND * NANOSECONDS_PER_TICK
 
 
-def packed(message):
-    found = any_pb2.Any()
-    found.Pack(message, deterministic=True)
-    return found
+def _encode(message: Message) -> bytes:
+    return message.SerializeToString(deterministic=True)
 
 
-def seconds(message, tenths):
-    message.seconds, message.nanos = tenths // 10_000, tenths % 10_000 * 100_000
+def _pack(message: Message) -> any_pb2.Any:
+    packed = any_pb2.Any()
+    packed.Pack(message, deterministic=True)
+    return packed
 
 
-def policy(*messages):
-    found = cluster_pb2.LoadBalancingPolicy()
+def _load_balancing_policy(*messages: Message) -> cluster_pb2.LoadBalancingPolicy:
+    """Policies of which a client takes the first that it knows."""
+    policy = cluster_pb2.LoadBalancingPolicy()
     for message in messages:
-        config = found.policies.add().typed_extension_config
+        config = policy.policies.add().typed_extension_config
         config.name = message.DESCRIPTOR.full_name
-        config.typed_config.CopyFrom(packed(message))
-    return found
+        config.typed_config.CopyFrom(_pack(message))
+    return policy
 
 
-def ads():
+def _aggregated_source() -> config_source_pb2.ConfigSource:
+    """Resources that are to be fetched on the same aggregated stream."""
     return config_source_pb2.ConfigSource(
         ads=config_source_pb2.AggregatedConfigSource(), resource_api_version=config_source_pb2.V3
     )
 
 
-class Make:
-    """zone: the locality's region; lrs: whether proxies are asked to report loads to this service."""
+class ResourceBuilder:
+    """Encodes resources; has_load_reporting: whether proxies are to report their load to this service."""
 
-    def __init__(self, lrs=True):
-        self.lrs = lrs
+    def __init__(self, has_load_reporting: bool = True) -> None:
+        self._has_load_reporting = has_load_reporting
 
-    def is_for(self, placement, kind, name, groups):
+    def belongs_to(
+        self, placement: Placement, resource_type: ResourceType, name: str, groups: Collection[str]
+    ) -> bool:
         """Whether a resource belongs to one of these resource groups."""
-        if kind in (LDS, RDS):
+        if resource_type in (ResourceType.LDS, ResourceType.RDS):
             return name in groups
-        klass = name.partition("/")[0]
-        return any(placement.class_of.get(group) == klass for group in groups)
-
-    def settled(self, placement):
-        """What follows from the settings alone: {type: {name: body}}."""
-        clusters = {
-            cluster_name(klass, table): self.cluster(cluster_name(klass, table), limits)
-            for klass in placement.allowed
-            for limits in (placement.limits(klass),)
-            for table in placement.tables
-        }
+        engine_class = name.partition("/")[0]
+        return any(placement.class_of.get(group) == engine_class for group in groups)
+
+    def build_static(self, placement: Placement) -> dict[ResourceType, dict[str, bytes]]:
+        """The resources that follow from the settings alone, by type and name."""
+        clusters = {}
+        for engine_class in placement.engine_classes:
+            limits = placement.circuit_breakers(engine_class)
+            for table_group in placement.table_groups:
+                name = cluster_name(engine_class, table_group)
+                clusters[name] = self._build_cluster(name, limits)
+        limits_of = placement.adaptive_concurrency
         groups = list(placement.class_of)
         return {
-            CDS: clusters,
-            LDS: {group: self.listener(group, placement.paces[group]) for group in groups},
-            RDS: {group: self.routes(group, placement) for group in groups},
+            ResourceType.CDS: clusters,
+            ResourceType.LDS: {group: self._build_listener(group, limits_of[group]) for group in groups},
+            ResourceType.RDS: {group: self._build_routes(group, placement) for group in groups},
         }
 
-    def cluster(self, name, limits):
-        made = cluster_pb2.Cluster(
+    def _build_cluster(self, name: str, limits: CircuitBreakers) -> bytes:
+        cluster = cluster_pb2.Cluster(
             name=name,
             type=cluster_pb2.Cluster.EDS,
-            eds_cluster_config=cluster_pb2.Cluster.EdsClusterConfig(eds_config=ads()),
+            eds_cluster_config=cluster_pb2.Cluster.EdsClusterConfig(eds_config=_aggregated_source()),
         )
-        # A client takes the first that it knows: least requests by weight, else by weight of localities.
-        least = least_request_pb2.LeastRequest()
-        least.choice_count.value = CHOICES
+        cluster.load_balancing_policy.CopyFrom(self._cluster_policy())
+        set_duration(cluster.connect_timeout, CONNECT_TIMEOUT)
+        cluster.circuit_breakers.thresholds.append(self._thresholds(limits))
+        cluster.outlier_detection.CopyFrom(self._outlier_detection(limits))
+        if self._has_load_reporting:
+            cluster.lrs_server.self.SetInParent()
+        return _encode(cluster)
+
+    @staticmethod
+    def _cluster_policy() -> cluster_pb2.LoadBalancingPolicy:
+        """Least requests by weight, for clients without it round robin by weight of localities."""
+        least_request = least_request_pb2.LeastRequest()
+        least_request.choice_count.value = CHOICE_COUNT
         by_locality = wrr_locality_pb2.WrrLocality()
-        by_locality.endpoint_picking_policy.CopyFrom(policy(round_robin_pb2.RoundRobin()))
-        made.load_balancing_policy.CopyFrom(policy(least, by_locality))
-        seconds(made.connect_timeout, 2_500)
+        round_robin = _load_balancing_policy(round_robin_pb2.RoundRobin())
+        by_locality.endpoint_picking_policy.CopyFrom(round_robin)
+        return _load_balancing_policy(least_request, by_locality)
+
+    @staticmethod
+    def _thresholds(limits: CircuitBreakers) -> circuit_breaker_pb2.CircuitBreakers.Thresholds:
         thresholds = circuit_breaker_pb2.CircuitBreakers.Thresholds()
-        thresholds.max_requests.value = limits.requests
-        thresholds.max_pending_requests.value = limits.pending
-        thresholds.retry_budget.budget_percent.value = 100 * limits.retry_share
-        thresholds.retry_budget.min_retry_concurrency.value = 1
-        made.circuit_breakers.thresholds.append(thresholds)
+        thresholds.max_requests.value = limits.max_requests
+        thresholds.max_pending_requests.value = limits.max_pending
+        thresholds.retry_budget.budget_percent.value = PERCENT * limits.retry_budget
+        thresholds.retry_budget.min_retry_concurrency.value = MIN_RETRY_CONCURRENCY
+        return thresholds
+
+    @staticmethod
+    def _outlier_detection(limits: CircuitBreakers) -> outlier_detection_pb2.OutlierDetection:
         outlier = outlier_detection_pb2.OutlierDetection()
-        outlier.consecutive_5xx.value = 5
-        outlier.consecutive_gateway_failure.value = 3
-        outlier.enforcing_consecutive_gateway_failure.value = 100
-        outlier.max_ejection_percent.value = EJECT_SHARE
-        seconds(outlier.base_ejection_time, limits.eject)
-        seconds(outlier.max_ejection_time, limits.eject_most)
-        seconds(outlier.interval, 2_500)
-        made.outlier_detection.CopyFrom(outlier)
-        if self.lrs:
-            made.lrs_server.self.SetInParent()
-        return octets(made)
-
-    def assignment(self, name, places):
-        """A cluster's engines."""
-        made = endpoint_pb2.ClusterLoadAssignment(cluster_name=name)
-        found = {}
-        for place in places:
-            host, port = place.address
-            end = endpoint_components_pb2.LbEndpoint(health_status=health_check_pb2.HEALTHY)
-            end.endpoint.address.socket_address.CopyFrom(
+        outlier.consecutive_5xx.value = CONSECUTIVE_5XX
+        outlier.consecutive_gateway_failure.value = CONSECUTIVE_GATEWAY_FAILURES
+        outlier.enforcing_consecutive_gateway_failure.value = ENFORCING_PERCENT
+        outlier.max_ejection_percent.value = MAX_EJECTION_PERCENT
+        set_duration(outlier.base_ejection_time, limits.base_ejection)
+        set_duration(outlier.max_ejection_time, limits.max_ejection)
+        set_duration(outlier.interval, OUTLIER_INTERVAL)
+        return outlier
+
+    def build_assignment(self, name: str, endpoints: Iterable[PlacedEndpoint]) -> bytes:
+        """A cluster's load assignment."""
+        assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=name)
+        localities: dict[tuple[int, str, int], list[endpoint_components_pb2.LbEndpoint]] = {}
+        for placed in endpoints:
+            host, port = placed.address
+            endpoint = endpoint_components_pb2.LbEndpoint(health_status=health_check_pb2.HEALTHY)
+            endpoint.endpoint.address.socket_address.CopyFrom(
                 address_pb2.SocketAddress(address=host, port_value=port)
             )
-            end.endpoint.hostname = place.name
-            end.load_balancing_weight.value = place.weight
-            # Engines of one weight are a locality: clients that know weights of localities alone heed it too.
-            found.setdefault((place.priority, place.zone, place.weight), []).append(end)
-        for (priority, zone, weight), ends in sorted(found.items()):
-            group = made.endpoints.add(
+            endpoint.endpoint.hostname = placed.name
+            endpoint.load_balancing_weight.value = placed.weight
+            # Endpoints of one weight are a locality, for clients that know weights of localities alone.
+            key = placed.priority, placed.zone, placed.weight
+            localities.setdefault(key, []).append(endpoint)
+        for (priority, zone, weight), members in sorted(localities.items()):
+            locality = assignment.endpoints.add(
                 priority=priority, locality=base_pb2.Locality(zone=zone, sub_zone=f"weight-{weight}")
             )
-            group.lb_endpoints.extend(ends)
-            group.load_balancing_weight.value = sum(end.load_balancing_weight.value for end in ends)
-        return octets(made)
+            locality.lb_endpoints.extend(members)
+            locality.load_balancing_weight.value = weight * len(members)
+        return _encode(assignment)
 
-    def listener(self, group, pace):
-        """One a resource group, by its name: `xds:///GROUP` for a client of gRPC, an API listener for what
-        brings a listener of its own."""
+    def _build_listener(self, group: str, limit: AdaptiveConcurrency) -> bytes:
+        """A resource group's listener, by its name: `xds:///GROUP` for a gRPC client, an API listener for
+        proxies with listeners of their own."""
         manager = hcm_pb2.HttpConnectionManager(
-            stat_prefix=group, rds=hcm_pb2.Rds(route_config_name=group, config_source=ads())
+            stat_prefix=group,
+            rds=hcm_pb2.Rds(route_config_name=group, config_source=_aggregated_source()),
         )
         gradient = concurrency_pb2.GradientControllerConfig()
-        gradient.sample_aggregate_percentile.value = 50
-        gradient.concurrency_limit_params.max_concurrency_limit.value = pace.most
-        seconds(gradient.concurrency_limit_params.concurrency_update_interval, pace.every)
-        seconds(gradient.min_rtt_calc_params.fixed_value, pace.round_trip)
-        gradient.min_rtt_calc_params.buffer.value = 100 * pace.buffer
+        gradient.sample_aggregate_percentile.value = ROUND_TRIP_PERCENTILE
+        limits = gradient.concurrency_limit_params
+        limits.max_concurrency_limit.value = limit.max_concurrency
+        set_duration(limits.concurrency_update_interval, limit.update_interval)
+        set_duration(gradient.min_rtt_calc_params.fixed_value, limit.round_trip)
+        gradient.min_rtt_calc_params.buffer.value = PERCENT * limit.tolerance
+        filter_config = concurrency_pb2.AdaptiveConcurrency(gradient_controller_config=gradient)
         # A client that has no such filter goes without it.
         manager.http_filters.append(
             hcm_pb2.HttpFilter(
-                name="adaptive-concurrency",
-                is_optional=True,
-                typed_config=packed(concurrency_pb2.AdaptiveConcurrency(gradient_controller_config=gradient)),
+                name="adaptive-concurrency", is_optional=True, typed_config=_pack(filter_config)
             )
         )
         manager.http_filters.append(
-            hcm_pb2.HttpFilter(name="router", typed_config=packed(router_pb2.Router()))
-        )
-        return octets(
-            listener_pb2.Listener(
-                name=group, api_listener=api_listener_pb2.ApiListener(api_listener=packed(manager))
-            )
+            hcm_pb2.HttpFilter(name="router", typed_config=_pack(router_pb2.Router()))
         )
+        api_listener = api_listener_pb2.ApiListener(api_listener=_pack(manager))
+        return _encode(listener_pb2.Listener(name=group, api_listener=api_listener))
 
-    def routes(self, group, placement):
-        klass = placement.class_of[group]
+    @staticmethod
+    def _build_routes(group: str, placement: Placement) -> bytes:
+        """Routes by the table group's header; requests without one go to the cluster of no table group."""
+        engine_class = placement.class_of[group]
         host = route_components_pb2.VirtualHost(name=group, domains=["*"])
-        for table in placement.tables:
-            if table == NO_TABLE:
+        for table_group in placement.table_groups:
+            if table_group == NO_TABLE_GROUP:
                 continue
             match = route_components_pb2.RouteMatch(prefix="")
+            is_table_group = string_pb2.StringMatcher(exact=str(table_group))
             match.headers.append(
-                route_components_pb2.HeaderMatcher(
-                    name=TABLE_HEADER, string_match=string_pb2.StringMatcher(exact=str(table))
-                )
-            )
-            host.routes.append(
-                route_components_pb2.Route(
-                    match=match, route=route_components_pb2.RouteAction(cluster=cluster_name(klass, table))
-                )
-            )
-        host.routes.append(
-            route_components_pb2.Route(
-                match=route_components_pb2.RouteMatch(prefix=""),
-                route=route_components_pb2.RouteAction(cluster=cluster_name(klass, NO_TABLE)),
+                route_components_pb2.HeaderMatcher(name=TABLE_GROUP_HEADER, string_match=is_table_group)
             )
-        )
-        return octets(route_pb2.RouteConfiguration(name=group, virtual_hosts=[host]))
+            host.routes.append(_route(match, cluster_name(engine_class, table_group)))
+        default_match = route_components_pb2.RouteMatch(prefix="")
+        host.routes.append(_route(default_match, cluster_name(engine_class, NO_TABLE_GROUP)))
+        return _encode(route_pb2.RouteConfiguration(name=group, virtual_hosts=[host]))
+
+
+def _route(match: route_components_pb2.RouteMatch, cluster: str) -> route_components_pb2.Route:
+    return route_components_pb2.Route(match=match, route=route_components_pb2.RouteAction(cluster=cluster))
--- a/wickvane/xds/simulated_proxies.py
+++ b/wickvane/xds/simulated_proxies.py
@@ -1,136 +1,204 @@
-"""What a proxy makes of placement decisions alone, behind the dispatchers' own border, free of I/O: for the
-rehearsal, to tell how near a proxy that only follows xDS comes to a dispatcher, and what is lost.
-
-It does what the resources say and a proxy of the published API can do: of a cluster's first engines the one
-with least requests over its weight, of three drawn; those of priority 1 in the measure in which first ones
-are ejected (overprovisioning 1.4); a bound on requests a cluster, past which it answers at once; engines that
-fail three times in a row are left alone. It has no queue, and tries nothing again: a retry budget counts what
-is out, not what was sent in a window, and cannot keep rule 7.
+"""Simulates proxies that only follow xDS, behind the dispatchers' own interface, free of I/O.
+
+benchmarks/control.py compares them with dispatchers. A simulated proxy does what the resources say and a
+proxy of the published API can do: of a cluster's endpoints of priority 0, three are drawn and the one with
+the fewest requests over its weight is chosen; those of priority 1 take over as endpoints of priority 0 are
+ejected; a limit on a cluster's requests, past which it rejects at once; endpoints that fail three times in a
+row are ejected. It has no queue and does not retry: a retry budget counts requests in progress, not those
+sent in a window, and cannot keep rule 7.
 """
 
 from math import sqrt
 from random import Random
+from typing import Any, NamedTuple
+
+from wickvane.events import (
+    AttemptEnded,
+    ClientGone,
+    Deployment,
+    Effect,
+    Ending,
+    EngineUpdated,
+    QueryArrived,
+)
+from wickvane.xds.endpoint_snapshot import DEFAULT_REMOVAL_LIMIT, EndpointSnapshot, apply_event
+from wickvane.xds.placement import (
+    CHOICE_COUNT,
+    MAX_EJECTION_PERCENT,
+    AdaptiveConcurrency,
+    PlacedEndpoint,
+    Placement,
+    cluster_name,
+)
+
+OVERPROVISIONING_FACTOR = 1.4
+CONSECUTIVE_FAILURES = 3
+TABLE_GROUP_COUNT = 20
+MIN_STEP = 0.5
+MAX_STEP = 2.0
+PERCENT = 100
+
+
+class GradientLimit:
+    """The adaptive concurrency filter as its documentation says: a limit on requests in progress that moves
+    by the wanted round trip over the measured one, and by its own square root."""
+
+    def __init__(self, settings: AdaptiveConcurrency) -> None:
+        self.in_progress = 0
+        self._settings = settings
+        self._limit = float(settings.max_concurrency)
+        self._round_trips: list[int] = []
+        self._updated_at = 0
+
+    def is_full(self) -> bool:
+        """Whether no further request is admitted."""
+        return self.in_progress >= int(self._limit)
+
+    def end_request(self, now: int, round_trip: int) -> None:
+        """Takes in the round trip of a request that has ended."""
+        self.in_progress -= 1
+        self._round_trips.append(round_trip)
+        if now < self._updated_at + self._settings.update_interval:
+            return
+        self._round_trips.sort()
+        median = self._round_trips[len(self._round_trips) // 2]
+        self._round_trips = []
+        self._updated_at = now
+        wanted = self._settings.round_trip * (1 + self._settings.tolerance)
+        step = max(MIN_STEP, min(MAX_STEP, wanted / max(1, median)))
+        grown = step * self._limit + sqrt(step * self._limit)
+        self._limit = max(1.0, min(self._settings.max_concurrency, grown))
 
-from wickvane.events import AttemptEnded, ClientGone, Effect, Ending, EngineUpdated, QueryArrived
-from wickvane.xds import endpoint_snapshot
-from wickvane.xds.placement import CHOICES, EJECT_SHARE, Placement, cluster_name
-
-OVER, ROW = 1.4, 3
-
-
-class Gradient:
-    """The adaptive concurrency filter as its page says: a limit on what is out that moves by the round trip
-    that is wanted over the one that is seen, and by its own root."""
-
-    def __init__(self, pace):
-        self.pace, self.limit, self.out, self.seen, self.at = pace, float(pace.most), 0, [], 0
-
-    def full(self):
-        return self.out >= int(self.limit)
 
-    def ended(self, now, elapsed):
-        self.out -= 1
-        self.seen.append(elapsed)
-        if now < self.at + self.pace.every:
-            return
-        self.seen.sort()
-        usual, self.seen, self.at = self.seen[len(self.seen) // 2], [], now
-        step = max(0.5, min(2.0, self.pace.round_trip * (1 + self.pace.buffer) / max(1, usual)))
-        self.limit = max(1.0, min(self.pace.most, step * self.limit + sqrt(step * self.limit)))
+class _OpenQuery(NamedTuple):
+    resource_group: int
+    cluster: str
 
 
 class SimulatedProxies:
-    """A gateway in name; tables: how many table groups there are."""
-
-    tables = 20
-
-    def __init__(self, seed, site):
-        self.site, self.chance, self.index = site, Random(seed), 0
-        names = [f"g{n}" for n in range(len(site.groups))]
-        kinds = range(len(site.cores))
-        self.placement = Placement(site, names, range(self.tables), site.dispatcher_count, kinds, [0])
-        self.fleet, self.names, self.numbers = endpoint_snapshot.Fleet(), {}, {}
-        self.out, self.open, self.active = {}, {}, {}  # by engine; by query; by cluster
-        self.failed, self.ejected = {}, {}
-        self.gradients = [Gradient(self.placement.pace(group)) for group in site.groups]
-
-    def round(self, now, events, out):
-        step = self.placement.next_step()
-        if step is not None and now >= step:
-            self.placement.step(now)
+    """One proxy in place of a dispatcher."""
+
+    def __init__(self, seed: int, deployment: Deployment) -> None:
+        self._deployment = deployment
+        self._random = Random(seed)
+        self._index = 0
+        group_names = [f"g{number}" for number in range(len(deployment.groups))]
+        self._placement = Placement(
+            deployment,
+            group_names,
+            range(TABLE_GROUP_COUNT),
+            deployment.dispatcher_count,
+            range(len(deployment.cores)),
+            [0],
+        )
+        self._snapshot = EndpointSnapshot()
+        self._names: dict[int, str] = {}  # by engine number
+        self._numbers: dict[str, int] = {}
+        self._in_progress: dict[str, int] = {}  # by endpoint
+        self._open_queries: dict[int, _OpenQuery] = {}
+        self._cluster_requests: dict[str, int] = {}
+        self._failures: dict[str, int] = {}
+        self._ejected_until: dict[str, int] = {}
+        self._gradients = [GradientLimit(self._placement.adaptive_concurrency[name]) for name in group_names]
+
+    def round(self, now: int, events: list[Any], out: Any) -> None:
+        """Takes in events and writes commands, as wickvane.scheduler.Scheduler.round()."""
+        next_step = self._placement.next_step()
+        if next_step is not None and now >= next_step:
+            self._placement.step(now)
         for event in events:
-            if isinstance(event, QueryArrived):
-                self.taken(now, out, *event)
-            elif isinstance(event, AttemptEnded):
-                self.ended(now, out, *event)
-            elif isinstance(event, ClientGone) and event.query in self.open:
-                resource_group, cluster = self.open.pop(event.query)
-                self.active[cluster] -= 1
-                self.gradients[resource_group].out -= 1
-                out.cancel_attempt(event.query, 0)
-            elif isinstance(event, EngineUpdated):
-                self.engine(now, *event)
-
-    def engine(self, now, e, rank, state, zone, kind, cell, started, weight):
+            match event:
+                case QueryArrived():
+                    self._start_query(now, out, event)
+                case AttemptEnded():
+                    self._end_attempt(now, out, event)
+                case ClientGone() if event.query in self._open_queries:
+                    self._cancel(out, event.query)
+                case EngineUpdated():
+                    self._update_engine(now, event)
+
+    def _cancel(self, out: Any, query: int) -> None:
+        resource_group, cluster = self._open_queries.pop(query)
+        self._cluster_requests[cluster] -= 1
+        self._gradients[resource_group].in_progress -= 1
+        out.cancel_attempt(query, 0)
+
+    def _update_engine(self, now: int, event: EngineUpdated) -> None:
+        engine, rank, state, _, kind, cell, started, weight = event
         name = rank.decode()
-        self.names[e], self.numbers[name], self.index = name, e, self.index + 1
-        row = name, (name, 1), state, 0, kind, cell, started / 10, weight
-        self.fleet, _ = endpoint_snapshot.changed(
-            self.fleet, now, self.index, False, [row], endpoint_snapshot.FLOOR
+        self._names[engine] = name
+        self._numbers[name] = engine
+        self._index += 1
+        entry = name, (name, 1), state, 0, kind, cell, started / 10, weight
+        self._snapshot, _ = apply_event(
+            self._snapshot, now, self._index, False, [entry], DEFAULT_REMOVAL_LIMIT
         )
-        self.placement.list(now, self.fleet)
-
-    def taken(self, now, out, q, resource_group, tenant, cost, memory, table_group, key, left, again=False):
-        klass = self.placement.class_of[f"g{resource_group}"]
-        cluster = cluster_name(klass, table_group % self.tables)
-        gradient = self.gradients[resource_group]
-        if self.active.get(cluster, 0) >= self.placement.limits(klass).requests or gradient.full():
-            return out.reject(q, 0)
-        name = self.chosen(now, cluster)
+        self._placement.update(now, self._snapshot)
+
+    def _start_query(self, now: int, out: Any, event: QueryArrived) -> None:
+        engine_class = self._placement.class_of[f"g{event.group}"]
+        cluster = cluster_name(engine_class, event.table_group % TABLE_GROUP_COUNT)
+        gradient = self._gradients[event.group]
+        max_requests = self._placement.circuit_breakers(engine_class).max_requests
+        if self._cluster_requests.get(cluster, 0) >= max_requests or gradient.is_full():
+            out.reject(event.query, 0)
+            return
+        name = self._choose(now, cluster)
         if name is None:
-            return out.reject(q, 0)
-        self.active[cluster] = self.active.get(cluster, 0) + 1
-        self.out[name] = self.out.get(name, 0) + 1
-        gradient.out += 1
-        self.open[q] = resource_group, cluster
-        out.start_attempt(q, self.numbers[name], 0)
-
-    def chosen(self, now, cluster):
-        places = self.placement.cache.get(cluster, ())
-        away = [p for p in places if self.ejected.get(p.name, 0) > now]
-        if len(away) * 100 > EJECT_SHARE * len(places):
-            away = []
-        first = [p for p in places if not p.priority]
-        fit = [p for p in first if p not in away]
-        later = [p for p in places if p.priority and p not in away]
-        if first and later and self.chance.random() >= OVER * len(fit) / len(first):
-            fit = later
-        fit = fit or later
-        if not fit:
+            out.reject(event.query, 0)
+            return
+        self._cluster_requests[cluster] = self._cluster_requests.get(cluster, 0) + 1
+        self._in_progress[name] = self._in_progress.get(name, 0) + 1
+        gradient.in_progress += 1
+        self._open_queries[event.query] = _OpenQuery(event.group, cluster)
+        out.start_attempt(event.query, self._numbers[name], 0)
+
+    def _choose(self, now: int, cluster: str) -> str | None:
+        """The endpoint that a request is sent to, None where there is none."""
+        placed = self._placement.endpoints_of(cluster)
+        ejected = [endpoint for endpoint in placed if self._ejected_until.get(endpoint.name, 0) > now]
+        if len(ejected) * PERCENT > MAX_EJECTION_PERCENT * len(placed):
+            ejected = []
+        first = [endpoint for endpoint in placed if not endpoint.priority]
+        candidates = [endpoint for endpoint in first if endpoint not in ejected]
+        backups = [endpoint for endpoint in placed if endpoint.priority and endpoint not in ejected]
+        if first and backups:
+            first_share = OVERPROVISIONING_FACTOR * len(candidates) / len(first)
+            if self._random.random() >= first_share:
+                candidates = backups
+        candidates = candidates or backups
+        if not candidates:
             return None
-        drawn = [self.chance.choice(fit) for _ in range(CHOICES)]
-        return max(drawn, key=lambda p: p.weight / (self.out.get(p.name, 0) + 1)).name
-
-    def ended(self, now, out, q, submission, e, ending, elapsed, complete, work, memory, report):
-        name = self.names[e]
-        self.out[name] -= 1
-        resource_group, cluster = self.open.pop(q, (None, None))
-        if ending == Ending.FINISHED:
-            self.failed[name] = 0
-        else:
-            self.failed[name] = self.failed.get(name, 0) + 1
-            if self.failed[name] >= ROW:
-                limits = self.placement.limits(next(iter(self.placement.allowed)))
-                longer = limits.eject * (self.failed[name] - ROW + 1)
-                self.ejected[name] = now + min(limits.eject_most, longer)
-        if resource_group is None:
+        drawn = [self._random.choice(candidates) for _ in range(CHOICE_COUNT)]
+        return max(drawn, key=self._weight_per_request).name
+
+    def _weight_per_request(self, endpoint: PlacedEndpoint) -> float:
+        return endpoint.weight / (self._in_progress.get(endpoint.name, 0) + 1)
+
+    def _end_attempt(self, now: int, out: Any, event: AttemptEnded) -> None:
+        name = self._names[event.engine]
+        self._in_progress[name] -= 1
+        self._count_failure(now, name, event.ending)
+        open_query = self._open_queries.pop(event.query, None)
+        if open_query is None:
             return
-        self.active[cluster] -= 1
-        self.gradients[resource_group].ended(now, elapsed)
-        if complete or ending == Ending.FINISHED:
+        self._cluster_requests[open_query.cluster] -= 1
+        self._gradients[open_query.resource_group].end_request(now, event.elapsed)
+        if event.complete or event.ending == Ending.FINISHED:
             return
-        proven, group = ending >= Ending.REJECTED, self.site.groups[resource_group]
-        if not proven and group.effect != Effect.READ_ONLY:
-            out.fail(q)
+        has_not_run = event.ending >= Ending.REJECTED
+        group = self._deployment.groups[open_query.resource_group]
+        if not has_not_run and group.effect != Effect.READ_ONLY:
+            out.fail(event.query)
         else:
-            out.reject(q, 0)
+            out.reject(event.query, 0)
+
+    def _count_failure(self, now: int, name: str, ending: int) -> None:
+        if ending == Ending.FINISHED:
+            self._failures[name] = 0
+            return
+        self._failures[name] = self._failures.get(name, 0) + 1
+        if self._failures[name] >= CONSECUTIVE_FAILURES:
+            limits = self._placement.circuit_breakers(next(iter(self._placement.engine_classes)))
+            times = self._failures[name] - CONSECUTIVE_FAILURES + 1
+            self._ejected_until[name] = now + min(limits.max_ejection, limits.base_ejection * times)
--- /dev/null
+++ b/wickvane/xds/snapshot_writer.py
@@ -0,0 +1,61 @@
+"""Writes the endpoint snapshot to disk behind the event loop, at most a few times a second."""
+
+import asyncio
+import time
+from collections.abc import Callable
+
+from wickvane.net.counters import Counters
+from wickvane.net.log import Log
+from wickvane.xds.endpoint_snapshot import EndpointSnapshot
+from wickvane.xds.errors import SnapshotError
+from wickvane.xds.snapshot_store import load_snapshot, save_snapshot
+
+MIN_SAVE_INTERVAL_S = 0.2
+
+
+class SnapshotWriter:
+    """The stored snapshot of one instance; folder: None for none; current: the snapshot to write."""
+
+    def __init__(
+        self, folder: str | None, current: Callable[[], EndpointSnapshot], log: Log, counters: Counters
+    ) -> None:
+        self._folder = folder
+        self._current = current
+        self._log = log
+        self._counters = counters
+        self._pending: asyncio.TimerHandle | None = None
+        self._saved_at = 0.0
+
+    def schedule(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Has the snapshot written soon."""
+        if self._folder and self._pending is None:
+            pause = MIN_SAVE_INTERVAL_S - (time.monotonic() - self._saved_at)
+            self._pending = loop.call_later(max(0.0, pause), self._save_in_thread, loop)
+
+    def _save_in_thread(self, loop: asyncio.AbstractEventLoop) -> None:
+        self._pending = None
+        self._saved_at = time.monotonic()
+        loop.run_in_executor(None, self._save, self._current())
+
+    def save_now(self) -> None:
+        """Writes the snapshot before it returns."""
+        if self._folder:
+            self._save(self._current())
+
+    def _save(self, snapshot: EndpointSnapshot) -> None:
+        try:
+            save_snapshot(self._folder, snapshot)
+        except OSError as error:
+            self._counters.add("snapshots-failed")
+            self._log.line("snapshot-failed", why=error.strerror)
+
+    def load(self) -> EndpointSnapshot | None:
+        """The stored snapshot, None where there is none that can be read."""
+        if not self._folder:
+            return None
+        try:
+            return load_snapshot(self._folder)
+        except SnapshotError as error:
+            self._counters.add("snapshots-unreadable")
+            self._log.line("snapshot-unreadable", why=str(error))
+            return None
--- /dev/null
+++ b/wickvane/xds/subscription.py
@@ -0,0 +1,324 @@
+"""What one stream has subscribed to of one resource type, was sent, acknowledged and rejected; free of I/O.
+
+The two variants of the protocol differ in how requests are read and changes are found: sotw.py and delta.py.
+Content that was rejected is not sent again until it changes; the proxy goes on with the last good one.
+Times are ticks.
+"""
+
+from abc import ABC, abstractmethod
+from collections.abc import Callable, Collection
+from dataclasses import dataclass
+from typing import Any, NamedTuple
+
+from wickvane.units import to_milliseconds
+from wickvane.xds.catalog import CachedResource, Catalog
+from wickvane.xds.errors import StreamProtocolError
+from wickvane.xds.log_events import ProxyAhead, ProxyAheadResolved, ResponseNacked, StreamEvent
+from wickvane.xds.messages import DiscoveryResponse, SentResponse
+from wickvane.xds.resource_types import ResourceType
+from wickvane.xds.resource_version import parse_version
+
+MAX_RESOURCE_NAMES = 10_000
+MAX_REASON_CHARACTERS = 512
+MAX_IN_FLIGHT = 8  # responses of a type that are remembered until they are acknowledged
+
+
+@dataclass(slots=True)
+class StreamMetrics:
+    """What one stream has sent and received; ack_latency: ticks, of the slowest lately."""
+
+    sent: int = 0
+    acknowledged: int = 0
+    nacked: int = 0
+    stale: int = 0
+    drain_resends: int = 0
+    late_drains: int = 0
+    ack_latency: int = 0
+
+    def counts(self) -> dict[str, int]:
+        """The counts by the names that status and log have."""
+        return {
+            "sent": self.sent,
+            "acknowledged": self.acknowledged,
+            "refused": self.nacked,
+            "stale": self.stale,
+            "told-again": self.drain_resends,
+            "late": self.late_drains,
+        }
+
+
+@dataclass(slots=True)
+class UnacknowledgedDrain:
+    """A drain that the proxy has not acknowledged; generation: of the first response with it."""
+
+    generation: int
+    since: int
+    resends: int = 0
+
+
+class PendingChange(NamedTuple):
+    """What a proxy lacks: names to send, names to remove, whether one of them takes an endpoint from it."""
+
+    names: tuple[str, ...] = ()
+    removed: tuple[str, ...] = ()
+    is_drain: bool = False
+
+
+NO_CHANGE = PendingChange()
+
+
+class _VisibleNames(NamedTuple):
+    name_changes: int
+    names: frozenset[str]
+
+
+class Subscription(ABC):
+    """One resource type on one stream."""
+
+    def __init__(
+        self,
+        resource_type: ResourceType,
+        catalog: Catalog,
+        is_visible: Callable[[ResourceType, str], bool],
+        metrics: StreamMetrics,
+        report: Callable[[StreamEvent], None],
+    ) -> None:
+        self.resource_type = resource_type
+        self.is_subscribed = False
+        self.sent_generation = 0
+        self.last_sent_at = 0
+        self.last_nonce = ""
+        self.in_flight: list[SentResponse] = []  # oldest first
+        self.needs_full_check = False  # all resources are to be compared, not those that changed
+        self.nack_reason: str | None = None
+        self.newer_index: int | None = None  # of a newer endpoint list that the proxy holds content of
+        self.unacknowledged_drain: UnacknowledgedDrain | None = None
+        self._catalog = catalog
+        self._is_visible = is_visible
+        self._metrics = metrics
+        self._report = report
+        self._is_wildcard = False
+        self._names: set[str] = set()
+        self._acknowledged_generation = -1
+        self._acknowledged_version = ""
+        self._had_resources = False  # the proxy held some before this stream
+        self._has_response = False
+        self._visible_names: _VisibleNames | None = None
+        self._heartbeat_at = 0
+
+    # requests
+
+    def _note_held_version(self, text: str) -> None:
+        """The proxy holds a resource from an earlier stream."""
+        self._had_resources = True
+        version = parse_version(text)
+        catalog = self._catalog
+        if version is None or version.epoch != catalog.epoch or not catalog.is_behind(version.index):
+            return
+        self.newer_index = catalog.merged_index(self.newer_index or 0, version.index)
+        self._report(ProxyAhead(self.resource_type, version.index, catalog.index))
+
+    def settle(self, now: int, nonce: str, error: str | None) -> None:
+        """Takes in an ACK, or a NACK with its reason; all responses sent before are settled too."""
+        position = next((n for n, sent in enumerate(self.in_flight) if sent.nonce == nonce), None)
+        if position is None:
+            return
+        sent = self.in_flight[position]
+        self.in_flight = self.in_flight[position + 1 :]
+        latency = now - sent.sent_at
+        self._metrics.ack_latency = max(latency, self._metrics.ack_latency * 7 // 8)
+        if error is None:
+            self._acknowledge(sent)
+        else:
+            self._metrics.nacked += 1
+            self.nack_reason = error[:MAX_REASON_CHARACTERS]
+            self._remember_rejected(sent)
+            self._report(ResponseNacked(self.resource_type, sent.version, self.nack_reason))
+
+    def _acknowledge(self, sent: SentResponse) -> None:
+        self._metrics.acknowledged += 1
+        self._acknowledged_generation = sent.generation
+        self._acknowledged_version = sent.version
+        self.nack_reason = None
+        self._forget_rejected(sent)
+        drain = self.unacknowledged_drain
+        if drain is not None and sent.generation >= drain.generation:
+            self.unacknowledged_drain = None
+
+    @abstractmethod
+    def _remember_rejected(self, sent: SentResponse) -> None:
+        """Notes content so that it is not sent again."""
+
+    @abstractmethod
+    def _forget_rejected(self, sent: SentResponse) -> None:
+        """Notes that the proxy has accepted a response."""
+
+    @abstractmethod
+    def _has_rejected(self) -> bool:
+        """Whether content is withheld because the proxy rejected it."""
+
+    @staticmethod
+    def _check_count(names: Collection[str], what: str) -> None:
+        if len(names) > MAX_RESOURCE_NAMES:
+            raise StreamProtocolError(f"too many {what}")
+
+    # pending changes
+
+    def reset_visibility(self) -> None:
+        """Which resources the node may see has changed."""
+        self._visible_names = None
+        self.needs_full_check = self.is_subscribed
+
+    def visible_names(self) -> frozenset[str]:
+        """Existing resources that it has subscribed to and may see."""
+        name_changes = self._catalog.name_changes[self.resource_type]
+        if self._visible_names is None or self._visible_names.name_changes != name_changes:
+            resources = self._catalog.resources[self.resource_type]
+            names = resources if self._is_wildcard else [name for name in self._names if name in resources]
+            visible = frozenset(name for name in names if self._is_visible(self.resource_type, name))
+            self._visible_names = _VisibleNames(name_changes, visible)
+        return self._visible_names.names
+
+    def type_version(self) -> str:
+        """The version of all that it may see of the type."""
+        return self._catalog.type_version(self.resource_type, self.visible_names())
+
+    def is_proxy_ahead(self) -> bool:
+        """Whether the proxy knows a newer endpoint list than this instance: then it keeps what it has, since
+        an endpoint that has drained could come back by the older one."""
+        if self.resource_type != ResourceType.EDS:
+            return False
+        if self.newer_index is not None and not self._catalog.is_behind(self.newer_index):
+            self.newer_index = None
+            self.needs_full_check = True
+            self._report(ProxyAheadResolved(self._catalog.index))
+        return self.newer_index is not None
+
+    def pending(self) -> PendingChange:
+        """What the proxy lacks now."""
+        if not self.is_subscribed or self.is_proxy_ahead():
+            return NO_CHANGE
+        changed = self._catalog.changed_since(self.resource_type, self.sent_generation)
+        is_unchanged = changed is not None and not changed
+        if is_unchanged and not self.needs_full_check and not self._has_new_names():
+            return NO_CHANGE
+        if changed is None or self.needs_full_check:
+            names, removed = self._compare_all()
+        else:
+            names, removed = self._compare(changed)
+        return PendingChange(tuple(sorted(names)), tuple(sorted(removed)), self._takes_endpoint(names))
+
+    @abstractmethod
+    def _has_new_names(self) -> bool:
+        """Whether names were subscribed to since the last response, beyond what needs_full_check covers."""
+
+    @abstractmethod
+    def _compare_all(self) -> tuple[Collection[str], Collection[str]]:
+        """Names to send and names to remove, by all resources."""
+
+    @abstractmethod
+    def _compare(self, changed: Collection[str]) -> tuple[Collection[str], Collection[str]]:
+        """Names to send and names to remove, by the names that have changed."""
+
+    def _takes_endpoint(self, names: Collection[str]) -> bool:
+        if self.resource_type != ResourceType.EDS or not (self.sent_generation or self._had_resources):
+            return False
+        resources = self._catalog.resources[self.resource_type]
+        return any(resources[name].drained_at > self.sent_generation for name in names)
+
+    def lacks_first_response(self) -> bool:
+        """Whether the proxy waits for a response though there is no resource for it."""
+        return False
+
+    @abstractmethod
+    def drained_names(self, pending: PendingChange) -> tuple[str, ...]:
+        """Of a pending change with a drain, the names that go ahead of all else."""
+
+    def note_nothing_pending(self) -> None:
+        """The proxy has all of the catalog's present generation."""
+        self.sent_generation = self._catalog.generation
+        self.needs_full_check = self.needs_full_check and self._has_rejected()
+
+    # responses
+
+    def make_response(
+        self, now: int, nonce: str, change: PendingChange, is_complete: bool = True
+    ) -> DiscoveryResponse:
+        """The response with a change, noted as in flight; is_complete: no more of the change follows."""
+        catalog = self._catalog
+        resources: dict[str, CachedResource] = catalog.resources[self.resource_type]
+        resource_versions = tuple(resources[name].version for name in change.names)
+        if change.is_drain and self.unacknowledged_drain is None:
+            self.unacknowledged_drain = UnacknowledgedDrain(catalog.generation, now)
+        version = self._note_sent(nonce, change, resource_versions)
+        self.sent_generation = catalog.generation
+        self.needs_full_check = not is_complete
+        self._has_response = True
+        self.in_flight.append(
+            SentResponse(nonce, now, catalog.generation, version, change.names, resource_versions)
+        )
+        if len(self.in_flight) > MAX_IN_FLIGHT:
+            del self.in_flight[0]
+        self.last_sent_at = now
+        self._heartbeat_at = now
+        self._metrics.sent += 1
+        return DiscoveryResponse(
+            self.resource_type, nonce, version, change.names, change.removed, change.is_drain
+        )
+
+    @abstractmethod
+    def _note_sent(self, nonce: str, change: PendingChange, resource_versions: tuple[str, ...]) -> str:
+        """Notes what the proxy will hold; the response's version."""
+
+    def in_flight_names(self) -> tuple[str, ...]:
+        """Existing resources that are in a response in flight."""
+        names = {name for sent in self.in_flight for name in sent.names}
+        return tuple(sorted(names & set(self._catalog.resources[self.resource_type])))
+
+    def next_heartbeat(self, ttl: int) -> int:
+        """When the resources' time to live is to be renewed, a third of it after the last time."""
+        return self._heartbeat_at + ttl // 3
+
+    def heartbeat_names(self) -> tuple[str, ...]:
+        """Names of resources whose time to live the proxy counts."""
+        if self._acknowledged_generation < 0:
+            return ()
+        return tuple(sorted(self._held_names()))
+
+    @abstractmethod
+    def _held_names(self) -> Collection[str]:
+        """Names of resources that the proxy holds."""
+
+    def make_heartbeat(self, now: int, nonce: str, names: tuple[str, ...]) -> DiscoveryResponse:
+        """A response that renews the resources' time to live, without their bodies."""
+        self._heartbeat_at = now
+        version = self._note_heartbeat(nonce)
+        resources = self._catalog.resources[self.resource_type]
+        existing = tuple(name for name in names if name in resources)
+        return DiscoveryResponse(self.resource_type, nonce, version, existing, is_heartbeat=True)
+
+    @abstractmethod
+    def _note_heartbeat(self, nonce: str) -> str:
+        """Notes the nonce; the heartbeat's version."""
+
+    # what operators see
+
+    def is_settled(self) -> bool:
+        """Whether the proxy has acknowledged or rejected all of the catalog's present generation."""
+        if not self.is_subscribed:
+            return True
+        return not self.in_flight and self.sent_generation >= self._catalog.generation
+
+    def unacknowledged_time(self, now: int) -> int:
+        """For how long the oldest response in flight has not been acknowledged."""
+        return now - self.in_flight[0].sent_at if self.in_flight else 0
+
+    def status(self, now: int) -> dict[str, Any]:
+        """What operators see, by the names of the client status."""
+        return {
+            "version": self._acknowledged_version,
+            "synced": self.is_settled() and self.nack_reason is None,
+            "refused": self.nack_reason,
+            "ahead": self.newer_index is not None,
+            "behind_ms": to_milliseconds(self.unacknowledged_time(now)) if self.in_flight else 0.0,
+        }
