--- /dev/null
+++ b/wickvane/xds/extension.py
@@ -0,0 +1,125 @@
+"""The node `control` of the parts document: the one place that knows its names."""
+
+from typing import Any, NamedTuple
+
+from wickvane import parts
+from wickvane.xds.endpoint_snapshot import DEFAULT_REMOVAL_LIMIT, ExcessAction, RemovalLimit
+from wickvane.xds.node_access import NodeAccess, NodeRule
+
+MAX_PATTERN_CHARACTERS = 128
+MAX_TABLE_GROUPS = 5000
+DEFAULT_TABLE_GROUPS = 100
+MAX_PROXIES = 10_000
+MAX_STREAMS = 100_000
+MAX_STREAMS_PER_NODE = 1000
+DEFAULT_STALL_TIMEOUT = 100_000  # ticks
+IPV4_LOOPBACK = "127."
+IPV6_LOOPBACK = "::1"
+
+
+class TlsFiles(NamedTuple):
+    """Paths of the files of mutual TLS."""
+
+    authority: str
+    certificate: str
+    key: str
+
+
+class ControlSettings(NamedTuple):
+    """The settings of the control service.
+
+    table_groups: from 0 up to this; proxy_count: that share the engines at most, from which their circuit
+    breakers follow; ttl: of endpoints in ticks, 0 for none; stall_timeout: ticks within which a proxy must
+    read a response.
+    """
+
+    listen: tuple[str, int]
+    table_groups: int
+    proxy_count: int
+    epoch: str
+    ttl: int
+    snapshot_folder: str | None
+    removal_limit: RemovalLimit
+    access: NodeAccess
+    tls: TlsFiles | None
+    stall_timeout: int
+
+
+def read(node: Any) -> ControlSettings:
+    """The settings in a node. Raises parts.Unusable."""
+    listen = node.value("listen", parts.address, needed=True)
+    tls = _read_tls(node)
+    if tls is None and not _is_loopback(listen[0]):
+        raise node.wrong(
+            "a node tls, or an address of this machine's own", ":".join(map(str, listen)), "listen"
+        )
+    rules = _read_node_rules(node)
+    removal_limit = _read_removal_limit(node)
+    return ControlSettings(
+        listen,
+        node.value("tables", parts.whole(0, MAX_TABLE_GROUPS), DEFAULT_TABLE_GROUPS),
+        node.value("proxies", parts.whole(1, MAX_PROXIES), 1),
+        node.value("epoch", parts.name, "0").replace(".", "-"),
+        node.value("time-to-live", parts.duration("0ms", "24h"), 0),
+        node.value("snapshot", parts.path),
+        removal_limit,
+        NodeAccess(
+            rules,
+            node.value("streams", parts.whole(1, MAX_STREAMS), 1000),
+            node.value("streams-a-node", parts.whole(1, MAX_STREAMS_PER_NODE), 4),
+        ),
+        tls,
+        node.value("stall", parts.duration("100ms", "10m"), DEFAULT_STALL_TIMEOUT),
+    )
+
+
+def _read_pattern(value: Any) -> str:
+    is_short_text = isinstance(value, str) and 0 < len(value) <= MAX_PATTERN_CHARACTERS
+    if not is_short_text or not value.isprintable():
+        raise ValueError
+    return value
+
+
+_PATTERN = parts.Kind("a pattern of node names (128 characters at most)", _read_pattern)
+
+
+def _is_loopback(host: str) -> bool:
+    return host.startswith(IPV4_LOOPBACK) or host == IPV6_LOOPBACK
+
+
+def _read_tls(node: Any) -> TlsFiles | None:
+    child = node.child("tls")
+    if not child:
+        return None
+    paths = [child.value(name, parts.path, needed=True) for name in TlsFiles._fields]
+    child.done()
+    return TlsFiles(*paths)
+
+
+def _read_node_rules(node: Any) -> tuple[NodeRule, ...]:
+    rules = []
+    for child in node.children("node"):
+        groups = []
+        for group in child.children("group"):
+            groups.append(group.argument(parts.name))
+            group.done()
+        rules.append(NodeRule(child.argument(_PATTERN), tuple(groups) or None))
+        child.done()
+    return tuple(rules)
+
+
+def _read_removal_limit(node: Any) -> RemovalLimit:
+    child = node.child("floor")
+    default = DEFAULT_REMOVAL_LIMIT
+    if not child:
+        return default
+    actions = (ExcessAction.HOLD, ExcessAction.REMOVE_IN_STEPS, ExcessAction.REMOVE)
+    action_word = parts.word(*(action.value for action in actions))
+    limit = RemovalLimit(
+        child.property("share", parts.share(0.01, 1), default.max_share),
+        child.property("least", parts.whole(1, 10_000), default.min_count),
+        ExcessAction(child.property("past", action_word, default.action.value)),
+        child.property("time", parts.duration("1s", "24h"), default.duration),
+    )
+    child.done()
+    return limit
