--- a/tests/scheduling/generated_days.py
+++ b/tests/scheduling/generated_days.py
@@ -406,7 +406,8 @@
 
     def play(self) -> CommandDigest:
         """All rounds; the digest of what was written."""
-        settings, chance = self.settings, self.chance
+        settings = self.settings
+        chance = self.chance
         self.events = [engine.entry() for engine in self.engines]
         self.play_round()
         for number in range(settings.rounds):
@@ -421,7 +422,8 @@
 
     def collect_events(self, number: int) -> None:
         """What happens up to the next round."""
-        settings, chance = self.settings, self.chance
+        settings = self.settings
+        chance = self.chance
         busy = 2.5 if number // 250 % 3 == 1 else 1.0
         arrivals = int(settings.queries_a_round * busy + chance.random())
         before = chance.randrange(arrivals + 1)  # how many come ahead of what ends
--- a/tests/scheduling/test_concurrency.py
+++ b/tests/scheduling/test_concurrency.py
@@ -28,7 +28,7 @@
     assert len(g.out) < 100
 
 
-def test_an_engine_that_turns_queries_away_is_sent_fewer_and_one_more_with_each_answer():
+def test_an_engine_that_rejects_queries_gets_fewer_and_one_more_with_each_answer():
     gates = Gateways(site([group()]))
     gates.engines(2)
 
@@ -50,11 +50,12 @@
     assert before < gates.scheduler.engines.concurrency_limit[0] <= before + len(out)
 
 
-def test_what_was_seen_of_an_engine_lasts_until_all_were_heard_of_again():
+def test_a_load_factor_lasts_until_all_engines_have_answered_again():
     for apart, known in ((5_000, True), (500, False)):
         gates = Gateways(site([group()], dispatcher_count=100))
         gates.engines(20)
-        load, now = gates.scheduler.load, gates.now
+        load = gates.scheduler.load
+        now = gates.now
         for n in range(200):
             now += apart
             load.observe(n % 20, 1.0, None, False, now)
--- a/tests/scheduling/test_deadlines.py
+++ b/tests/scheduling/test_deadlines.py
@@ -22,7 +22,7 @@
     assert left // 20 <= early if left < 4000 else 200 <= early <= 400  # 20 to 40 ms
 
 
-def test_a_query_with_less_time_than_others_is_not_sent_away():
+def test_a_query_with_less_time_than_others_is_not_rejected():
     g = Gateways(site([group()]))
     g.engines(2)
     g.take(left=70_000)
--- a/tests/scheduling/test_fair_queue.py
+++ b/tests/scheduling/test_fair_queue.py
@@ -19,7 +19,7 @@
     assert q in g.out and g.scheduler.fair_queue.deficits[0] == charged
 
 
-def test_latency_times_threads_stands_in_for_a_cost_that_is_not_told():
+def test_latency_times_threads_replaces_a_cost_that_is_not_reported():
     g = Gateways(site([group(threads=2)]))
     g.engines(3)
     q = g.take(cost=1000)
--- a/tests/scheduling/test_outlier_ejection.py
+++ b/tests/scheduling/test_outlier_ejection.py
@@ -5,7 +5,7 @@
 from wickvane.events import Ending
 
 
-def test_engines_that_take_no_connection_stay_aside_though_they_are_most():
+def test_engines_that_refuse_connections_stay_ejected_though_they_are_most():
     g = Gateways(site([group(timeout=400_000, latency_objective=300_000)]))
     g.engines(5)
     q = g.take(left=390_000)
@@ -21,7 +21,7 @@
     assert g.now == before
 
 
-def test_an_engine_that_answers_all_with_errors_is_set_aside_still():
+def test_an_engine_that_answers_all_with_errors_is_ejected():
     gates = Gateways(site([group()]))
     gates.engines(3)
     bad = None
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -1,6 +1,7 @@
 """Which engine gets a query: the shared order, the load, and many dispatchers."""
 
 from collections import Counter
+from typing import Any
 
 from bench_free import Gateways, group, site
 
@@ -8,7 +9,8 @@
 
 
 def test_gateways_that_learn_of_engines_in_another_order_choose_alike():
-    one, other = Gateways(site([group()])), Gateways(site([group()]))
+    one = Gateways(site([group()]))
+    other = Gateways(site([group()]))
     one.engines(5)
     names = [3, 1, 4, 0, 2]
     for e, name in enumerate(names):
@@ -36,23 +38,25 @@
         g = Gateways(site([group()], dispatcher_count=dispatcher_count))
         g.engines(5)
         slow = g.scheduler.placement.order_of(1)[0]
-        g.scheduler.engines.load_factor[slow], g.scheduler.engines.load_factor_at[slow] = 1.4, g.now
+        g.scheduler.engines.load_factor[slow] = 1.4
+        g.scheduler.engines.load_factor_at[slow] = g.now
         assert (g.out[g.take(table_group=1)] == slow) == stays
 
 
-def of_many(seed, **changes):
-    """A gateway of forty that sees little, before engines of which it holds less than a query each."""
+def of_many(seed: int, **changes: Any) -> Gateways:
+    """A dispatcher of forty that sees little, before engines of which it holds less than a query each."""
     g = Gateways(site([group()], dispatcher_count=40, **changes), seed)
     g.engines(14)
     return g
 
 
-def one_query(g, after=80_000, ending=Ending.FINISHED):
-    g.now += after
-    q = g.take(table_group=1)
-    e = g.out[q]
-    g.end(q, ending, elapsed=1)
-    return e
+def one_query(dispatcher: Gateways, after: int = 80_000, ending: Ending = Ending.FINISHED) -> int:
+    """The engine of a query that is played to its end."""
+    dispatcher.now += after
+    query = dispatcher.take(table_group=1)
+    engine = dispatcher.out[query]
+    dispatcher.end(query, ending, elapsed=1)
+    return engine
 
 
 def test_gateways_of_many_each_keep_to_an_engine_they_are_connected_to_and_spread_together():
@@ -65,7 +69,7 @@
     assert set(went) == set(of_many(0).scheduler.placement.order_of(1)[:8]) and min(went.values()) >= 2
 
 
-def test_a_connection_that_is_gone_holds_no_gateway_to_its_engine():
+def test_a_closed_connection_holds_no_dispatcher_to_its_engine():
     for after, ending in ((80_000, Ending.RESET), (240_001, Ending.FINISHED)):
         moved = 0
         for seed in range(30):
@@ -74,11 +78,12 @@
         assert moved > 10
     g = of_many(1)
     e = one_query(g)
-    g.scheduler.engines.load_factor[e], g.scheduler.engines.load_factor_at[e] = 2.9, g.now
+    g.scheduler.engines.load_factor[e] = 2.9
+    g.scheduler.engines.load_factor_at[e] = g.now
     assert one_query(g, after=1) != e  # a thread a core fuller than the others: worth a connection
 
 
-def test_few_gateways_look_at_three_engines_whatever_they_are_connected_to():
+def test_few_dispatchers_consider_three_engines_whatever_they_are_connected_to():
     g = Gateways(site([group()], dispatcher_count=2))
     g.engines(8)
     took = [g.take(table_group=1) for _ in range(3)]
--- a/tests/scheduling/test_retries.py
+++ b/tests/scheduling/test_retries.py
@@ -8,7 +8,8 @@
 def test_a_read_only_query_lost_on_one_engine_is_moved_and_a_mutating_one_is_not():
     g = Gateways(site([group(), group(effect=Effect.MUTATING)]))
     g.engines(3)
-    lost, mutating = g.take(), g.take(resource_group=1)
+    lost = g.take()
+    mutating = g.take(resource_group=1)
     for _ in range(8):
         g.end(g.take())
     g.round(TimerFired(1), after=9_000)
@@ -19,7 +20,7 @@
     assert len(g.sent[mutating]) == 1
 
 
-def ordered_queue_behind_a_hung_attempt(followers, engines=3):
+def ordered_queue_behind_a_hung_attempt(followers: int, engines: int = 3) -> tuple[Gateways, int, list[int]]:
     """A non-repeatable query whose attempt does not end, and others of its key behind it."""
     ordered = group(
         effect=Effect.MUTATING,
@@ -48,7 +49,7 @@
     assert g.final[late] == "deferred"  # the same is known of who comes then
 
 
-def test_queries_behind_one_on_an_engine_that_stands_still_for_two_seconds_wait_on():
+def test_queries_behind_one_on_an_engine_that_pauses_for_two_seconds_wait_on():
     g, head, waiting = ordered_queue_behind_a_hung_attempt(5)
     g.let_pass(g.now + 20_000)
     assert not g.final
@@ -56,7 +57,7 @@
     assert waiting[0] in g.out
 
 
-def test_queries_of_a_crowded_key_are_refused_on_arrival_once_their_turn_would_come_too_late():
+def test_queries_of_a_busy_key_are_rejected_on_arrival_once_their_turn_would_be_too_late():
     """All of them get their answer long before their clients give up, however long the queue would be."""
     g, head, waiting = ordered_queue_behind_a_hung_attempt(200)
     refused = [q for q in waiting if q in g.final]
@@ -96,14 +97,15 @@
 def test_a_query_that_falls_back_into_waiting_is_answered_in_its_time():
     g = Gateways(site([group(late_priority_weight=0.5)]))
     g.engines(1)
-    q, end = g.take(cost=10, left=700), g.now + 700
+    q = g.take(cost=10, left=700)
+    end = g.now + 700
     g.engine(0, state=EngineState.DRAINING)
     g.end(q, ending=Ending.NO_CONNECTION, after=100)
     g.let_pass(end + 5000)
     assert g.answered[q] <= end
 
 
-def test_a_statement_that_no_engine_can_use_costs_no_engine_its_standing_and_little_of_the_budget():
+def test_a_statement_that_no_engine_can_use_ejects_no_engine_and_uses_little_of_the_budget():
     gates = Gateways(site([group()]))
     gates.engines(3)
     for _ in range(30):
--- a/tests/scheduling/test_retry_after.py
+++ b/tests/scheduling/test_retry_after.py
@@ -3,6 +3,8 @@
 
 import random
 import time
+from collections.abc import Callable
+from typing import Any
 
 import psycopg
 import pytest
@@ -21,63 +23,70 @@
 STORM = SMALL.replace("retries 1", 'retries 6; back-off "100ms"; heeds #{heeds}').replace("12s", "20s")
 
 
-def gateway(advice=50_000):
+def new_scheduler(longest: int = 50_000) -> Scheduler:
     deployment = world.deployment(scripts.read_text(SMALL.format(more="")))
-    return Scheduler(3, deployment._replace(max_retry_after=advice))
+    return Scheduler(3, deployment._replace(max_retry_after=longest))
 
 
-class Away:
-    """A writer that keeps what those deferred were told."""
+class RejectionRecorder:
+    """A writer that keeps the Retry-After of rejected queries."""
 
-    def __init__(self):
-        self.told = []
+    def __init__(self) -> None:
+        self.retry_afters: list[int] = []
 
-    def reject(self, q, stay_away):
-        self.told.append(stay_away)
+    def reject(self, query: int, retry_after: int) -> None:
+        """Keeps it."""
+        self.retry_afters.append(retry_after)
 
-    def __getattr__(self, name):
-        return lambda *words: None
+    def __getattr__(self, name: str) -> Callable[..., None]:
+        return lambda *arguments: None
 
 
-def deferred(made, now, out, count, cost=1000):
-    """So many queries that no engine can take: nothing is listed, and their time is nearly over."""
+def reject_queries(made: Scheduler, now: int, out: RejectionRecorder, count: int, cost: int = 1000) -> None:
+    """So many queries that no engine can run: none is listed, and their time is nearly over."""
     for n in range(count):
         made.round(now, [QueryArrived(n, 0, 0, cost, 10, 0, None, 300)], out)
     for later in range(now, now + 400, 100):
         made.round(later, [], out)
 
 
-def test_those_told_come_back_one_behind_another_at_the_pace_of_the_work_done():
-    made, out = gateway(), Away()
-    made.retry_after.recent_work, made.retry_after.recent_work_at = (
-        4.0 * WORK_MEMORY,
-        10_000,
-    )  # four cores' worth, just now
-    deferred(made, 10_000, out, 20)
-    assert len(out.told) == 20 and min(out.told) > 0
-    gaps = [b - a for a, b in zip(out.told, out.told[1:])]
+def test_retries_are_spread_one_behind_another_at_the_rate_of_the_work_done():
+    made = new_scheduler()
+    out = RejectionRecorder()
+    # four cores' worth, just now
+    made.retry_after.recent_work = 4.0 * WORK_MEMORY
+    made.retry_after.recent_work_at = 10_000
+    reject_queries(made, 10_000, out, 20)
+    assert len(out.retry_afters) == 20 and min(out.retry_afters) > 0
+    gaps = [b - a for a, b in zip(out.retry_afters, out.retry_afters[1:])]
     # 100 ms of work each at the pace of four cores, which fades while nothing is finished.
     assert all(240 <= gap <= 400 for gap in gaps), gaps
 
 
 @pytest.mark.parametrize("pace", [0.0, 0.001])
-def test_none_is_told_more_than_the_setting_and_none_together_where_nothing_is_done(pace):
-    made, out = gateway(20_000), Away()
-    made.retry_after.recent_work, made.retry_after.recent_work_at = pace * WORK_MEMORY, 10_000
-    deferred(made, 10_000, out, 60)
-    assert len(out.told) == 60 and max(out.told) <= 20_000
-    assert len(set(out.told)) > 50 and min(out.told) >= 10_000
+def test_no_retry_after_is_over_the_setting_and_none_are_equal_where_nothing_is_done(pace):
+    made = new_scheduler(20_000)
+    out = RejectionRecorder()
+    made.retry_after.recent_work = pace * WORK_MEMORY
+    made.retry_after.recent_work_at = 10_000
+    reject_queries(made, 10_000, out, 60)
+    assert len(out.retry_afters) == 60 and max(out.retry_afters) <= 20_000
+    assert len(set(out.retry_afters)) > 50 and min(out.retry_afters) >= 10_000
 
 
-def test_none_is_told_anything_where_the_setting_is_0():
-    made, out = gateway(0), Away()
-    deferred(made, 10_000, out, 10)
-    assert out.told == [0] * 10
+def test_no_retry_after_is_named_where_the_setting_is_0():
+    made = new_scheduler(0)
+    out = RejectionRecorder()
+    reject_queries(made, 10_000, out, 10)
+    assert out.retry_afters == [0] * 10
 
 
 def test_a_pace_is_the_work_finished_lately_as_a_plain_reckoning_has_it():
     chance = random.Random(2)
-    made, out, now, plain = gateway(), Away(), 0, 0.0
+    made = new_scheduler()
+    out = RejectionRecorder()
+    now = 0
+    plain = 0.0
     made.round(0, [EngineUpdated(0, b"e", EngineState.READY, 0, 0, 0, 0, 1.0)], out)
     before = 0
     for q in range(200):
@@ -90,7 +99,7 @@
         assert made.retry_after.recent_work == pytest.approx(plain)
 
 
-def told(dispatcher, **fields):
+def error_of(dispatcher: TdsDispatcher, **fields: Any) -> psycopg.Error:
     host, _, port = dispatcher.found["listen"].rpartition(":")
     with psycopg.connect(
         host=host, port=int(port), sslmode="disable", user="a", dbname="b", autocommit=True
@@ -105,13 +114,13 @@
     engines = [Engine(lambda txn, words: b"%b SHED - 0\r\n\r\n" % txn) for _ in range(2)]
     dispatcher = TdsDispatcher(*engines, limits={"retry_after": True, "max_retry_after_ms": 4000.0})
     began = time.monotonic()
-    error = told(dispatcher, limit=600)
+    error = error_of(dispatcher, limit=600)
     assert time.monotonic() - began < 2
     assert error.sqlstate == "53000" and error.diag.message_hint.startswith("Try again in ")
     name, _, value = error.diag.message_detail.partition("=")
     assert name == "stay-away" and 2000 <= int(value.removesuffix("ms")) <= 4000
     plain = TdsDispatcher(*engines)
-    error = told(plain, limit=600, n=2)
+    error = error_of(plain, limit=600, n=2)
     assert error.sqlstate == "53000" and error.diag.message_detail is None and error.diag.message_hint is None
 
 
--- a/tests/scheduling/test_retry_storm.py
+++ b/tests/scheduling/test_retry_storm.py
@@ -17,7 +17,7 @@
 from wickvane.rehearsal import world
 from wickvane.rehearsal.load import Load
 from wickvane.scheduling import retry_storm
-from wickvane.scheduling.retry_storm import STEP, StormDetector, StormState, fingerprint
+from wickvane.scheduling.retry_storm import STEP, StormDetector, StormEvent, StormState, fingerprint
 from wickvane.units import TICKS_PER_SECOND
 
 DAY = """rehearsal {{
@@ -33,19 +33,19 @@
 }}"""
 
 
-def told(more="", retries=2, gateways=1, seed=1):
+def storm_events(more: str = "", retries: int = 2, gateways: int = 1, seed: int = 1) -> list[tuple]:
     text = DAY.format(more=more, retries=retries, gateways=gateways)
     outcome = world.play(scripts.read_text(text), seed, False)
     assert outcome.breaches == []
     return outcome.world.storms
 
 
-def begun(lines):
+def begun(lines: list[tuple]) -> list[tuple[float, str]]:
     return [(at, fields["kind"]) for at, _, event, fields in lines if event == "begins"]
 
 
 def test_a_shared_slowness_with_clients_that_try_again_is_a_storm_that_begins_and_ends():
-    lines = told('trouble "slow" at="15s" for="8s" size=8', retries=8)
+    lines = storm_events('trouble "slow" at="15s" for="8s" size=8', retries=8)
     storms = [at for at, kind in begun(lines) if kind == StormState.STORM]
     ends = [
         (at, fields)
@@ -63,34 +63,38 @@
 @pytest.mark.parametrize("gateways", [1, 8])
 @pytest.mark.parametrize("seed", range(2))
 def test_neither_a_calm_day_nor_one_that_doubles_nor_a_deploy_is_a_storm(gateways, seed):
-    assert {kind for _, kind in begun(told(gateways=gateways, seed=seed))} <= {
+    assert {kind for _, kind in begun(storm_events(gateways=gateways, seed=seed))} <= {
         StormState.SLOW,
         StormState.GROWTH,
     }
-    doubled = told('clients "new" { group "lookup"; rate 80; since "15s" }', gateways=gateways, seed=seed)
+    doubled = storm_events(
+        'clients "new" { group "lookup"; rate 80; since "15s" }', gateways=gateways, seed=seed
+    )
     assert StormState.STORM not in {kind for _, kind in begun(doubled)}
-    cold = told('trouble "deploy" at="10s" for="12s" part=0.5 size=1', gateways=gateways, seed=seed)
+    cold = storm_events('trouble "deploy" at="10s" for="12s" part=0.5 size=1', gateways=gateways, seed=seed)
     assert StormState.STORM not in {kind for _, kind in begun(cold)}
 
 
 def test_traffic_past_the_pool_that_does_not_repeat_is_growth():
-    kinds = {kind for _, kind in begun(told('clients "new" { group "lookup"; rate 300; since "15s" }', 0))}
+    kinds = {
+        kind for _, kind in begun(storm_events('clients "new" { group "lookup"; rate 300; since "15s" }', 0))
+    }
     assert StormState.GROWTH in kinds and not kinds & {StormState.STORM, StormState.LOOP}
 
 
 def test_one_client_that_asks_the_same_again_and_again_is_a_loop():
     more = 'clients "loop" { group "doomed"; closed 1; think "1ms"; retries 20; back-off "1ms"; since "15s" }'
-    kinds = [kind for at, kind in begun(told(more)) if at > 15]
+    kinds = [kind for at, kind in begun(storm_events(more)) if at > 15]
     assert StormState.LOOP in kinds and StormState.STORM not in kinds
 
 
 def test_few_slow_engines_are_no_storm():
-    kinds = {kind for _, kind in begun(told('trouble "slow" at="15s" for="10s" part=0.17 size=6'))}
+    kinds = {kind for _, kind in begun(storm_events('trouble "slow" at="15s" for="10s" part=0.17 size=6'))}
     assert StormState.SLOW in kinds and not kinds & {StormState.STORM, StormState.LOOP}
 
 
 def test_a_second_slowness_while_the_first_storm_drains_is_seen():
-    lines = told(
+    lines = storm_events(
         'trouble "slow" at="12s" for="6s" size=8\n trouble "slow" at="20s" for="6s" size=8', retries=8
     )
     held = [(at, event) for at, _, event, fields in lines if fields["kind"] == StormState.STORM]
@@ -100,9 +104,18 @@
 # By hand
 
 
-def fed(made, now, seconds, taken, repeats, done, deferred=0.0, engines=()):
+def feed(
+    made: StormDetector,
+    now: int,
+    seconds: float,
+    taken: int,
+    repeats: float,
+    done: float,
+    deferred: float = 0.0,
+) -> list[StormEvent]:
     """So many queries a second, a part of them repeats of marks that were deferred at the start."""
-    chance, found = random.Random(now), []
+    chance = random.Random(now)
+    found = []
     for n in range(40):
         made.record_rejection(now, fingerprint(0, None, None, b"%d" % n))
     for tick in range(int(seconds * 100)):
@@ -122,15 +135,15 @@
 
 def test_a_storm_deepens_with_its_repeats_and_a_flicker_does_not_end_it():
     made = StormDetector(0, 0.1, 100_000)
-    assert [event for event, _ in fed(made, 1, 4, 400, 0.35, 0.5, 0.3)] == [
+    assert [event for event, _ in feed(made, 1, 4, 400, 0.35, 0.5, 0.3)] == [
         "begins"
     ] and made.state == StormState.STORM
-    assert "deepens" in [event for event, _ in fed(made, 4 * TICKS_PER_SECOND, 4, 400, 0.8, 0.3, 0.6)]
+    assert "deepens" in [event for event, _ in feed(made, 4 * TICKS_PER_SECOND, 4, 400, 0.8, 0.3, 0.6)]
     assert made.end_step(8 * TICKS_PER_SECOND + STEP) == [] and made.state == StormState.STORM
-    fed(made, 9 * TICKS_PER_SECOND, 2, 400, 0.8, 0.3, 0.6)
+    feed(made, 9 * TICKS_PER_SECOND, 2, 400, 0.8, 0.3, 0.6)
     assert [
         fields["kind"]
-        for event, fields in fed(made, 12 * TICKS_PER_SECOND, 6, 400, 0.0, 1.2)
+        for event, fields in feed(made, 12 * TICKS_PER_SECOND, 6, 400, 0.0, 1.2)
         if event == "ends"
     ][:1] == [StormState.STORM]
     assert made.state == StormState.CALM
@@ -140,16 +153,18 @@
     """A pool where a third is repeats on every calm day: more than that is wanted for a storm."""
     made = StormDetector(0, 0.1, 100_000)
     for n in range(40):
-        fed(made, n * 4 * TICKS_PER_SECOND, 4, 200, 0.15, 1.1)
+        feed(made, n * 4 * TICKS_PER_SECOND, 4, 200, 0.15, 1.1)
     assert made.state == StormState.CALM and made.usual_retries > 0.05
-    assert not fed(made, 170 * TICKS_PER_SECOND, 3, 400, 0.3, 0.9, 0.2) or made.state != StormState.STORM
+    assert not feed(made, 170 * TICKS_PER_SECOND, 3, 400, 0.3, 0.9, 0.2) or made.state != StormState.STORM
 
 
 @given(st.lists(st.tuples(st.integers(0, 400), st.booleans(), st.integers(0, 30)), min_size=1, max_size=300))
 @settings(max_examples=60, deadline=None)
 def test_what_was_deferred_is_known_for_its_time_as_a_plain_table_has_it(steps):
     """None that is due is forgotten; past twice the time none is known, but by the filter's small chance."""
-    made, table, now = StormDetector(0, 0.1, 2 * TICKS_PER_SECOND), {}, 1
+    made = StormDetector(0, 0.1, 2 * TICKS_PER_SECOND)
+    table = {}
+    now = 1
     strangers = wrong = 0
     for ticks, defers, n in steps:
         now += ticks * 100
@@ -158,11 +173,13 @@
             made.record_rejection(now, mark)
             table[mark] = now
             continue
-        again, since = made.record_arrival(now, mark, 0, 10), now - table.get(mark, -1e9)
+        again = made.record_arrival(now, mark, 0, 10)
+        since = now - table.get(mark, -1e9)
         if since < 2 * TICKS_PER_SECOND:
             assert again
         elif since > 4 * TICKS_PER_SECOND + 400 * 100:
-            strangers, wrong = strangers + 1, wrong + again
+            strangers = strangers + 1
+            wrong = wrong + again
     assert wrong <= 2 + 0.05 * strangers
 
 
@@ -181,7 +198,8 @@
 
 
 def test_memory_is_bounded_whatever_comes():
-    made, chance = StormDetector(0, 0.1, 60 * TICKS_PER_SECOND), random.Random(1)
+    made = StormDetector(0, 0.1, 60 * TICKS_PER_SECOND)
+    chance = random.Random(1)
     for n in range(3 * retry_storm.FINGERPRINTS_MOST):
         mark = chance.randbytes(16)
         made.record_rejection(n, mark)
@@ -194,8 +212,8 @@
 def test_it_judges_the_same_in_other_processes_and_hash_seeds():
     code = (
         "import sys; sys.path[:0] = ['tests', 'client', '.']\n"
-        "from scheduling.test_retry_storm import told\n"
-        'print(told(\'trouble "slow" at="15s" for="8s" size=8\', 8))\n'
+        "from scheduling.test_retry_storm import storm_events\n"
+        'print(storm_events(\'trouble "slow" at="15s" for="8s" size=8\', 8))\n'
     )
     said = {
         subprocess.run(
@@ -213,7 +231,7 @@
 # On sockets
 
 
-def test_a_dispatcher_tells_of_a_storm_in_its_log_and_counts_who_ignores_advice():
+def test_a_dispatcher_logs_a_storm_and_counts_clients_that_ignore_retry_after():
     text = DAY.format(
         gateways=1,
         retries=12,
--- a/tests/scheduling/test_storm_damping.py
+++ b/tests/scheduling/test_storm_damping.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 from test_rehearsal import ROOT, SMALL, Served
 
-from scheduling.test_retry_storm import DAY, begun, told
+from scheduling.test_retry_storm import DAY, begun, storm_events
 from wickvane.events import QueryArrived
 from wickvane.net import storms
 from wickvane.net.tds import errors
@@ -29,10 +29,13 @@
 
 
 def test_a_repeat_leaves_behind_first_tries_of_up_to_a_quarter_more_cost():
-    made, came = Gateways(site([group()])), []
+    made = Gateways(site([group()]))
+    came = []
     for again, cost in ((True, 950), (False, 3000), (True, 700), (False, 1000)):
-        q, made.next_q = made.next_q, made.next_q + 1
-        made.sent[q], made.count[q] = [], 0
+        q = made.next_q
+        made.next_q = made.next_q + 1
+        made.sent[q] = []
+        made.count[q] = 0
         made.round(QueryArrived(q, 0, 0, cost, 10, 1, None, 70_000, again))
         came.append(q)
     assert not made.out  # nothing is listed to send to
@@ -54,7 +57,10 @@
 )
 def test_a_pace_holds_nobody_at_ease_and_never_lets_in_more_than_its_rate(steps, seed):
     """Beside a plain reckoning: what was let in between two looks is within the rate's time and one burst."""
-    pace, now, cpu, let = ConnectionPacing(0, 5_000, 1.0, 20_000, seed), 0, 0.0, 0
+    pace = ConnectionPacing(0, 5_000, 1.0, 20_000, seed)
+    now = 0
+    cpu = 0.0
+    let = 0
     credit = None
     for come, used, lag, urgent in steps:
         rate = pace.rate
@@ -71,8 +77,10 @@
             credit = (credit or 0.0) + rate * STEP / TICKS_PER_SECOND
             assert let <= credit + max(1.0, rate * STEP / TICKS_PER_SECOND)
         else:
-            credit, let = None, 0
-        now, cpu = now + STEP, cpu + used
+            credit = None
+            let = 0
+        now = now + STEP
+        cpu = cpu + used
         turns = pace.observe(now, lag, cpu)
         assert pace.rate is None or pace.rate >= RATE_LEAST
         assert [event for event, _ in turns] == (
@@ -87,8 +95,8 @@
             assert pace.rate == pytest.approx(max(RATE_LEAST, 0.85 * rate) if strained else rate + 1)
 
 
-def held():
-    """One that was told of strain under 100 connections a second."""
+def paced() -> ConnectionPacing:
+    """One that holds connections to a rate after strain under 100 a second."""
     pace = ConnectionPacing(0, 5_000, 1.0, 40_000, 1)
     for n in range(25):
         pace.admits(n * 100)
@@ -96,8 +104,8 @@
     return pace
 
 
-def test_those_not_let_in_are_told_to_come_one_behind_another_at_the_pace():
-    pace = held()
+def test_connections_not_admitted_are_asked_back_one_behind_another_at_the_rate():
+    pace = paced()
     away = [pace.retry_after(STEP) for _ in range(20)]
     gaps = [b - a for a, b in zip(away, away[1:])]
     assert all(gap == pytest.approx(TICKS_PER_SECOND / pace.rate, abs=1) for gap in gaps)
@@ -109,7 +117,9 @@
 
 
 def test_a_pace_opens_step_by_step_and_is_let_go_only_where_nobody_is_held_any_more():
-    pace, now, begun_at = held(), STEP, held().rate
+    pace = paced()
+    now = STEP
+    begun_at = paced().rate
     for _ in range(3 * EASE_STEPS):
         for n in range(60):  # 240 a second come
             pace.admits(now + n * STEP // 60)
@@ -141,10 +151,11 @@
 """
 
 
-def test_a_flood_of_connections_is_paced_who_is_in_is_served_a_cancel_is_heard_and_it_opens_again():
+def test_a_flood_of_connections_is_paced_while_clients_are_served_and_cancels_admitted():
     text = SMALL.format(more='longest-advice "4s"')
     served = Served(text, watch=storms.Part(None), limits={"sockets": 1024, "cores": 0.05})
-    client, slow = Plain(served), Plain(served)
+    client = Plain(served)
+    slow = Plain(served)
     floods = [
         subprocess.Popen([sys.executable, "-c", FLOOD, str(served.address[1]), "3"], stdout=subprocess.PIPE)
         for _ in range(4)
@@ -175,7 +186,8 @@
     refused = let = 0
     for flood in floods:
         a, b = flood.communicate(timeout=30)[0].split()
-        refused, let = refused + int(a), let + int(b)
+        refused = refused + int(a)
+        let = let + int(b)
     assert refused > 20 and let < refused
     # What else runs in this process counts as its use of the core: from here on it has a whole one.
     served.service.gate.pace._cores = 1.0
@@ -305,7 +317,7 @@
 @pytest.mark.parametrize("part,troubled", [(0.13, 1), (1.0, 8)])
 def test_a_dispatcher_that_comes_back_into_a_storm_learns_of_it(part, troubled):
     """Advice given just before the restart is kept by its clients: nothing of it is in the dispatcher."""
-    lines = told(
+    lines = storm_events(
         f'longest-advice "5s"\n trouble "slow" at="10s" for="14s" size=10\n'
         f'trouble "kill" at="14s" for="500ms" part={part}',
         retries=10,
@@ -325,7 +337,7 @@
         'group "own" { work "300ms"; promise "600ms"; timeout "1s"; ordered #true; effect "tokened" }\n'
         'clients "own" { group "own"; rate 20; keys 1; retries 10; back-off "50ms"; since "10s" }'
     )
-    lines = told(more, retries=0, gateways=4)
+    lines = storm_events(more, retries=0, gateways=4)
     assert {name for _, name, event, fields in lines if event == "begins" and fields["kind"] == "storm"} <= {
         "g0"
     } and begun(lines)
--- a/tests/test_bench_adapter.py
+++ b/tests/test_bench_adapter.py
@@ -6,7 +6,8 @@
 from wickvane.wirehost.host import serve
 
 
-def run_host(*lines):
+def run_host(*lines: str) -> tuple[int, str, str]:
+    """The exit code, the replies and the errors of the adapter."""
     replies, errors = io.StringIO(), io.StringIO()
     return serve(lines, replies, errors), replies.getvalue(), errors.getvalue()
 
