--- a/tests/scheduling/generated_days.py
+++ b/tests/scheduling/generated_days.py
@@ -4,30 +4,25 @@
 """
 
 from collections.abc import Callable
-from dataclasses import dataclass, field
-from hashlib import blake2b
 from random import Random
-from typing import Any
 
+from scheduling.command_digest import CommandDigest
+from scheduling.generated_settings import CORES, Settings, deployment
 from wickvane.events import (
     FOREVER,
     AttemptEnded,
     AttemptProgressed,
     Budget,
     ClientGone,
-    Deployment,
-    Effect,
     Ending,
     EndpointListLost,
     EngineJudged,
     EngineState,
     EngineUpdated,
     InFlightElsewhere,
-    KeyScope,
     LeaseChanged,
     Progress,
     QueryArrived,
-    ResourceGroup,
     ShutdownStarted,
     TenantsCharged,
     TimerFired,
@@ -35,7 +30,6 @@
 
 TICKS_PER_SECOND = 10_000
 START = 1_000_000
-CORES = (8, 4)
 ENDINGS = (
     Ending.ERROR,
     Ending.NO_ANSWER,
@@ -46,106 +40,6 @@
 )
 
 
-def rendered(value: Any) -> str:
-    """A value of a command, independent of the names of enumerations and types."""
-    if isinstance(value, tuple | list):
-        return "(" + ",".join(map(rendered, value)) + ")"
-    if isinstance(value, int) and not isinstance(value, bool):
-        return str(int(value))
-    return repr(str(value)) if isinstance(value, str) else repr(value)
-
-
-class CommandDigest:
-    """A hash over commands with their arguments, and how many there were of each."""
-
-    def __init__(self) -> None:
-        self._hash = blake2b(digest_size=16)
-        self.counts: dict[str, int] = {}
-
-    def add(self, now: int, command: str, *arguments: Any) -> None:
-        """Takes in one command."""
-        self._hash.update(f"{now} {command} {rendered(arguments)}\n".encode())
-        self.counts[command] = self.counts.get(command, 0) + 1
-
-    def value(self) -> str:
-        """The digest so far."""
-        return self._hash.hexdigest()
-
-
-@dataclass
-class Settings:
-    """What one generated day is played with."""
-
-    seed: int
-    rounds: int = 2000
-    groups: list[dict] = field(default_factory=list)
-    deployment: dict = field(default_factory=dict)
-    engine_count: int = 6
-    queries_a_round: float = 0.7
-    tenants: int = 3
-    fault_rate: float = 0.02  # of one fault a round
-    fault_kinds: tuple[int, ...] = tuple(range(11))
-    costs: tuple[int, ...] = (0, 200, 1000, 1000, 4000, 30_000)
-    times_left: tuple[int, ...] = (700, 20_000, 70_000, 200_000)
-    table_groups: int = 12
-    in_fleet: bool = False
-    stops: bool = False
-
-
-def resource_group(**changes: Any) -> ResourceGroup:
-    """A resource group of read-only queries, with changes."""
-    usual = dict(
-        effect=Effect.READ_ONLY,
-        key_scope=KeyScope.ANY_ENGINE,
-        idempotency_window=120_000,
-        latency_objective=15_000,
-        objective_stretch=2.0,
-        timeout=75_000,
-        priority_weight=1.0,
-        late_priority_weight=0.0,
-        ordered=False,
-        zones=None,
-        kinds=None,
-        threads=1,
-        is_bulk_load=False,
-        yields_to_bulk_loads=False,
-    )
-    return ResourceGroup(**usual | changes)
-
-
-def deployment(settings: Settings) -> Deployment:
-    """The deployment of a day."""
-    shares = [1.0 + 0.5 * tenant for tenant in range(settings.tenants)]
-    usual = dict(
-        groups=[resource_group(**changes) for changes in settings.groups],
-        tenants=[(share / sum(shares), 10.0) for share in shares],
-        cores=list(CORES),
-        memory=[16384.0, 8192.0],
-        dispatcher_count=1,
-        zone=0,
-        cross_zone_cost=0.0,
-        max_attempts=5,
-        can_cancel=True,
-        memory_grants=False,
-        priorities=True,
-        max_memory_grant=0.4,
-        progress_interval=0,
-        subscribes_to_endpoints=False,
-        poll_deadline=0,
-        key_quarantine=3000,
-        retry_budget_minimum=3.0,
-        retry_budget_ratio=0.1,
-        retry_budget_window=0,
-        slow_start_fraction=0.3,
-        slow_start_duration=150_000,
-        collapse_multiple=2.5,
-        collapse_window=30_000,
-        max_retry_after=0,
-        reports=[],
-    )
-    return Deployment(**usual | settings.deployment)
-
-
 class Attempt:
     """One attempt on a modelled engine."""
 
@@ -256,9 +150,9 @@
         self.digest.add(self.now, "timer", token, at)
         self.timers.append(at)
 
-    def watch_endpoints(self, on: bool) -> None:
+    def watch_endpoints(self, subscribed: bool) -> None:
         """Only recorded."""
-        self.digest.add(self.now, "watch", on)
+        self.digest.add(self.now, "watch", subscribed)
 
     def log_note(self, text: str) -> None:
         """Only counted: texts are no decisions."""
--- a/tests/scheduling/test_command_stream.py
+++ b/tests/scheduling/test_command_stream.py
@@ -5,7 +5,8 @@
 
 import pytest
 
-from scheduling.generated_days import Day, Settings
+from scheduling.generated_days import Day
+from scheduling.generated_settings import Settings
 from wickvane.events import Effect, KeyScope
 from wickvane.quotas.fleet_decisions import join
 from wickvane.scheduling.scheduler import Scheduler
--- a/tests/scheduling/test_storm_and_pace_streams.py
+++ b/tests/scheduling/test_storm_and_pace_streams.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from scheduling.generated_days import CommandDigest
+from scheduling.command_digest import CommandDigest
 from wickvane.scheduling.connection_pacing import ConnectionPacing
 from wickvane.scheduling.retry_storm import StormDetector, fingerprint
 
