--- a/tests/endpoints/test_validation.py
+++ b/tests/endpoints/test_validation.py
@@ -55,7 +55,7 @@
         assert harness.ready_names() == {f"e{n}" for n in range(10)}  # whole or not at all
 
 
-@pytest.mark.parametrize("severity", [Severity.NOTE, Severity.STAGE, Severity.HOLD, Severity.REJECT])
+@pytest.mark.parametrize("severity", list(Severity), ids=["note", "steps", "hold", "refuse"])
 def test_the_policy_decides_what_follows_past_a_limit(severity: Severity) -> None:
     harness = (
         ListHarness(removed_fraction_severity=severity, step_interval=TICKS_PER_SECOND)
--- a/wickvane/endpoints/config.py
+++ b/wickvane/endpoints/config.py
@@ -7,6 +7,7 @@
 
 from wickvane import parts
 from wickvane.endpoints.change_policy import ChangeLimits, ChangePolicy
+from wickvane.endpoints.document import DEFAULT_MAX_ENGINES
 from wickvane.endpoints.findings import Severity
 
 WATCH_EVENTS = "events"
@@ -14,7 +15,6 @@
 DEFAULT_POLL_INTERVAL = 2_500  # ticks
 DEFAULT_SETTLE_TIME = 1_000  # ticks
 DEFAULT_MAX_FILE_SIZE = 16 << 20  # octets
-DEFAULT_MAX_ENGINES = 20_000
 DEFAULT_MAX_FILES = 1_000
 
 SEVERITY_WORDS = {
--- a/wickvane/endpoints/dry_run.py
+++ b/wickvane/endpoints/dry_run.py
@@ -5,8 +5,8 @@
 from typing import NamedTuple
 
 from wickvane.endpoints.change_policy import ChangePolicy
-from wickvane.endpoints.config import DEFAULT_MAX_ENGINES, DEFAULT_MAX_FILES, EndpointsConfig
-from wickvane.endpoints.document import parse_document
+from wickvane.endpoints.config import DEFAULT_MAX_FILES, EndpointsConfig
+from wickvane.endpoints.document import DEFAULT_MAX_ENGINES, parse_document
 from wickvane.endpoints.document_reader import DEFAULT_AUTHOR
 from wickvane.endpoints.effects import AppendRecord, Effect
 from wickvane.endpoints.endpoint_list import EndpointList
--- a/wickvane/endpoints/extension.py
+++ b/wickvane/endpoints/extension.py
@@ -1,9 +1,14 @@
 """The extension `members`: an endpoint list from watched files, in a dispatcher."""
 
+from typing import TYPE_CHECKING
+
 from wickvane import parts
 from wickvane.endpoints.config import EndpointsConfig, read_config
 from wickvane.net import shape
 
+if TYPE_CHECKING:
+    from wickvane.net.service import Service
+
 
 def read(node: parts.Node) -> EndpointsConfig:
     """The configuration in a node of the extensions document. Raises parts.Unusable."""
@@ -16,11 +21,11 @@
     name = "members"
     threads = 1
 
-    def prepare(self, service, found: dict) -> None:
+    def prepare(self, service: "Service", found: dict) -> None:
         """Takes the place of the coordinator's list in the service."""
         service.lister = self
 
-    def join(self, service, found: dict) -> None:
+    def join(self, service: "Service", found: dict) -> None:
         """Makes the source, recovered from its journal. Raises ConfigError."""
         from wickvane.endpoints.file_source import FileSource
         from wickvane.endpoints.topology import topology_of
@@ -43,7 +48,7 @@
         """Takes in an event of the coordinator's stream."""
         self.source.apply_stream_event(number, is_full, entries)
 
-    def start(self, service) -> None:
+    def start(self, service: "Service") -> None:
         """Publishes the list, and starts to watch; the coordinator's stream goes on from what is known."""
         coordinator = service.coordinator
         number, events = service.known
