--- a/wickvane/endpoints/capacity.py
+++ b/wickvane/endpoints/capacity.py
@@ -2,6 +2,7 @@
 
 from wickvane.endpoints.snapshot import Endpoint
 from wickvane.endpoints.topology import GroupPlacement, Topology
+from wickvane.events import EngineState
 from wickvane.scheduler import warm_part
 from wickvane.units import TICKS_PER_MILLISECOND
 
@@ -38,7 +39,7 @@
 
     def add(self, endpoint: Endpoint, now: int) -> None:
         """Counts an engine, if it is ready."""
-        if not endpoint.is_ready:
+        if endpoint.state != EngineState.READY:
             return
         placement = endpoint.kind, endpoint.zone
         self.ready_by_placement[placement] = self.ready_by_placement.get(placement, 0) + 1
@@ -49,7 +50,7 @@
 
     def remove(self, endpoint: Endpoint) -> None:
         """Counts an engine no more that add() counted."""
-        if not endpoint.is_ready:
+        if endpoint.state != EngineState.READY:
             return
         placement = endpoint.kind, endpoint.zone
         self.ready_by_placement[placement] -= 1
--- a/wickvane/endpoints/records.py
+++ b/wickvane/endpoints/records.py
@@ -151,16 +151,19 @@
 def audit_row(record: Record) -> dict:
     """The line of the audit log on a record, in its stored form: numbers in place of endpoints."""
     fields = _encode_fields(record)
-    row = {field: fields[field] for field in _AUDIT_FIELDS if field in fields}
     if isinstance(record, Applied):
-        row["put"] = len(record.delta.put)
-        row["drop"] = len(record.delta.removed)
-    return row
+        fields["steps"] = fields.pop("steps")  # behind `of`, as in _AUDIT_FIELDS
+        fields["put"] = len(record.delta.put)
+        fields["drop"] = len(record.delta.removed)
+        return fields
+    return {field: fields[field] for field in _AUDIT_FIELDS if field in fields}
 
 
 def _encode_fields(record: Record) -> dict:
     """The stored form of a record, without its endpoints."""
     match record:
+        case Published():
+            return {"what": "at-work", "at": record.at, "step": record.step}
         case Applied():
             return {
                 "what": "taken",
@@ -199,8 +202,6 @@
             return _encode_order("stopped", record)
         case RolloutResumed():
             return _encode_order("resumed", record)
-        case Published():
-            return {"what": "at-work", "at": record.at, "step": record.step}
     raise TypeError(type(record).__name__)
 
 
--- a/wickvane/endpoints/snapshot.py
+++ b/wickvane/endpoints/snapshot.py
@@ -67,9 +67,9 @@
 
     def to_row(self) -> list:
         """The stored form, for JSON."""
-        stated = self.stated_fields
-        words = None if stated is None else sorted(DOCUMENT_WORDS[field] for field in stated)
-        return [*self[:8], words]
+        if self.stated_fields is None:
+            return [*self[:8], None]
+        return [*self[:8], sorted(DOCUMENT_WORDS[field] for field in self.stated_fields)]
 
 
 def endpoint_from_row(row: list) -> Endpoint:
@@ -90,8 +90,9 @@
 
 def stops_taking_queries(current: Endpoint | None, following: Endpoint | None) -> bool:
     """Whether a ready endpoint is removed or drained by a change."""
-    was_ready = current is not None and current.is_ready
-    return was_ready and (following is None or not following.is_ready)
+    if current is None or current.state != EngineState.READY:
+        return False
+    return following is None or following.state != EngineState.READY
 
 
 def _endpoint_checksum(endpoint: Endpoint) -> int:
--- a/wickvane/endpoints/validation.py
+++ b/wickvane/endpoints/validation.py
@@ -13,6 +13,7 @@
 from wickvane.endpoints.findings import Finding, Location, Severity
 from wickvane.endpoints.snapshot import Endpoint, stops_taking_queries
 from wickvane.endpoints.topology import Topology
+from wickvane.events import EngineState
 
 NAMES_IN_MESSAGE = 5
 MAX_ENDPOINT_FINDINGS = 20
@@ -118,7 +119,7 @@
 
 
 def _is_weight_jump(limits: ChangeLimits, current: Endpoint | None, wanted: Endpoint | None) -> bool:
-    if current is None or wanted is None or not current.is_ready or not wanted.is_ready:
+    if current is None or wanted is None or not current.state == wanted.state == EngineState.READY:
         return False
     factor = wanted.weight / current.weight
     return max(factor, 1 / factor) > limits.weight_factor * (1 + ROUNDING_TOLERANCE)
