--- a/wickvane/xds/catalog.py
+++ b/wickvane/xds/catalog.py
@@ -64,10 +64,8 @@
         """The least index that is behind neither of two."""
         if not self.has_two_sources:
             return max(one, other)
-        (one_file, one_stream), (other_file, other_stream) = (
-            self._source_indexes(one),
-            self._source_indexes(other),
-        )
+        one_file, one_stream = self._source_indexes(one)
+        other_file, other_stream = self._source_indexes(other)
         return max(one_file, other_file) << STREAM_INDEX_BITS | max(one_stream, other_stream)
 
     def update(
--- a/wickvane/xds/endpoint_snapshot.py
+++ b/wickvane/xds/endpoint_snapshot.py
@@ -143,6 +143,7 @@
         self.log_events: list[SnapshotEvent] = []
 
     def apply_entry(self, entry: tuple, readmitted: Collection[str]) -> None:
+        """Takes in what the event says of one endpoint."""
         name, address, state, zone, kind, cell, started, weight = entry
         self._named.add(name)
         started_at = int(started * TICKS_PER_MILLISECOND)
@@ -208,6 +209,7 @@
         return set(kept)
 
     def finish(self) -> EndpointSnapshot:
+        """The snapshot after the event."""
         removed = self._removed
         while len(removed) > MAX_REMEMBERED_REMOVALS:
             removed = removed.delete(min(removed, key=removed.get))
--- a/wickvane/xds/placement.py
+++ b/wickvane/xds/placement.py
@@ -124,13 +124,9 @@
         for table_group in self._orders:
             yield table_group, self._position(table_group, name)
 
-    def names(self, table_group: int) -> Iterator[str]:
-        """The endpoints in a table group's order."""
-        return (name for _, name in self._orders[table_group])
-
-    def size(self, table_group: int) -> int:
-        """The number of endpoints."""
-        return len(self._orders[table_group])
+    def entries(self, table_group: int) -> Sequence[tuple]:
+        """The endpoints in a table group's order: (hash, name) each."""
+        return self._orders[table_group]
 
 
 class Placement:
@@ -239,17 +235,21 @@
 
     def _reach(self, table_group: int) -> int:
         """How many endpoints of the order any class looks at, those that are passed over included."""
+        wanted = MAX_FIRST_ENDPOINTS + MAX_BACKUP_ENDPOINTS
         found = dict.fromkeys(self.engine_classes, 0)
-        for position, name in enumerate(self._order.names(table_group)):
+        unsatisfied = len(found)
+        entries = self._order.entries(table_group)
+        for position, (_, name) in enumerate(entries):
             endpoint = self._endpoints.get(name)
-            if endpoint is None:
+            if endpoint is None or endpoint.state != EngineState.READY:
                 continue
             for engine_class in found:
-                if endpoint.state == EngineState.READY and self._is_allowed(engine_class, endpoint):
+                if self._is_allowed(engine_class, endpoint):
                     found[engine_class] += 1
-            if all(count >= MAX_FIRST_ENDPOINTS + MAX_BACKUP_ENDPOINTS for count in found.values()):
+                    unsatisfied -= found[engine_class] == wanted
+            if not unsatisfied:
                 return position + 1
-        return self._order.size(table_group) + 1
+        return len(entries) + 1
 
     def _is_allowed(self, engine_class: str, endpoint: Endpoint) -> bool:
         zones, kinds = self.engine_classes[engine_class]
@@ -322,7 +322,7 @@
         found: list[PlacedEndpoint] = []
         first_count = 0
         warm_sum = 0.0
-        for name in self._order.names(table_group):
+        for _, name in self._order.entries(table_group):
             endpoint = self._endpoints.get(name)
             # A draining endpoint is left out, since whether a client knows that health status is uncertain:
             # proxies complete their requests there, and send no new ones.
--- a/wickvane/xds/services.py
+++ b/wickvane/xds/services.py
@@ -37,6 +37,7 @@
 MAX_NODE_CHARACTERS = 256
 MAX_CLUSTER_CHARACTERS = 512
 MAX_ENDPOINT_CHARACTERS = 128
+NO_ENDPOINT = ""  # of load statistics of a whole locality
 STREAM_METADATA = ("stream", "variant", "lag_ms", "sent", "acknowledged", "refused", "told-again", "late")
 
 Context = grpc.aio.ServicerContext
@@ -320,7 +321,9 @@
     for stats in locality.upstream_endpoint_stats:
         address = stats.address.socket_address
         found.append((f"{address.address}:{address.port_value}", stats))
-    return found or [("", locality)]
+    if not found:
+        found.append((NO_ENDPOINT, locality))
+    return found
 
 
 class ClientStatusService:
--- a/wickvane/xds/subscription.py
+++ b/wickvane/xds/subscription.py
@@ -186,9 +186,9 @@
     def is_proxy_ahead(self) -> bool:
         """Whether the proxy knows a newer endpoint list than this instance: then it keeps what it has, since
         an endpoint that has drained could come back by the older one."""
-        if self.resource_type != ResourceType.EDS:
+        if self.newer_index is None or self.resource_type != ResourceType.EDS:
             return False
-        if self.newer_index is not None and not self._catalog.is_behind(self.newer_index):
+        if not self._catalog.is_behind(self.newer_index):
             self.newer_index = None
             self.needs_full_check = True
             self._report(ProxyAheadResolved(self._catalog.index))
