--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -44,7 +44,7 @@
             )
             tasks.append(asyncio.ensure_future(proxy.run(channel)))
         loop = asyncio.get_running_loop()
-        while not all(proxy.ends for proxy in made) or len({len(p.ends) for p in made}) > 1:
+        while not all(proxy.endpoints for proxy in made) or len({len(p.endpoints) for p in made}) > 1:
             await asyncio.sleep(0.05)
         await asyncio.sleep(1.0)
         pipe.send(len(made[0].sends_to()))
@@ -53,13 +53,18 @@
             if word is None:
                 break
             for proxy in made:
-                proxy.octets, proxy.left = 0, {}
+                proxy.received_bytes, proxy.stopped_sending_at = 0, {}
             pipe.send("set")
             by = time.monotonic() + 10
-            while time.monotonic() < by and not all(word in proxy.left for proxy in made):
+            while time.monotonic() < by and not all(word in proxy.stopped_sending_at for proxy in made):
                 await asyncio.sleep(0.02)
             await asyncio.sleep(0.2)
-            pipe.send(([proxy.left.get(word) for proxy in made], [proxy.octets for proxy in made]))
+            pipe.send(
+                (
+                    [proxy.stopped_sending_at.get(word) for proxy in made],
+                    [proxy.received_bytes for proxy in made],
+                )
+            )
         for task in tasks:
             task.cancel()
 
--- a/tests/standins/xds_proxy.py
+++ b/tests/standins/xds_proxy.py
@@ -1,183 +1,273 @@
-"""A proxy that only follows xDS, from the published protocol: aggregated streams of both variants, what it
-holds, and when each update came."""
+"""A stand-in proxy that only follows xDS, from the published protocol.
+
+It speaks both variants on an aggregated stream, and records what it holds and when each update came.
+"""
 
 import asyncio
 import time
+from collections.abc import Collection, Iterator
+from enum import Enum
+from typing import Any, NamedTuple
 
 import grpc
+from envoy.config.cluster.v3 import cluster_pb2
+from envoy.config.core.v3 import health_check_pb2
 from envoy.config.endpoint.v3 import endpoint_pb2
+from envoy.config.listener.v3 import listener_pb2
+from envoy.config.route.v3 import route_pb2
 from envoy.service.discovery.v3 import discovery_pb2
 
-BASE = "type.googleapis.com/envoy.config."
-CDS, EDS, LDS, RDS = (
-    BASE + "cluster.v3.Cluster",
-    BASE + "endpoint.v3.ClusterLoadAssignment",
-    BASE + "listener.v3.Listener",
-    BASE + "route.v3.RouteConfiguration",
-)
+TYPE_URL_PREFIX = "type.googleapis.com/envoy.config."
+CDS = TYPE_URL_PREFIX + "cluster.v3.Cluster"
+EDS = TYPE_URL_PREFIX + "endpoint.v3.ClusterLoadAssignment"
+LDS = TYPE_URL_PREFIX + "listener.v3.Listener"
+RDS = TYPE_URL_PREFIX + "route.v3.RouteConfiguration"
+TYPE_URLS = (CDS, EDS, LDS, RDS)
 SERVICE = "/envoy.service.discovery.v3.AggregatedDiscoveryService/"
-HEALTHY, UNKNOWN = 1, 0
+WRAPPED_RESOURCE = "discovery.v3.Resource"
+SUPPORTS_TTL = "xds.config.supports-resource-ttl"
+USABLE_HEALTH = (health_check_pb2.HEALTHY, health_check_pb2.UNKNOWN)
+NACK_REASON = "this proxy takes nothing"
+NEVER_READS_S = 3600
+SOTW = "sotw"
+
+
+class Answer(Enum):
+    """What a proxy does with responses."""
+
+    ACK = "ack"
+    NACK = "nack"
+    NOTHING = "nothing"
+
+
+class Update(NamedTuple):
+    """A response that was received."""
+
+    received_at: float
+    type_url: str
+    names: list[str]
+    removed: list[str]
+
+
+class ClusterEndpoint(NamedTuple):
+    """An endpoint that a proxy sends requests to."""
+
+    name: str
+    priority: int
+    weight: int
 
 
 class Proxy:
-    """answers: "ack", "refuse", or "nothing"; late: seconds before it does; reads: whether it reads."""
-
-    def __init__(self, node, variant="delta", answers="ack", late=0.0, reads=True, clusters=None):
-        self.node, self.variant, self.answers, self.late, self.reads = node, variant, answers, late, reads
-        self.held = {url: {} for url in (CDS, EDS, LDS, RDS)}  # name: body
-        self.versions = {url: {} for url in self.held}
-        self.whole = dict.fromkeys(self.held, "")
-        self.log = []  # (monotonic, type, names, removed)
-        self.ends = {}  # cluster: [(engine, priority, weight)] that it would send to
-        self.left = {}  # engine: when this proxy last ceased to send to it
-        self.named, self.count, self.octets = clusters, 0, 0
-        self.call = self.ended = None
-
-    def first(self):
+    """One proxy.
+
+    answer_delay: seconds before it answers; reads: whether it reads responses at all; clusters: the EDS
+    resources that it subscribes to, None for those of all clusters.
+    """
+
+    def __init__(
+        self,
+        node: str,
+        variant: str = "delta",
+        answer: Answer = Answer.ACK,
+        answer_delay: float = 0.0,
+        reads: bool = True,
+        clusters: Collection[str] | None = None,
+    ) -> None:
+        self.node = node
+        self.held: dict[str, dict[str, bytes]] = {url: {} for url in TYPE_URLS}  # bodies by name
+        self.updates: list[Update] = []
+        self.endpoints: dict[str, list[ClusterEndpoint]] = {}  # by cluster
+        self.stopped_sending_at: dict[str, float] = {}  # by endpoint: when no cluster had it any longer
+        self.response_count = 0
+        self.received_bytes = 0
+        self.channel: grpc.aio.Channel | None = None  # set by the owner of its event loop, as is the task
+        self.task: asyncio.Future | None = None
+        self.end_status: tuple[grpc.StatusCode, str] | None = None
+        self._variant = variant
+        self._answer = answer
+        self._answer_delay = answer_delay
+        self._reads = reads
+        self._clusters = clusters
+        self._versions: dict[str, dict[str, str]] = {url: {} for url in TYPE_URLS}
+        self._type_versions = dict.fromkeys(TYPE_URLS, "")
+        self._subscribed: dict[str, list[str]] = {}
+        self._call: Any = None
+
+    @property
+    def _is_sotw(self) -> bool:
+        return self._variant == SOTW
+
+    def sends_to(self) -> set[str]:
+        """The endpoints that it would send requests to."""
+        return {endpoint.name for members in self.endpoints.values() for endpoint in members}
+
+    def endpoint_updates(self) -> int:
+        """How many responses about endpoints it has taken."""
+        return sum(update.type_url == EDS for update in self.updates)
+
+    # requests
+
+    def _initial_subscriptions(self) -> Iterator[tuple[str, list[str]]]:
         for url in (CDS, LDS):
             yield url, []
-        if self.named is not None:
-            yield EDS, sorted(self.named)
+        if self._clusters is not None:
+            yield EDS, sorted(self._clusters)
         elif self.held[CDS]:
             yield EDS, sorted(self.held[CDS])  # as before the stream was lost
         if self.held[LDS]:
             yield RDS, sorted(self.held[LDS])
 
-    def request(self, url, names=(), nonce="", error=None, begin=False):
-        if self.variant == "sotw":
-            made = discovery_pb2.DiscoveryRequest(
-                type_url=url, version_info=self.whole[url], resource_names=names, response_nonce=nonce
+    def _request(
+        self,
+        url: str,
+        names: Collection[str] = (),
+        nonce: str = "",
+        error: str | None = None,
+        is_first: bool = False,
+    ) -> Any:
+        if self._is_sotw:
+            request = discovery_pb2.DiscoveryRequest(
+                type_url=url,
+                version_info=self._type_versions[url],
+                resource_names=names,
+                response_nonce=nonce,
             )
         else:
-            made = discovery_pb2.DeltaDiscoveryRequest(type_url=url, response_nonce=nonce)
-            if begin:
-                made.resource_names_subscribe.extend(names)
-                made.initial_resource_versions.update(self.versions[url])
-        if begin:
-            made.node.id = self.node
-            made.node.client_features.append("xds.config.supports-resource-ttl")
+            request = discovery_pb2.DeltaDiscoveryRequest(type_url=url, response_nonce=nonce)
+            if is_first:
+                request.resource_names_subscribe.extend(names)
+                request.initial_resource_versions.update(self._versions[url])
+        if is_first:
+            request.node.id = self.node
+            request.node.client_features.append(SUPPORTS_TTL)
         if error:
-            made.error_detail.message = error
-        return made
-
-    async def run(self, channel):
-        """One stream, until it ends; what is held stays."""
-        cls = (
-            discovery_pb2.DiscoveryResponse
-            if self.variant == "sotw"
-            else discovery_pb2.DeltaDiscoveryResponse
-        )
-        name = "StreamAggregatedResources" if self.variant == "sotw" else "DeltaAggregatedResources"
-        self.call = channel.stream_stream(
-            SERVICE + name,
-            request_serializer=lambda request: request.SerializeToString(),
-            response_deserializer=lambda data: (len(data), cls.FromString(data)),
-        )()
-        self.asked = {CDS: [], LDS: []}
+            request.error_detail.message = error
+        return request
+
+    # the stream
+
+    async def run(self, channel: grpc.aio.Channel) -> None:
+        """Follows one stream until it ends; the resources stay."""
+        self._call = self._open(channel)
+        self._subscribed = {CDS: [], LDS: []}
         try:
-            # A call that the server ended already refuses the next write.
-            for url, names in self.first():
-                self.asked[url] = names
-                await self.call.write(self.request(url, names, begin=True))
-            if not self.reads:
-                await asyncio.sleep(3600)
-            while (got := await self.call.read()) is not grpc.aio.EOF:
-                self.octets += got[0]
-                await self.take(got[1])
+            # A call that the server has ended already rejects the next write.
+            for url, names in self._initial_subscriptions():
+                self._subscribed[url] = names
+                await self._call.write(self._request(url, names, is_first=True))
+            if not self._reads:
+                await asyncio.sleep(NEVER_READS_S)
+            while (received := await self._call.read()) is not grpc.aio.EOF:
+                byte_count, response = received
+                self.received_bytes += byte_count
+                await self._take(response)
         except (grpc.RpcError, grpc.aio.UsageError, asyncio.InvalidStateError):
             pass
-        self.ended = await self.call.code(), await self.call.details()
-
-    async def take(self, response):
-        url, names = response.type_url, []
-        if self.late:
-            await asyncio.sleep(self.late)
-        if self.answers != "refuse":
-            names = self.apply(response)
-        self.count += 1
+        self.end_status = await self._call.code(), await self._call.details()
+
+    def _open(self, channel: grpc.aio.Channel) -> Any:
+        if self._is_sotw:
+            method = "StreamAggregatedResources"
+            response_class = discovery_pb2.DiscoveryResponse
+        else:
+            method = "DeltaAggregatedResources"
+            response_class = discovery_pb2.DeltaDiscoveryResponse
+        return channel.stream_stream(
+            SERVICE + method,
+            request_serializer=lambda request: request.SerializeToString(),
+            response_deserializer=lambda data: (len(data), response_class.FromString(data)),
+        )()
+
+    async def _take(self, response: Any) -> None:
+        url = response.type_url
+        if self._answer_delay:
+            await asyncio.sleep(self._answer_delay)
+        is_rejected = self._answer is Answer.NACK
+        names = [] if is_rejected else self._apply(response)
+        self.response_count += 1
         removed = list(getattr(response, "removed_resources", ()))
-        self.log.append((time.monotonic(), url, names, removed))
-        error = "this proxy takes nothing" if self.answers == "refuse" else None
-        if self.answers != "nothing":
-            await self.call.write(self.request(url, self.asked.get(url, ()), response.nonce, error))
-        if self.answers == "refuse":
-            return
-        # Endpoints of the clusters and routes of the listeners that it knows by now.
+        self.updates.append(Update(time.monotonic(), url, names, removed))
+        if self._answer is not Answer.NOTHING:
+            error = NACK_REASON if is_rejected else None
+            names = self._subscribed.get(url, ())
+            await self._call.write(self._request(url, names, response.nonce, error))
+        if not is_rejected:
+            await self._follow_up(url)
+
+    async def _follow_up(self, url: str) -> None:
+        """Subscribes to the endpoints of the clusters and the routes of the listeners that it has by now."""
         for source, target in ((CDS, EDS), (LDS, RDS)):
-            wanted = sorted(self.held[source])
-            if url != source or not wanted or self.named is not None and target == EDS:
+            names = sorted(self.held[source])
+            if url != source or not names or self._clusters is not None and target == EDS:
                 continue
-            before = self.asked.get(target)
-            if before is None or self.variant == "sotw" and before != wanted:
-                self.asked[target] = wanted
-                await self.call.write(
-                    self.request(target, wanted, begin=True)
-                    if before is None
-                    else self.request(target, wanted)
-                )
-
-    def apply(self, response):
-        url, names = response.type_url, []
-        held = self.held[url]
-        if self.variant == "sotw":
-            self.whole[url] = response.version_info
-            found = {}
-            for one in response.resources:
-                if one.type_url.endswith("discovery.v3.Resource"):
-                    inner = discovery_pb2.Resource.FromString(one.value)
-                    if not inner.HasField("resource"):
-                        continue
-                    one = inner.resource
-                found[name_of(url, one.value)] = one.value
-            if url in (CDS, LDS):
-                held.clear()
-            held.update(found)
-            names = list(found)
-        else:
-            for one in response.resources:
-                if one.HasField("resource"):
-                    held[one.name], self.versions[url][one.name] = one.resource.value, one.version
-                    names.append(one.name)
-            for name in response.removed_resources:
-                held.pop(name, None)
-                self.versions[url].pop(name, None)
-                self.ends.pop(name, None)
-        if url == EDS:
-            before = self.sends_to()
-            for name in names:
-                self.ends[name] = ends_of(held[name])
-            now = time.monotonic()
-            for engine in before - self.sends_to():
-                self.left[engine] = now
+            before = self._subscribed.get(target)
+            if before is None or (self._is_sotw and before != names):
+                self._subscribed[target] = names
+                await self._call.write(self._request(target, names, is_first=before is None))
+
+    # responses
+
+    def _apply(self, response: Any) -> list[str]:
+        """Takes in a response; the names of its resources."""
+        names = self._apply_sotw(response) if self._is_sotw else self._apply_delta(response)
+        if response.type_url == EDS:
+            self._update_endpoints(names)
         return names
 
-    def endpoint_updates(self):
-        """How many responses about endpoints it has taken."""
-        return sum(url == EDS for _, url, _, _ in self.log)
+    def _apply_sotw(self, response: discovery_pb2.DiscoveryResponse) -> list[str]:
+        url = response.type_url
+        self._type_versions[url] = response.version_info
+        bodies = [body for resource in response.resources if (body := _body_of(resource)) is not None]
+        found = {name_of(url, body): body for body in bodies}
+        if url in (CDS, LDS):
+            self.held[url].clear()
+        self.held[url].update(found)
+        return list(found)
 
-    def sends_to(self):
-        return {engine for ends in self.ends.values() for engine, _, _ in ends}
+    def _apply_delta(self, response: discovery_pb2.DeltaDiscoveryResponse) -> list[str]:
+        url = response.type_url
+        names = []
+        for resource in response.resources:
+            if resource.HasField("resource"):
+                self.held[url][resource.name] = resource.resource.value
+                self._versions[url][resource.name] = resource.version
+                names.append(resource.name)
+        for name in response.removed_resources:
+            self.held[url].pop(name, None)
+            self._versions[url].pop(name, None)
+            self.endpoints.pop(name, None)
+        return names
 
+    def _update_endpoints(self, clusters: Collection[str]) -> None:
+        before = self.sends_to()
+        for cluster in clusters:
+            self.endpoints[cluster] = endpoints_of(self.held[EDS][cluster])
+        now = time.monotonic()
+        for name in before - self.sends_to():
+            self.stopped_sending_at[name] = now
 
-def name_of(url, body):
-    from envoy.config.cluster.v3 import cluster_pb2
-    from envoy.config.listener.v3 import listener_pb2
-    from envoy.config.route.v3 import route_pb2
 
+def _body_of(resource: Any) -> bytes | None:
+    """The encoded resource, None in a heartbeat."""
+    if not resource.type_url.endswith(WRAPPED_RESOURCE):
+        return resource.value
+    wrapped = discovery_pb2.Resource.FromString(resource.value)
+    return wrapped.resource.value if wrapped.HasField("resource") else None
+
+
+def name_of(url: str, body: bytes) -> str:
+    """The name in an encoded resource."""
     if url == EDS:
         return endpoint_pb2.ClusterLoadAssignment.FromString(body).cluster_name
-    return (
-        {CDS: cluster_pb2.Cluster, LDS: listener_pb2.Listener, RDS: route_pb2.RouteConfiguration}[url]
-        .FromString(body)
-        .name
-    )
-
-
-def ends_of(body):
-    """What a proxy would send to: none that drains."""
-    found = []
-    for group in endpoint_pb2.ClusterLoadAssignment.FromString(body).endpoints:
-        for end in group.lb_endpoints:
-            if end.health_status in (HEALTHY, UNKNOWN):
-                found.append((end.endpoint.hostname, group.priority, end.load_balancing_weight.value))
-    return found
+    classes = {CDS: cluster_pb2.Cluster, LDS: listener_pb2.Listener, RDS: route_pb2.RouteConfiguration}
+    return classes[url].FromString(body).name
+
+
+def endpoints_of(body: bytes) -> list[ClusterEndpoint]:
+    """The endpoints in an encoded assignment that a proxy sends requests to: none that drains."""
+    return [
+        ClusterEndpoint(endpoint.endpoint.hostname, locality.priority, endpoint.load_balancing_weight.value)
+        for locality in endpoint_pb2.ClusterLoadAssignment.FromString(body).endpoints
+        for endpoint in locality.lb_endpoints
+        if endpoint.health_status in USABLE_HEALTH
+    ]
--- a/tests/test_members_files.py
+++ b/tests/test_members_files.py
@@ -673,7 +673,7 @@
     import asyncio
 
     from standins.xds_proxy import Proxy
-    from xds_service.test_service import Loop
+    from xds_service.service_rig import ProxyLoop
 
     from wickvane.xds.server import Server
 
@@ -701,7 +701,7 @@
     thread = threading.Thread(target=lambda: asyncio.run(server.serve()), daemon=True)
     thread.start()
     assert server.ready.wait(30)
-    loop = Loop()
+    loop = ProxyLoop()
     proxy = loop.start(Proxy("p"), port)
     until(lambda: proxy.sends_to() == {"e0", "e1", "e2", "e3"})
     with open(path, "w") as file:
--- /dev/null
+++ b/tests/xds_service/test_extension.py
@@ -0,0 +1,23 @@
+"""The node `control` of the parts document."""
+
+import os
+
+import pytest
+from test_rehearsal import ROOT
+
+from wickvane import parts
+
+
+@pytest.mark.parametrize(
+    "text,words",
+    [
+        ('control { listen "10.0.0.1:80" }', "tls"),
+        ("control { }", "listen"),
+        ('control { listen "127.0.0.1:1"; floor past="maybe" }', "past"),
+        ('control { listen "127.0.0.1:1"; tables -1 }', "0 to 5000"),
+    ],
+)
+def test_unusable_document_is_an_error_that_says_why(text, words):
+    assert parts.read(os.path.join(ROOT, "deploy", "control.kdl"))["control"].table_groups == 100
+    with pytest.raises(parts.Unusable, match=words):
+        parts.read_text(text)
