--- a/tests/endpoints/test_control_service.py
+++ b/tests/endpoints/test_control_service.py
@@ -6,7 +6,7 @@
 
 from bench_free import SETTINGS, STANDING, free_port, until
 from standins.xds_proxy import Proxy
-from xds_service.test_service import Loop
+from xds_service.service_rig import ProxyLoop
 
 from wickvane import parts
 from wickvane.events import EngineState
@@ -64,7 +64,7 @@
     thread = threading.Thread(target=lambda: asyncio.run(server.serve()), daemon=True)
     thread.start()
     assert server.ready.wait(30)
-    loop = Loop()
+    loop = ProxyLoop()
     proxy = loop.start(Proxy("p"), port)
     until(lambda: proxy.sends_to() == {"e0", "e1", "e2", "e3"})
     with open(path, "w") as file:
