--- a/tests/quotas/test_engine_reports.py
+++ b/tests/quotas/test_engine_reports.py
@@ -42,7 +42,7 @@
     assert all(max(report[1:]) <= MAX_FIGURE for report in evidence.reports(2))
     for _ in range(9):
         updates, room_left = received.next_page(300)
-        entries = [wire.ReportsEntry(1 << 31, t + (1 << 60), reports) for _, t, reports in updates]
+        entries = [(1 << 31, t + (1 << 60), reports) for _, t, reports in updates]
         data = wire.encode(wire.GossipMessage(engine_reports=entries))
         assert len(data) <= 300 - room_left + 16
     assert received.next_page(300).updates == []  # relayed often enough
--- a/wickvane/quotas/engine_judgement.py
+++ b/wickvane/quotas/engine_judgement.py
@@ -62,34 +62,30 @@
         return slowdown if slowdown >= MIN_SLOWDOWN else 0.0
 
 
-def _is_failing(report: EngineReport) -> bool:
-    _, attempts, failures, _ = report
-    return failures >= FAILING_RATIO * attempts
-
-
-def _has_path_fault(reports: Sequence[EngineReport]) -> bool:
+def _has_path_fault(failing: Sequence[bool]) -> bool:
     """Whether more than half of the engines fail for one dispatcher."""
-    failing = sum(map(_is_failing, reports))
-    return len(reports) > 1 and 2 * failing > len(reports)
+    return len(failing) > 1 and 2 * sum(failing) > len(failing)
 
 
-def _median_slowdown(reports: Sequence[EngineReport]) -> float | None:
+def _median_slowdown(reports: Sequence[EngineReport], failing: Sequence[bool]) -> float | None:
     """The slowdown of one dispatcher's median engine; None where fewer than two answer."""
-    slowdowns = [report[3] for report in reports if not _is_failing(report)]
+    slowdowns = [report[3] for report, fails in zip(reports, failing) if not fails]
     return median(slowdowns) / 10 if len(slowdowns) >= 2 else None
 
 
 def _count_votes(reports: Sequence[EngineReport], age: int, votes: dict[str, _Votes]) -> float | None:
     """Adds one dispatcher's reports; returns the slowdown of its median engine."""
-    usual = _median_slowdown(reports)
-    has_path_fault = _has_path_fault(reports)
-    for report in reports:
-        engine, attempts, failures, slowdown = report
+    failing = [failures >= FAILING_RATIO * attempts for _, attempts, failures, _ in reports]
+    usual = _median_slowdown(reports, failing)
+    has_path_fault = _has_path_fault(failing)
+    for (engine, attempts, failures, slowdown), fails in zip(reports, failing):
         if attempts <= 0:
             continue
-        engine_votes = votes.setdefault(engine, _Votes())
+        engine_votes = votes.get(engine)
+        if engine_votes is None:
+            engine_votes = votes[engine] = _Votes()
         engine_votes.ages.append(age)
-        if _is_failing(report):
+        if fails:
             engine_votes.failing += not has_path_fault
             continue
         engine_votes.healthy += failures <= HEALTHY_RATIO * attempts
--- a/wickvane/quotas/gossip.py
+++ b/wickvane/quotas/gossip.py
@@ -51,27 +51,17 @@
         """The verdicts on engines, each REPORT_INTERVAL."""
 
 
-class IncarnationMarks:
-    """Resolves the marks that stand for incarnations in messages."""
-
-    def __init__(self) -> None:
-        self._by_mark: dict[int, Incarnation] = {}
-
-    def rebuild(self, incarnations: Iterable[Incarnation]) -> None:
-        """Takes these incarnations; those that share a mark are all left out."""
-        by_mark: dict[int, Incarnation] = {}
-        ambiguous = set()
-        for incarnation in incarnations:
-            mark = mark_of(incarnation)
-            if by_mark.setdefault(mark, incarnation) != incarnation:
-                ambiguous.add(mark)
-        for mark in ambiguous:
-            del by_mark[mark]
-        self._by_mark = by_mark
-
-    def get(self, mark: int) -> Incarnation | None:
-        """The incarnation of a mark, None where it is not known."""
-        return self._by_mark.get(mark)
+def incarnations_by_mark(incarnations: Iterable[Incarnation]) -> dict[int, Incarnation]:
+    """The incarnations that marks in messages stand for; those that share a mark are all left out."""
+    by_mark: dict[int, Incarnation] = {}
+    ambiguous = set()
+    for incarnation in incarnations:
+        mark = mark_of(incarnation)
+        if by_mark.setdefault(mark, incarnation) != incarnation:
+            ambiguous.add(mark)
+    for mark in ambiguous:
+        del by_mark[mark]
+    return by_mark
 
 
 class QuotaGossip:
@@ -97,7 +87,7 @@
         self.engine_reports = EngineReports(view.max_members)
         self.tenant_usage = TenantUsage(view.max_members)
         self.judgement = Judgement({}, None, [])
-        self.marks = IncarnationMarks()
+        self.by_mark: dict[int, Incarnation] = {}
         self.malformed = 0
         self.next_at = now + view.random_delay(page_interval)
         self.next_membership_at = now
@@ -122,11 +112,11 @@
 
     def _merge_counters(self, now: int, message: wire.GossipMessage) -> None:
         for mark, timestamp, levels in message.levels:
-            incarnation = self.marks.get(mark)
+            incarnation = self.by_mark.get(mark)
             if incarnation is not None:
                 self.counters.merge_levels(now, incarnation, timestamp, levels)
         for mark, key, value in message.counters:
-            incarnation = self.marks.get(mark)
+            incarnation = self.by_mark.get(mark)
             if incarnation is not None:
                 self.counters.merge_counter(now, incarnation, key, value)
 
@@ -141,7 +131,7 @@
                 self.tenant_usage.merge(incarnation, timestamp, usage)
 
     def _other_incarnation(self, mark: int) -> Incarnation | None:
-        incarnation = self.marks.get(mark)
+        incarnation = self.by_mark.get(mark)
         return incarnation if incarnation != self.counters.incarnation else None
 
     # What is done in turn
@@ -191,20 +181,14 @@
         self.counters.update_membership(now, present)
         self.engine_reports.retain(present)
         self.tenant_usage.retain(present)
-        self.marks.rebuild({*self.view.known_incarnations(), *self.counters.by_incarnation})
+        self.by_mark = incarnations_by_mark({*self.view.known_incarnations(), *self.counters.by_incarnation})
 
     def _send_pages(self, fanout: int) -> None:
         for row in self.view.random_rows(fanout):
             levels, counters = self.counters.next_page(PAGE_ROOM)
             page = wire.GossipMessage(
-                levels=[
-                    wire.LevelsEntry(mark_of(update.incarnation), update.timestamp, update.levels)
-                    for update in levels
-                ],
-                counters=[
-                    wire.CounterEntry(mark_of(update.incarnation), update.key, update.value)
-                    for update in counters
-                ],
+                levels=[(mark_of(incarnation), timestamp, rows) for incarnation, timestamp, rows in levels],
+                counters=[(mark_of(incarnation), key, value) for incarnation, key, value in counters],
             )
             self.view.send(row, wire.encode(page))
 
@@ -264,8 +248,8 @@
         reports, _ = self.engine_reports.next_page(PAGE_ROOM - MESSAGE_OVERHEAD - USAGE_ROOM + room_left)
         if usage or reports:
             page = wire.GossipMessage(
-                engine_reports=[wire.ReportsEntry(*_with_mark(update)) for update in reports],
-                tenant_usage=[wire.UsageEntry(*_with_mark(update)) for update in usage],
+                engine_reports=_with_marks(reports),
+                tenant_usage=_with_marks(usage),
             )
             self.view.send(row, wire.encode(page))
 
@@ -288,6 +272,5 @@
         return status_of(self, self.view.now)
 
 
-def _with_mark(update: RegisterUpdate) -> tuple[int, int, list]:
-    incarnation, timestamp, rows = update
-    return mark_of(incarnation), timestamp, rows
+def _with_marks(updates: list[RegisterUpdate]) -> list[tuple[int, int, list]]:
+    return [(mark_of(incarnation), timestamp, rows) for incarnation, timestamp, rows in updates]
--- a/wickvane/quotas/wire.py
+++ b/wickvane/quotas/wire.py
@@ -23,13 +23,6 @@
 Mark = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
 
 
-class EngineThreads(NamedTuple):
-    """Threads in flight on one engine."""
-
-    engine: Name
-    threads: Threads
-
-
 class EngineReport(NamedTuple):
     """What one dispatcher's own attempts on an engine found, in tenths.
 
@@ -42,29 +35,6 @@
     slowdown: Tenths
 
 
-class TenantWork(NamedTuple):
-    """Work done for one tenant since the dispatcher started, in milliseconds of a thread."""
-
-    tenant: Name
-    work: Count
-
-
-class LevelsEntry(NamedTuple):
-    """All threads in flight of one dispatcher at a time of its own clock."""
-
-    mark: Mark
-    timestamp: Count
-    levels: Annotated[list[EngineThreads], msgspec.Meta(max_length=200)]
-
-
-class CounterEntry(NamedTuple):
-    """One counter of one dispatcher, which only grows."""
-
-    mark: Mark
-    key: Key
-    value: Count
-
-
 class LeaseEntry(NamedTuple):
     """A lease message as it is on the wire; of a release, units and requested_at are 0."""
 
@@ -75,20 +45,15 @@
     requested_at: Count
 
 
-class ReportsEntry(NamedTuple):
-    """The engine reports of one dispatcher at a time of its own clock."""
-
-    mark: Mark
-    timestamp: Count
-    reports: Annotated[list[EngineReport], msgspec.Meta(max_length=64)]
-
-
-class UsageEntry(NamedTuple):
-    """The work for tenants of one dispatcher at a time of its own clock."""
-
-    mark: Mark
-    timestamp: Count
-    usage: Annotated[list[TenantWork], msgspec.Meta(max_length=16)]
+# Entries that a datagram has dozens of are plain tuples, since each is unpacked where it is used.
+# mark, timestamp of that dispatcher's clock, and (engine, threads in flight)
+LevelsEntry = tuple[Mark, Count, Annotated[list[tuple[Name, Threads]], msgspec.Meta(max_length=200)]]
+# mark, and one counter of that dispatcher, which only grows
+CounterEntry = tuple[Mark, Key, Count]
+# mark, timestamp of that dispatcher's clock, and its reports
+ReportsEntry = tuple[Mark, Count, Annotated[list[EngineReport], msgspec.Meta(max_length=64)]]
+# mark, timestamp, and (tenant, work in milliseconds of a thread since the dispatcher started)
+UsageEntry = tuple[Mark, Count, Annotated[list[tuple[Name, Count]], msgspec.Meta(max_length=16)]]
 
 
 class GossipMessage(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
