--- a/benchmarks/tds.py
+++ b/benchmarks/tds.py
@@ -25,8 +25,7 @@
 
 from benchmarks import conclude  # noqa: E402
 from benchmarks.flow_export import Dispatcher  # noqa: E402
-from wickvane.net.tds import packets  # noqa: E402
-from wickvane.net.tds import tokens as t  # noqa: E402
+from wickvane.net.tds import packets, token_encoding, tokens  # noqa: E402
 
 WANTED = {"tds_over_postgres": 0.7, "idle_kb": 200, "streaming_mb": 8}
 
@@ -73,7 +72,7 @@
             text = statement(n=begin + (number << 24) + k + 1, limit=20_000)
             if front == "tds":
                 client.batch(text)
-                assert any(token == t.ROW for token, _ in client.tokens())
+                assert any(token == tokens.ROW for token, _ in client.tokens())
             else:
                 assert rows(client.ask(text))
             # From the moment it was to be sent: one that waits for the one before it is late too.
@@ -173,7 +172,7 @@
         one = b"".join(row(n, "x" * 100) for n in range(500))
         for _ in range(megabytes * (1 << 20) // len(one)):
             query.conn.send(framer.more(one))
-        query.conn.send(framer.end(t.done(t.COUNTED, 1)))
+        query.conn.send(framer.end(token_encoding.encode_done(tokens.DONE_COUNT, 1)))
 
     with tempfile.TemporaryDirectory() as folder:
         dispatcher = started(folder, [TdsEngine(answer)])
--- a/tests/fuzz_codecs.py
+++ b/tests/fuzz_codecs.py
@@ -20,8 +20,7 @@
 
 with atheris.instrument_imports(include=["wickvane"]):
     from wickvane.flows import ipfix, netflow9
-    from wickvane.net.tds import login, packets, results, statements
-    from wickvane.net.tds import tokens as t
+    from wickvane.net.tds import login, packets, results, statements, token_encoding, tokens
 
 
 def messages(data):
@@ -32,20 +31,20 @@
     assert len(assembler.buffer) <= len(data)
 
 
-def tokens(data):
-    reader, columns, rows = t.Stream(), None, results.Rows()
+def token_stream(data):
+    reader, columns, rows = tokens.TokenStreamReader(), None, results.PostgresRows()
     for token, raw, said in reader.feed(data):
-        if token == t.COLMETADATA and said is not None:
+        if token == tokens.COLMETADATA and said is not None:
             columns = said
-            rows.of([(token, raw, said)])
+            rows.encode([tokens.Token(token, raw, said)])
             rows.columns = columns
-        elif token in (t.ROW, t.NBCROW):
-            rows.of([(token, raw, None)])
+        elif token in (tokens.ROW, tokens.NBCROW):
+            rows.encode([tokens.Token(token, raw, None)])
 
 
 READERS = (
     messages,
-    tokens,
+    token_stream,
     login.read_login,
     login.read_prelogin,
     statements.batch_text,
@@ -67,8 +66,10 @@
 
 def seeds(folder):
     """A few valid inputs of each reader."""
-    columns = t.columns_of([("n", b"\x26\x04"), ("s", b"\xe7\x10\x00\x09\x04\xd0\x00\x34")])
-    stream = columns + b"\xd1\x04\1\0\0\0\x02\x00a\x00" + t.done(t.COUNTED, 1)
+    columns = token_encoding.encode_colmetadata(
+        [("n", b"\x26\x04"), ("s", b"\xe7\x10\x00\x09\x04\xd0\x00\x34")]
+    )
+    stream = columns + b"\xd1\x04\1\0\0\0\x02\x00a\x00" + token_encoding.encode_done(tokens.DONE_COUNT, 1)
     generation = ipfix.Generation(32_473)
     made = {
         0: packets.frame(packets.BATCH, b"abc", 512),
--- a/tests/scheduling/test_storm_damping.py
+++ b/tests/scheduling/test_storm_damping.py
@@ -17,8 +17,7 @@
 from scheduling.test_retry_storm import DAY, begun, told
 from wickvane.events import QueryArrived
 from wickvane.net import storms
-from wickvane.net.tds import errors
-from wickvane.net.tds import tokens as t
+from wickvane.net.tds import errors, tokens
 from wickvane.rehearsal import script as scripts
 from wickvane.rehearsal import tds, world
 from wickvane.scheduling.connection_pacing import EASE_STEPS, RATE_LEAST, STEP, ConnectionPacing
@@ -239,7 +238,11 @@
         asked = statement("SELECT 1 FROM sales_1.t", n=n, team="all", cpu=60)
         assert client.ask(asked, 5) == "finished"
     infos = [
-        [said for token, _, said in t.Stream().feed(body) if token == t.INFO and said[0] == errors.STORM]
+        [
+            said
+            for token, _, said in tokens.TokenStreamReader().feed(body)
+            if token == tokens.INFO and said[0] == errors.STORM
+        ]
         for body in found[-2:]
     ]
     assert len(infos[0]) == 1 and not infos[1]
--- a/tests/standins/tds_engine.py
+++ b/tests/standins/tds_engine.py
@@ -9,21 +9,25 @@
 from bench_free import STANDING, reset
 
 from wickvane.errors import ProtocolError
+from wickvane.net.tds import encoding, packets, statements, token_encoding, tokens
 from wickvane.net.tds import login as lg
-from wickvane.net.tds import packets, statements, types
-from wickvane.net.tds import tokens as t
 
 HEAD = re.compile(r"/\* id=(\w+),queue=([\w-]+),budget=(\d+)([^*]*) \*/ (.*)", re.S)
-COLUMNS = t.columns_of([("n", types.INT_INFO), ("name", types.nvarchar_info(100))])
+COLUMNS = token_encoding.encode_colmetadata([("n", encoding.INT_INFO), ("name", encoding.nvarchar_info(100))])
 
 
 def row(n, name):
-    return bytes((t.ROW,)) + types.int4(n) + types.nvarchar(name)
+    return bytes((tokens.ROW,)) + encoding.encode_int(n) + encoding.encode_nvarchar(name)
 
 
 def result(*rows, work=12.5, memory=96):
-    report = t.told(t.INFO, 50100, 1, 0, f"work={work} memory={memory}")
-    return COLUMNS + b"".join(row(*r) for r in rows) + report + t.done(t.COUNTED, len(rows))
+    report = token_encoding.encode_message(tokens.INFO, 50100, 1, 0, f"work={work} memory={memory}")
+    return (
+        COLUMNS
+        + b"".join(row(*r) for r in rows)
+        + report
+        + token_encoding.encode_done(tokens.DONE_COUNT, len(rows))
+    )
 
 
 class Query:
@@ -82,12 +86,17 @@
             self.user = login.user
             engine.came.put(("LOGIN", login))
             if engine.refuses:
-                refusal = t.told(t.ERROR, *engine.refuses) + t.done(t.DONE_ERROR)
+                refusal = token_encoding.encode_message(
+                    tokens.ERROR, *engine.refuses
+                ) + token_encoding.encode_done(tokens.DONE_ERROR)
                 self.send(packets.frame(packets.RESULT, refusal))
                 return
             self.send(
                 packets.frame(
-                    packets.RESULT, t.loginack() + t.envchange(t.PACKET_SIZE, "4096", "4096") + t.done()
+                    packets.RESULT,
+                    token_encoding.encode_loginack()
+                    + token_encoding.encode_envchange(tokens.ENV_PACKET_SIZE, "4096", "4096")
+                    + token_encoding.encode_done(),
                 )
             )
         elif kind == packets.BATCH:
@@ -102,7 +111,7 @@
             with self.lock:
                 self.attended.set()
                 if engine.acknowledges:
-                    self.send(packets.frame(packets.RESULT, t.done(t.ATTENTION)))
+                    self.send(packets.frame(packets.RESULT, token_encoding.encode_done(tokens.DONE_ATTN)))
 
 
 class TdsEngine:
--- a/tests/tds/test_wire_digest.py
+++ b/tests/tds/test_wire_digest.py
@@ -12,7 +12,19 @@
 import pytest
 
 from wickvane.errors import ProtocolError
-from wickvane.net.tds import login, packets, results, statements, tokens, types
+from wickvane.net.tds import (
+    conversion,
+    encoding,
+    login,
+    packets,
+    results,
+    statements,
+    token_encoding,
+    tokens,
+    type_info,
+    values,
+)
+from wickvane.net.tds.cursor import Cursor, IncompleteDataError
 
 SEED = 39
 VALUES_PER_TYPE = 60
@@ -23,12 +35,12 @@
     + [bytes((0x6A, 17, 38, 4)), bytes((0x6C, 5, 9, 2)), bytes((0x6A, 9, 19, 0)), b"\x28"]
     + [bytes((code, scale)) for code in (0x29, 0x2A, 0x2B) for scale in (0, 3, 7)]
     + [bytes((code, 40, 0)) for code in (0xA5, 0xAD)]
-    + [bytes((code, 40, 0)) + types.COLLATION for code in (0xA7, 0xAF, 0xE7, 0xEF)]
+    + [bytes((code, 40, 0)) + type_info.COLLATION for code in (0xA7, 0xAF, 0xE7, 0xEF)]
     + [bytes((code, 40, 0)) + b"\x19\x04\xd0\x00\x34" for code in (0xA7, 0xAF)]
     + [b"\xa7\x28\x00\x09\x04\xd0\x04\x34", b"\xa5\xff\xff"]
-    + [bytes((code, 255, 255)) + types.COLLATION for code in (0xA7, 0xE7)]
-    + [b"\x22\xff\xff\xff\x7f", b"\x23\xff\xff\xff\x7f" + types.COLLATION]
-    + [b"\x63\xff\xff\xff\x7f" + types.COLLATION, b"\xf1\x00", b"\xf1\x01\x01a\x00\x00\x00\x00"]
+    + [bytes((code, 255, 255)) + type_info.COLLATION for code in (0xA7, 0xE7)]
+    + [b"\x22\xff\xff\xff\x7f", b"\x23\xff\xff\xff\x7f" + type_info.COLLATION]
+    + [b"\x63\xff\xff\xff\x7f" + type_info.COLLATION, b"\xf1\x00", b"\xf1\x01\x01a\x00\x00\x00\x00"]
     + [b"\x62\x50\x1f\x00\x00"]
 )
 FIXED_SIZES = {
@@ -118,23 +130,23 @@
         return repr(read())
     except ProtocolError as error:
         return f"ProtocolError: {error}"
-    except types.More:
+    except IncompleteDataError:
         return "incomplete"
 
 
 def decoded_value(info_octets: bytes, data: bytes) -> tuple:
-    info = types.read_info(types.Cursor(info_octets))
-    cursor = types.Cursor(data)
-    raw = types.read_raw(cursor, info)
-    value = types.value_of(info, raw)
-    described = (info.type, info.size, info.precision, info.scale, info.collation, info.raw, info.plp)
-    return described, raw, cursor.at, value, types.text_of(value), types.literal_of(value, info)
+    info = type_info.read_type_info(Cursor(info_octets))
+    cursor = Cursor(data)
+    raw = values.read_value(cursor, info)
+    value = conversion.to_python(info, raw)
+    described = (info.type, info.size, info.precision, info.scale, info.collation, info.raw, info.is_plp)
+    return described, raw, cursor.at, value, conversion.to_text(value), conversion.to_literal(value, info)
 
 
 def skipped_value(info_octets: bytes, data: bytes) -> int:
-    info = types.read_info(types.Cursor(info_octets))
-    cursor = types.Cursor(data)
-    types.skip_value(cursor, info)
+    info = type_info.read_type_info(Cursor(info_octets))
+    cursor = Cursor(data)
+    values.skip_value(cursor, info)
     return cursor.at
 
 
@@ -149,7 +161,7 @@
 
 def decoded_tokens(data: bytes, cut: int) -> list:
     """Tokens of a stream that comes in two pieces; the error's text is the last item."""
-    reader = tokens.Stream()
+    reader = tokens.TokenStreamReader()
     found: list = []
     columns = None
     try:
@@ -159,23 +171,27 @@
                 if token == tokens.COLMETADATA and content is not None:
                     columns = content
                 if token in (tokens.ROW, tokens.NBCROW):
-                    for column, value in zip(columns, tokens.values(raw, columns)):
-                        found.append(outcome(lambda c=column, v=value: types.value_of(c.info, v)))
+                    for column, value in zip(columns, tokens.row_values(raw, columns)):
+                        found.append(outcome(lambda c=column, v=value: conversion.to_python(c.info, v)))
     except ProtocolError as error:
         found.append(str(error))
-    found.append(reader.midway())
+    found.append(reader.is_mid_token())
     return found
 
 
 def rows_for_postgres(data: bytes) -> bytes:
-    rows = results.Rows()
-    return rows.of(list(tokens.Stream().feed(data))) + rows.end(b"SELECT")
+    rows = results.PostgresRows()
+    return rows.encode(list(tokens.TokenStreamReader().feed(data))) + rows.end(b"SELECT")
 
 
 def token_stream(chance: Random) -> bytes:
     """A result with nulls, messages of the server, changes of the environment and each other token."""
     infos = chance.sample(TYPE_INFOS, chance.randrange(1, 12))
-    parts = [tokens.columns_of([(word(chance), info) for info in infos if info[0] not in (0x22, 0x23, 0x63)])]
+    parts = [
+        token_encoding.encode_colmetadata(
+            [(word(chance), info) for info in infos if info[0] not in (0x22, 0x23, 0x63)]
+        )
+    ]
     infos = [info for info in infos if info[0] not in (0x22, 0x23, 0x63)]
     for _ in range(chance.randrange(6)):
         parts.append(b"\xd1" + b"".join(encoded_value(chance, info) for info in infos))
@@ -186,16 +202,20 @@
         parts.append(b"\xd2" + bytes(bitmap))
         parts.extend(encoded_value(chance, info) for info, null in zip(infos, nulls) if not null)
     code = chance.choice((0xAA, 0xAB))
-    parts.append(tokens.told(code, chance.randrange(-9, 99_999), 1, 16, word(chance)))
-    parts.append(tokens.envchange(chance.choice((1, 2, 4)), word(chance), word(chance)))
-    parts.append(tokens.envchange(8, b"\x08" + octets(chance, 8), b"\0"))
-    parts.append(tokens.loginack())
-    parts.append(tokens.return_status(chance.randrange(-9, 9)))
-    parts.append(tokens.return_value(1, "@p", types.INT_INFO, types.int4(chance.choice((None, 7)))))
+    parts.append(token_encoding.encode_message(code, chance.randrange(-9, 99_999), 1, 16, word(chance)))
+    parts.append(token_encoding.encode_envchange(chance.choice((1, 2, 4)), word(chance), word(chance)))
+    parts.append(token_encoding.encode_envchange(8, b"\x08" + octets(chance, 8), b"\0"))
+    parts.append(token_encoding.encode_loginack())
+    parts.append(token_encoding.encode_return_status(chance.randrange(-9, 9)))
+    parts.append(
+        token_encoding.encode_return_value(
+            1, "@p", encoding.INT_INFO, encoding.encode_int(chance.choice((None, 7)))
+        )
+    )
     parts.append(b"\xae\x01\x02\0\0\0ab\xff" + b"\xe4\x03\0\0\0abc" + b"\xa9\x02\0\x01\0" + b"\x78abcd")
     for code in (0xFF, 0xFE, 0xFD):
         status = chance.choice((0, 1, 0x10, 0x11, 0x20, 2))
-        parts.append(tokens.done(status, chance.randrange(99), code, chance.randrange(999)))
+        parts.append(token_encoding.encode_done(status, chance.randrange(99), code, chance.randrange(999)))
     if chance.random() < 0.3:
         chance.shuffle(parts)
     return b"".join(parts)
@@ -224,13 +244,20 @@
         number = chance.randrange(-(2**31), 2**31)
         yield repr(
             (
-                types.nvarchar(text),
-                types.nvarchar_max(text),
-                types.nvarchar_info(len(text)),
-                types.int4(number),
+                encoding.encode_nvarchar(text),
+                encoding.encode_nvarchar_max(text),
+                encoding.nvarchar_info(len(text)),
+                encoding.encode_int(number),
             )
         )
-    yield repr((types.nvarchar(None), types.nvarchar_max(None), types.int4(None), types.NVARCHAR_MAX))
+    yield repr(
+        (
+            encoding.encode_nvarchar(None),
+            encoding.encode_nvarchar_max(None),
+            encoding.encode_int(None),
+            encoding.NVARCHAR_MAX_INFO,
+        )
+    )
 
 
 def token_cases(chance: Random) -> Iterator[str]:
@@ -280,9 +307,9 @@
         )
         body = struct.pack("<I", 4) + procedure + b"\0\0"
         given = [
-            (types.INT_INFO, types.int4(chance.choice((None, 1, 2)))),
-            (types.nvarchar_info(), types.nvarchar("@a int, @b nvarchar(9)")),
-            (types.nvarchar_info(), types.nvarchar(f"SELECT @a, '@a', @b {word(chance)}")),
+            (encoding.INT_INFO, encoding.encode_int(chance.choice((None, 1, 2)))),
+            (encoding.nvarchar_info(), encoding.encode_nvarchar("@a int, @b nvarchar(9)")),
+            (encoding.nvarchar_info(), encoding.encode_nvarchar(f"SELECT @a, '@a', @b {word(chance)}")),
         ]
         if number == 10 or chance.random() < 0.2:
             given = given[:0:-1]
@@ -294,7 +321,7 @@
         for info, value in given:
             parameter = chance.choice(("", "", "@a", "@b"))
             flags = chance.choice((0, 0, 0, 0, 1, 2))
-            body += tokens.b_varchar(parameter) + bytes((flags,)) + info + value
+            body += token_encoding.encode_b_varchar(parameter) + bytes((flags,)) + info + value
         for used in (body, damaged(chance, body)):
             yield outcome(lambda d=used: call(d))
         text = word(chance)
@@ -348,7 +375,7 @@
         if chance.random() < 0.2:
             cells = [cell * 900 for cell in cells]
         lines = ["\t".join(cells[at : at + 3]) + "\n" for at in range(0, len(cells), 3)]
-        yield repr(results.of_pages(["".join(lines).encode()]))
+        yield repr(results.encode_pages(["".join(lines).encode()]))
 
 
 CASES = {
--- a/tests/test_tds.py
+++ b/tests/test_tds.py
@@ -43,9 +43,8 @@
 from wickvane.files import FileError
 from wickvane.net.lines import connection as lines
 from wickvane.net.service import Service
-from wickvane.net.tds import errors, logins, packets
+from wickvane.net.tds import errors, logins, packets, token_encoding, tokens
 from wickvane.net.tds import login as lg
-from wickvane.net.tds import tokens as t
 from wickvane.net.tds.connection import Connection as TdsConnection
 
 RULE = 'rule application="*" { group "lookup"; tenant "acme"; limit "5s" }'
@@ -255,9 +254,13 @@
             if how == "reset":
                 reset(query.conn.sock)
             elif how == "error":
-                return t.told(t.ERROR, 547, 1, 16, "conflict") + t.done(t.DONE_ERROR)
+                return token_encoding.encode_message(
+                    tokens.ERROR, 547, 1, 16, "conflict"
+                ) + token_encoding.encode_done(tokens.DONE_ERROR)
             elif how == "busy":
-                return t.told(t.ERROR, 10929, 1, 16, "busy") + t.done(t.DONE_ERROR)
+                return token_encoding.encode_message(
+                    tokens.ERROR, 10929, 1, 16, "busy"
+                ) + token_encoding.encode_done(tokens.DONE_ERROR)
             else:
                 query.conn.send(packets.frame(packets.RESULT, COLUMNS)[:-3])
                 reset(query.conn.sock)
@@ -465,7 +468,7 @@
         return found[2]
 
     def tokens(self):
-        return [(token, said) for token, _, said in t.Stream().feed(self.message())]
+        return [(token, said) for token, _, said in tokens.TokenStreamReader().feed(self.message())]
 
 
 def test_a_client_s_attention_is_acknowledged_and_gives_the_engine_s_query_up():
@@ -476,13 +479,13 @@
     engine.next("BATCH")
     client.send(packets.ATTENTION, b"")
     ((token, said),) = client.tokens()
-    assert token == t.DONE and said[0] & t.ATTENTION
+    assert token == tokens.DONE and said[0] & tokens.DONE_ATTN
     engine.next("ATTENTION")
     engine.answers = lambda query: result((3, "c"))
     # The connection was acknowledged in time, so it is used again, once that has been read.
     for _ in range(100):
         client.batch("SELECT 2 FROM sales_1.t")
-        assert any(token == t.ROW for token, _ in client.tokens())
+        assert any(token == tokens.ROW for token, _ in client.tokens())
         if engine.next("BATCH").conn is engine.connections[0]:
             return
         time.sleep(0.02)
@@ -500,7 +503,7 @@
     first = engine.next("BATCH")
     clients[1].send(packets.ATTENTION, b"")
     ((token, said),) = clients[1].tokens()
-    assert token == t.DONE and said[0] & t.ATTENTION
+    assert token == tokens.DONE and said[0] & tokens.DONE_ATTN
     first.answer(result((1, "a")))
     assert int(engine.next("BATCH").id, 16) == 3
     assert dispatcher.service.counters.shown()["left"] == 1
@@ -513,9 +516,9 @@
         client.batch("SELECT 1 FROM sales_1.t")
         client.send(packets.ATTENTION, b"")
         seen = client.tokens()
-        if not (seen[-1][1][0] & t.ATTENTION):
+        if not (seen[-1][1][0] & tokens.DONE_ATTN):
             seen = client.tokens()
-        assert seen[-1][0] == t.DONE and seen[-1][1][0] & t.ATTENTION
+        assert seen[-1][0] == tokens.DONE and seen[-1][1][0] & tokens.DONE_ATTN
 
 
 def test_an_attention_that_the_engine_never_acknowledges_ends_the_connection_and_is_counted_until_then():
@@ -556,7 +559,7 @@
         if not query.conn.send_on(framer.more(one)):
             return
     if end:
-        query.conn.send(framer.end(t.done(t.COUNTED, count)))
+        query.conn.send(framer.end(token_encoding.encode_done(tokens.DONE_COUNT, count)))
 
 
 def test_a_long_result_streams_to_both_fronts_in_bounded_memory():
@@ -786,7 +789,7 @@
         sent.append(query)
         if spoilt == "endless":
             framer = packets.Framer(packets.RESULT)
-            info = bytes((t.RETURNVALUE,)) + b"\0\0\xff" + bytes(510)
+            info = bytes((tokens.RETURNVALUE,)) + b"\0\0\xff" + bytes(510)
             try:
                 query.conn.send(framer.more(info + bytes(4 << 20)))
             except OSError:
@@ -794,7 +797,7 @@
         elif spoilt == "token":
             query.answer(b"\x01\x02\x03")
         elif spoilt == "type":
-            query.answer(struct.pack("<BHIH", t.COLMETADATA, 1, 0, 0) + b"\x99")
+            query.answer(struct.pack("<BHIH", tokens.COLMETADATA, 1, 0, 0) + b"\x99")
         elif spoilt == "nothing-asked":
             query.answer(result((1, "a")) + result((2, "b")))
         elif spoilt == "lengths":
@@ -902,8 +905,10 @@
             elif what != "silent":
                 return {
                     "answer": result((1, "a")),
-                    "turned-away": t.told(t.ERROR, 10929, 1, 16, "busy") + t.done(t.DONE_ERROR),
-                    "error": t.told(t.ERROR, 8134, 1, 16, "zero") + t.done(t.DONE_ERROR),
+                    "turned-away": token_encoding.encode_message(tokens.ERROR, 10929, 1, 16, "busy")
+                    + token_encoding.encode_done(tokens.DONE_ERROR),
+                    "error": token_encoding.encode_message(tokens.ERROR, 8134, 1, 16, "zero")
+                    + token_encoding.encode_done(tokens.DONE_ERROR),
                 }[what]
             return None
 
--- a/tests/test_tds_codec.py
+++ b/tests/test_tds_codec.py
@@ -12,10 +12,19 @@
 from spoilt import inputs
 
 from wickvane.errors import ProtocolError
+from wickvane.net.tds import (
+    conversion,
+    encoding,
+    packets,
+    results,
+    statements,
+    token_encoding,
+    tokens,
+    type_info,
+    values,
+)
 from wickvane.net.tds import login as lg
-from wickvane.net.tds import packets, results, statements, types
-from wickvane.net.tds import tokens as t
-from wickvane.net.tds.types import Cursor
+from wickvane.net.tds.cursor import Cursor, IncompleteDataError
 
 
 def messages(data, cuts=(), most=1 << 16):
@@ -110,68 +119,83 @@
         "0001-01-02 02:30:00 +01:30",
     ),
     "guid": (b"\x24\x10", b"\x10" + bytes(range(16)), UUID(bytes_le=bytes(range(16)))),
-    "nvarchar": (types.nvarchar_info(10), types.nvarchar("añ'"), "añ'"),
-    "max": (types.NVARCHAR_MAX, types.nvarchar_max("x" * 50), "x" * 50),
-    "varchar": (b"\xa7\x0a\x00" + types.COLLATION, b"\x02\x00\xe9x", "éx"),
+    "nvarchar": (encoding.nvarchar_info(10), encoding.encode_nvarchar("añ'"), "añ'"),
+    "max": (encoding.NVARCHAR_MAX_INFO, encoding.encode_nvarchar_max("x" * 50), "x" * 50),
+    "varchar": (b"\xa7\x0a\x00" + type_info.COLLATION, b"\x02\x00\xe9x", "éx"),
     "utf8": (b"\xa7\x0a\x00\x09\x04\xd0\x04\x34", b"\x02\x00\xc3\xa9", "é"),
     "varbinary": (b"\xa5\x0a\x00", b"\x02\x00\x01\x02", b"\x01\x02"),
-    "text": (b"\x23\xff\xff\xff\x7f" + types.COLLATION, b"\x10" + bytes(24) + b"\x02\0\0\0ab", "ab"),
+    "text": (b"\x23\xff\xff\xff\x7f" + type_info.COLLATION, b"\x10" + bytes(24) + b"\x02\0\0\0ab", "ab"),
     "null": (b"\x26\x04", b"\x00", None),
-    "nullmax": (types.NVARCHAR_MAX, types.nvarchar_max(None), None),
+    "nullmax": (encoding.NVARCHAR_MAX_INFO, encoding.encode_nvarchar_max(None), None),
 }
 
 
 @pytest.mark.parametrize("name", RAW)
 def test_values_of_each_type_are_read_and_skipped_to_the_same_end(name):
     raw_info, raw, value = RAW[name]
-    info = types.read_info(Cursor(raw_info))
+    info = type_info.read_type_info(Cursor(raw_info))
     assert info.raw == raw_info
     cursor = Cursor(raw)
-    assert types.value_of(info, types.read_raw(cursor, info)) == value and cursor.at == len(raw)
+    assert conversion.to_python(info, values.read_value(cursor, info)) == value and cursor.at == len(raw)
     cursor = Cursor(raw)
-    types.skip_value(cursor, info)
+    values.skip_value(cursor, info)
     assert cursor.at == len(raw)
     for cut in range(len(raw)):
-        with pytest.raises(types.More):
-            types.read_raw(Cursor(raw[:cut]), info)
+        with pytest.raises(IncompleteDataError):
+            values.read_value(Cursor(raw[:cut]), info)
 
 
 def stream():
     named = [(name, raw_info) for name, (raw_info, _, _) in RAW.items() if name != "text"]
-    body = t.columns_of(named) + t.told(t.INFO, 5701, 2, 0, "é") + t.envchange(t.DATABASE, "a", "b")
-    row = bytes((t.ROW,)) + b"".join(RAW[name][1] for name, _ in named)
+    body = (
+        token_encoding.encode_colmetadata(named)
+        + token_encoding.encode_message(tokens.INFO, 5701, 2, 0, "é")
+        + token_encoding.encode_envchange(tokens.ENV_DATABASE, "a", "b")
+    )
+    row = bytes((tokens.ROW,)) + b"".join(RAW[name][1] for name, _ in named)
     bits = bytearray((len(named) + 7) // 8)
     bits[0] |= 3
-    nbc = bytes((t.NBCROW,)) + bytes(bits) + b"".join(RAW[name][1] for name, _ in named[2:])
-    value = t.return_value(0, "@x", types.INT_INFO, types.int4(7))
-    body += row * 3 + nbc + t.return_status(4) + value + t.told(t.ERROR, 50000, 1, 16, "no")
-    return body + t.done(t.COUNTED, 4), named
+    nbc = bytes((tokens.NBCROW,)) + bytes(bits) + b"".join(RAW[name][1] for name, _ in named[2:])
+    value = token_encoding.encode_return_value(0, "@x", encoding.INT_INFO, encoding.encode_int(7))
+    body += (
+        row * 3
+        + nbc
+        + token_encoding.encode_return_status(4)
+        + value
+        + token_encoding.encode_message(tokens.ERROR, 50000, 1, 16, "no")
+    )
+    return body + token_encoding.encode_done(tokens.DONE_COUNT, 4), named
 
 
 def test_a_token_stream_cut_at_every_byte_reads_the_same():
     data, named = stream()
-    whole = [(token, raw) for token, raw, _ in t.Stream().feed(data)]
-    assert b"".join(raw for _, raw in whole) == data and whole[-1][0] == t.DONE
+    whole = [(token, raw) for token, raw, _ in tokens.TokenStreamReader().feed(data)]
+    assert b"".join(raw for _, raw in whole) == data and whole[-1][0] == tokens.DONE
     for cut in range(len(data) + 1):
-        reader = t.Stream()
+        reader = tokens.TokenStreamReader()
         assert [(a, b) for piece in (data[:cut], data[cut:]) for a, b, _ in reader.feed(piece)] == whole
-    columns = next(said for token, _, said in t.Stream().feed(data) if token == t.COLMETADATA)
-    row = next(raw for token, raw, _ in t.Stream().feed(data) if token == t.ROW)
-    read = [types.value_of(column.info, raw) for column, raw in zip(columns, t.values(row, columns))]
+    columns = next(
+        said for token, _, said in tokens.TokenStreamReader().feed(data) if token == tokens.COLMETADATA
+    )
+    row = next(raw for token, raw, _ in tokens.TokenStreamReader().feed(data) if token == tokens.ROW)
+    read = [
+        conversion.to_python(column.info, raw)
+        for column, raw in zip(columns, tokens.row_values(row, columns))
+    ]
     assert read == [RAW[name][2] for name, _ in named]
-    nbc = next(raw for token, raw, _ in t.Stream().feed(data) if token == t.NBCROW)
-    assert t.values(nbc, columns)[:2] == [None, None]
+    nbc = next(raw for token, raw, _ in tokens.TokenStreamReader().feed(data) if token == tokens.NBCROW)
+    assert tokens.row_values(nbc, columns)[:2] == [None, None]
 
 
 def call(number, *parameters):
     body = struct.pack("<I", 4) + struct.pack("<HHH", 0xFFFF, number, 0)
     for name, info, value in parameters:
-        body += t.b_varchar(name) + b"\0" + info + value
+        body += token_encoding.encode_b_varchar(name) + b"\0" + info + value
     return statements.read_call(body)
 
 
 def text(value):
-    return types.nvarchar_info(), types.nvarchar(value)
+    return encoding.nvarchar_info(), encoding.encode_nvarchar(value)
 
 
 UNTOUCHED = "SELECT '@a', [@a], \"@a\" /* @a */ -- @a\n FROM s_1.t WHERE "
@@ -183,7 +207,7 @@
         ("", *text(UNTOUCHED + "x=@a AND y=@B AND z=@ab AND @@rowcount=@c")),
         ("", *text("@a nvarchar(10), @b int, @ab datetime, @c decimal(9,2)")),
         ("@a", *text("it's")),
-        ("@b", types.INT_INFO, types.int4(-4)),
+        ("@b", encoding.INT_INFO, encoding.encode_int(-4)),
         ("", b"\x6f\x08", RAW["datetime"][1]),
         ("", RAW["decimal"][0], RAW["decimal"][1]),
     )
@@ -198,14 +222,18 @@
     prepared = statements.Prepared()
     asked = call(
         statements.PREPEXEC,
-        ("", types.INT_INFO, types.int4(None)),
+        ("", encoding.INT_INFO, encoding.encode_int(None)),
         ("", *text("@p int")),
         ("", *text("SELECT @p")),
-        ("@p", types.INT_INFO, types.int4(3)),
+        ("@p", encoding.INT_INFO, encoding.encode_int(3)),
     )
     statement, told = statements.statement_of(asked, prepared)
-    assert statement == "SELECT 3" and told[0] == t.RETURNVALUE
-    again = call(statements.EXECUTE, ("", types.INT_INFO, types.int4(1)), ("", types.INT_INFO, types.int4(9)))
+    assert statement == "SELECT 3" and told[0] == tokens.RETURNVALUE
+    again = call(
+        statements.EXECUTE,
+        ("", encoding.INT_INFO, encoding.encode_int(1)),
+        ("", encoding.INT_INFO, encoding.encode_int(9)),
+    )
     assert statements.statement_of(again, prepared)[0] == "SELECT 9"
     for _ in range(statements.HANDLES_MOST):
         prepared.add("x", "")
@@ -240,17 +268,17 @@
 
 def test_pages_become_rows_of_either_width():
     for cell in ("x", "é" * 10, "y" * 5000):
-        data, count = results.of_pages([f"a\tb\t{cell}\n".encode(), b"1\t\t2\n"])
-        tokens = list(t.Stream().feed(data))
-        columns = tokens[0][2]
+        data, count = results.encode_pages([f"a\tb\t{cell}\n".encode(), b"1\t\t2\n"])
+        read = list(tokens.TokenStreamReader().feed(data))
+        columns = read[0].content
         rows = [
-            [types.value_of(c.info, v) for c, v in zip(columns, t.values(raw, columns))]
-            for token, raw, _ in tokens
-            if token == t.ROW
+            [conversion.to_python(c.info, v) for c, v in zip(columns, tokens.row_values(raw, columns))]
+            for token, raw, _ in read
+            if token == tokens.ROW
         ]
         assert rows == [["a", "b", cell], ["1", "", "2"]] and count == 2
     with pytest.raises(ValueError):
-        results.of_pages([b"a\tb\n"])
+        results.encode_pages([b"a\tb\n"])
 
 
 SEEDS = [
@@ -267,12 +295,13 @@
 def test_arbitrary_bytes_raise_the_stated_error_or_nothing(data):
 
     def rows(data):
-        reader, columns = t.Stream(), None
+        reader, columns = tokens.TokenStreamReader(), None
         for token, raw, said in reader.feed(data):
-            columns = said if token == t.COLMETADATA and said is not None else columns
-            if token in (t.ROW, t.NBCROW):
-                results.Rows().of([(t.COLMETADATA, b"", columns), (token, raw, None)])
-        assert len(reader.buffer) <= t.TOKEN_MOST + len(data)
+            columns = said if token == tokens.COLMETADATA and said is not None else columns
+            if token in (tokens.ROW, tokens.NBCROW):
+                described = tokens.Token(tokens.COLMETADATA, b"", columns)
+                results.PostgresRows().encode([described, tokens.Token(token, raw, None)])
+        assert len(reader.buffer) <= tokens.MAX_TOKEN_SIZE + len(data)
 
     for read in (
         messages,
--- a/wickvane/net/postgres/session.py
+++ b/wickvane/net/postgres/session.py
@@ -227,10 +227,10 @@
 
     def of_tokens(self, pending):
         """The whole result of an engine that speaks TDS."""
-        from wickvane.net.tds.results import Rows
+        from wickvane.net.tds.results import PostgresRows
 
-        rows = Rows()
-        return rows.of(pending.pages) + rows.end(pending.tag) + READY, rows.count + 3
+        rows = PostgresRows()
+        return rows.encode(pending.pages) + rows.end(pending.tag) + READY, rows.count + 3
 
     def streaming(self, pending):
         """As Front."""
@@ -241,10 +241,10 @@
     """How a stream of tokens goes to this client: its rows, all as text."""
 
     def __init__(self, tag):
-        from wickvane.net.tds.results import Rows
+        from wickvane.net.tds.results import PostgresRows
 
-        self.tag, self.rows = tag, Rows()
-        self.more = self.rows.of
+        self.tag, self.rows = tag, PostgresRows()
+        self.more = self.rows.encode
 
     def end(self):
         """The words behind the last row."""
--- a/wickvane/net/tds/connection.py
+++ b/wickvane/net/tds/connection.py
@@ -21,10 +21,9 @@
 from wickvane.events import Ending
 from wickvane.net.lines import connection as lines
 from wickvane.net.queues import ResultStream
-from wickvane.net.tds import errors, packets, statements
+from wickvane.net.tds import errors, packets, statements, tokens
 from wickvane.net.tds import login as lg
-from wickvane.net.tds import tokens as t
-from wickvane.net.tds.results import Tokens
+from wickvane.net.tds.results import GatheredTokens
 
 RESULT_MOST = 48_000  # octets gathered whole; what is longer streams
 PIPE_MOST = 256 << 10
@@ -47,7 +46,7 @@
         self.size, self.stream, self.assembler = packets.SIZE, None, packets.Assembler(MESSAGE_MOST, RECEIVED)
         # busy: a batch is out whose end has not come; attending: when its attention must be acknowledged.
         self.busy, self.attending, self.attempt = False, 0, None
-        self.result, self.gathered, self.pipe, self.error = Tokens(), 0, None, None
+        self.result, self.gathered, self.pipe, self.error = GatheredTokens(), 0, None, None
 
     def takes(self, attempt, now):
         with self.lock:
@@ -67,8 +66,8 @@
             return None
         text = (b"/* id=%b,%b */ %b" % (pending.id, fields, pending.body)).decode("utf-8", "replace")
         self.busy, self.attempt, self.attending = True, attempt, 0
-        self.result, self.gathered, self.pipe, self.error = Tokens(), 0, None, None
-        self.stream = t.Stream()
+        self.result, self.gathered, self.pipe, self.error = GatheredTokens(), 0, None, None
+        self.stream = tokens.TokenStreamReader()
         # What the last query left in the session (temporary tables, options) is no matter of this one.
         status = packets.RESET if self.asked else 0
         return packets.frame(packets.BATCH, statements.batch(text), self.size, 0, status)
@@ -191,15 +190,15 @@
             ),
         )
         welcome, why = False, "no login was acknowledged"
-        for count, (token, _, said) in enumerate(t.Stream().feed(body)):
-            if token == t.LOGINACK:
+        for count, (token, _, said) in enumerate(tokens.TokenStreamReader().feed(body)):
+            if token == tokens.LOGINACK:
                 welcome = True
-            elif token == t.ERROR:
+            elif token == tokens.ERROR:
                 welcome, why = False, f"{said[0]}: {said[3]}"
                 break
-            elif token == t.ENVCHANGE and said[0] == t.ROUTING:
+            elif token == tokens.ENVCHANGE and said[0] == tokens.ENV_ROUTING:
                 return "it routes elsewhere"
-            elif token == t.ENVCHANGE and said[0] == t.PACKET_SIZE and said[1]:
+            elif token == tokens.ENVCHANGE and said[0] == tokens.ENV_PACKET_SIZE and said[1]:
                 size = said[1][1 : 1 + 2 * said[1][0]].decode("utf-16-le", "replace")
                 if size.isdigit() and packets.SIZE_LEAST <= int(size) <= packets.SIZE_MOST:
                     self.size = int(size)
@@ -216,7 +215,7 @@
                 data = self.sock.recv(RECV)
             except BlockingIOError:
                 # Silence is judged by the module; half a packet or token is an answer that stopped.
-                half = self.assembler.buffer or self.stream and self.stream.midway()
+                half = self.assembler.buffer or self.stream and self.stream.is_mid_token()
                 stalls = stalls + 1 if half else 0
                 if stalls >= STALLS:
                     raise ProtocolError("an answer stopped midway") from None
@@ -238,32 +237,33 @@
                 if self.attending and (self.pipe is not None or self.gathered > RESULT_MOST):
                     self.discard(body, status & packets.LAST)
                 else:
-                    self.tokens(body, status & packets.LAST)
+                    self.process_tokens(body, status & packets.LAST)
                 if self.dead:
                     return
 
-    def tokens(self, body, last):
+    def process_tokens(self, body, last):
         attempt, ended, chunk, size = self.attempt, None, [], 0
-        for token, raw, said in self.stream.feed(body):
+        for item in self.stream.feed(body):
+            token, raw, said = item
             if ended is not None and not self.attending:
                 raise ProtocolError("tokens behind the end of an answer")
-            if token in t.DONES:
+            if token in tokens.DONE_TOKENS:
                 status, _, rows = said
-                if status & t.ATTENTION:
+                if status & tokens.DONE_ATTN:
                     ended = status
-                elif not status & t.MORE and token != t.DONEINPROC:
+                elif not status & tokens.DONE_MORE and token != tokens.DONEINPROC:
                     ended = ended if ended is not None else status
-                    self.result.rows = rows if status & t.COUNTED else self.result.rows
+                    self.result.rows = rows if status & tokens.DONE_COUNT else self.result.rows
                 else:
-                    chunk.append((token, raw, said))
+                    chunk.append(item)
                     size += len(raw)
-            elif token == t.INFO and said[0] == errors.REPORT:
+            elif token == tokens.INFO and said[0] == errors.REPORT:
                 if found := WORK.match(said[3]):
                     attempt.work, attempt.memory = int(float(found[1]) * 10), float(found[2])
-            elif token == t.ERROR:
+            elif token == tokens.ERROR:
                 self.error = self.error or said
-            elif token in (t.COLMETADATA, t.ROW, t.NBCROW, t.ORDER):
-                chunk.append((token, raw, said))
+            elif token in (tokens.COLMETADATA, tokens.ROW, tokens.NBCROW, tokens.ORDER):
+                chunk.append(item)
                 size += len(raw)
         self.gathered += size
         if self.pipe is not None:
@@ -276,7 +276,7 @@
             elif self.gathered > RESULT_MOST:
                 self.result.clear()  # given up, or an error's: nobody reads it
         if last:
-            if self.stream.midway() or ended is None:
+            if self.stream.is_mid_token() or ended is None:
                 raise ProtocolError("an answer without its end")
             self.finish(attempt, ended)
 
@@ -286,14 +286,14 @@
         if not last:
             return
         end = body[-DONE_SIZE:]
-        if len(end) < DONE_SIZE or end[0] not in t.DONES:
+        if len(end) < DONE_SIZE or end[0] not in tokens.DONE_TOKENS:
             raise ProtocolError("an answer without its end")
         self.finish(self.attempt, int.from_bytes(end[1:3], "little"))
 
     def begin_stream(self, attempt):
         pipe = ResultStream(PIPE_MOST)
         pipe.put(list(self.result), 0)
-        self.result = Tokens()
+        self.result = GatheredTokens()
         with self.lock:
             begins = self.open.get(attempt.pending.id) is attempt and self.link.exchange.begin(attempt, pipe)
             if begins:
@@ -302,7 +302,7 @@
             self.gathered = 0
 
     def finish(self, attempt, status):
-        acknowledged = bool(status & t.ATTENTION)
+        acknowledged = bool(status & tokens.DONE_ATTN)
         # An attention that crossed the end of the answer is still to be acknowledged.
         waits = self.attending and not acknowledged
         ending = Ending.CANCELLED if acknowledged else Ending.FINISHED
@@ -315,7 +315,7 @@
         with self.lock:
             if not waits:
                 self.busy, self.attending, self.attempt = False, 0, None
-            self.result, self.stream = Tokens(), t.Stream() if waits else None
+            self.result, self.stream = GatheredTokens(), tokens.TokenStreamReader() if waits else None
             # What waits for its acknowledgement alone still discards, whatever comes ahead of it.
             self.pipe = self.pipe if waits else None
         if pipe is not None:
--- a/wickvane/net/tds/results.py
+++ b/wickvane/net/tds/results.py
@@ -1,79 +1,117 @@
-"""Results between the protocols: an engine's pages as a TDS client gets them, a token stream as a PostgreSQL
-one does."""
+"""Results translated between the protocols: result pages to TDS tokens, TDS tokens to PostgreSQL messages."""
 
 import struct
+from collections.abc import Iterable, Sequence
 
-from wickvane.net.tds import tokens as t
-from wickvane.net.tds.types import NVARCHAR_MAX, nvarchar_info, nvarchar_max, text_of, value_of
+from wickvane.net.tds.conversion import to_python, to_text
+from wickvane.net.tds.encoding import (
+    MAX_NVARCHAR_CHARACTERS,
+    NVARCHAR_MAX_INFO,
+    encode_nvarchar_max,
+    nvarchar_info,
+)
+from wickvane.net.tds.token_encoding import encode_colmetadata
+from wickvane.net.tds.tokens import COLMETADATA, ROW, ROW_TOKENS, Column, Token, row_values
 
-CHARACTERS = 4000  # of an ordinary nvarchar; a longer cell makes all of them (max)
-NAMES = ("column1", "column2", "column3")
-PLAIN, LONG = nvarchar_info(CHARACTERS), NVARCHAR_MAX
-PLAIN_COLUMNS, LONG_COLUMNS = (t.columns_of([(name, info) for name in NAMES]) for info in (PLAIN, LONG))
-LENGTHS = [struct.pack("<H", n) for n in range(2 * CHARACTERS + 1)]
-TEXT = 25
+PAGE_COLUMNS = ("column1", "column2", "column3")
+MAX_CELL_SIZE = 2 * MAX_NVARCHAR_CHARACTERS  # octets of an nvarchar that is not nvarchar(max)
+COLMETADATA_NVARCHAR = encode_colmetadata((name, nvarchar_info()) for name in PAGE_COLUMNS)
+COLMETADATA_NVARCHAR_MAX = encode_colmetadata((name, NVARCHAR_MAX_INFO) for name in PAGE_COLUMNS)
+ROW_TOKEN = bytes((ROW,))
+# Precomputed: packing each length anew is a large part of the time a row takes.
+ENCODED_LENGTHS = [struct.pack("<H", size) for size in range(MAX_CELL_SIZE + 1)]
 
+POSTGRES_TEXT_OID = 25
+POSTGRES_NULL = struct.pack("!i", -1)
+POSTGRES_MAX_NAME_SIZE = 63  # octets
+# Table, attribute, type, size, modifier and format of a column.
+POSTGRES_TEXT_COLUMN = struct.pack("!IhIhih", 0, 0, POSTGRES_TEXT_OID, -1, -1, 0)
 
-class Tokens(list):
-    """A whole result of a TDS engine: (token, octets, what it says), without the final DONE."""
+
+class GatheredTokens(list[Token]):
+    """A complete result of a TDS engine without its final DONE; rows: the count that the DONE had."""
 
     rows = 0
 
 
-def of_pages(pages):
-    """(octets, rows) of all tokens but the final DONE; ValueError where a row has not three columns."""
+def encode_pages(pages: Sequence[bytes]) -> tuple[bytes, int]:
+    """The octets of all tokens but the final DONE, and the number of rows.
+
+    pages: lines of three cells with tabs between them. Raises ValueError where a line has another number."""
     text = b"".join(pages).decode("utf-8", "replace")
     lines = text.split("\n")[:-1]
-    parts, add = [], None
-    if max(map(len, lines), default=0) > CHARACTERS:
-        parts.append(LONG_COLUMNS)
-        for line in lines:
-            a, b, c = line.split("\t")
-            parts.append(b"\xd1" + nvarchar_max(a) + nvarchar_max(b) + nvarchar_max(c))
-        return b"".join(parts), len(lines)
-    parts.append(PLAIN_COLUMNS)
-    add, lengths = parts.append, LENGTHS
+    has_long_cells = max(map(len, lines), default=0) > MAX_NVARCHAR_CHARACTERS
+    encoded = _encode_long_rows(lines) if has_long_cells else _encode_rows(lines)
+    return encoded, len(lines)
+
+
+def _encode_long_rows(lines: list[str]) -> bytes:
+    parts = [COLMETADATA_NVARCHAR_MAX]
+    for line in lines:
+        a, b, c = line.split("\t")
+        parts.append(ROW_TOKEN + encode_nvarchar_max(a) + encode_nvarchar_max(b) + encode_nvarchar_max(c))
+    return b"".join(parts)
+
+
+def _encode_rows(lines: list[str]) -> bytes:
+    parts = [COLMETADATA_NVARCHAR]
+    add = parts.append
+    lengths = ENCODED_LENGTHS
     for line in lines:
         a, b, c = (
             line.encode("utf-16-le").split(b"\t\0")
             if line.isascii()
             else [cell.encode("utf-16-le") for cell in line.split("\t")]
         )
-        if len(a) + len(b) + len(c) > 2 * CHARACTERS:
-            a, b, c = a[: 2 * CHARACTERS], b[: 2 * CHARACTERS], c[: 2 * CHARACTERS]
+        if len(a) + len(b) + len(c) > MAX_CELL_SIZE:
+            a = a[:MAX_CELL_SIZE]
+            b = b[:MAX_CELL_SIZE]
+            c = c[:MAX_CELL_SIZE]
         add(b"\xd1%b%b%b%b%b%b" % (lengths[len(a)], a, lengths[len(b)], b, lengths[len(c)], c))
-    return b"".join(parts), len(lines)
+    return b"".join(parts)
+
 
+class PostgresRows:
+    """Writes a token stream as PostgreSQL's messages, all columns as text.
 
-class Rows:
-    """PostgreSQL's messages of a token stream, as it comes; all columns as text."""
+    count: rows so far. Only the first result set's columns are described."""
 
-    def __init__(self):
-        self.columns, self.count, self.described = None, 0, False
+    def __init__(self) -> None:
+        self.columns: list[Column] | None = None
+        self.count = 0
 
-    def of(self, tokens):
+    def encode(self, tokens: Iterable[Token]) -> bytes:
+        """RowDescription and DataRow messages of further tokens."""
         parts = []
-        for token, raw, said in tokens:
-            if token == t.COLMETADATA and said is not None and not self.described:
-                self.columns, self.described = said, True
-                kind = struct.pack("!IhIhih", 0, 0, TEXT, -1, -1, 0)
-                names = [column.name.encode()[:63].replace(b"\0", b"") for column in said]
-                head = b"".join(name + b"\0" + kind for name in names)
-                parts.append(b"T" + struct.pack("!IH", 6 + len(head), len(said)) + head)
-            elif token in (t.ROW, t.NBCROW) and self.columns is not None:
-                cells = []
-                for data, column in zip(t.values(raw, self.columns), self.columns):
-                    text = text_of(value_of(column.info, data))
-                    if text is None:
-                        cells.append(b"\xff\xff\xff\xff")
-                    else:
-                        cell = text.encode("utf-8", "replace").replace(b"\0", b"")
-                        cells.append(struct.pack("!I", len(cell)) + cell)
-                body = struct.pack("!H", len(self.columns)) + b"".join(cells)
-                parts.append(b"D" + struct.pack("!I", 4 + len(body)) + body)
-                self.count += 1
+        for token in tokens:
+            if token.type in ROW_TOKENS:
+                if self.columns is not None:
+                    parts.append(self._data_row(token.raw, self.columns))
+            elif token.type == COLMETADATA and token.content is not None and self.columns is None:
+                self.columns = token.content
+                parts.append(_row_description(token.content))
         return b"".join(parts)
 
-    def end(self, tag):
-        done = b"%b %d\0" % (tag, self.count)
-        return b"C" + struct.pack("!I", 4 + len(done)) + done
+    def end(self, tag: bytes) -> bytes:
+        """The CommandComplete behind the last row."""
+        body = b"%b %d\0" % (tag, self.count)
+        return b"C" + struct.pack("!I", 4 + len(body)) + body
+
+    def _data_row(self, raw: bytes, columns: list[Column]) -> bytes:
+        cells = []
+        for data, column in zip(row_values(raw, columns), columns):
+            text = to_text(to_python(column.info, data))
+            if text is None:
+                cells.append(POSTGRES_NULL)
+            else:
+                cell = text.encode("utf-8", "replace").replace(b"\0", b"")
+                cells.append(struct.pack("!I", len(cell)) + cell)
+        self.count += 1
+        body = struct.pack("!H", len(columns)) + b"".join(cells)
+        return b"D" + struct.pack("!I", 4 + len(body)) + body
+
+
+def _row_description(columns: list[Column]) -> bytes:
+    names = [column.name.encode()[:POSTGRES_MAX_NAME_SIZE].replace(b"\0", b"") for column in columns]
+    described = b"".join(name + b"\0" + POSTGRES_TEXT_COLUMN for name in names)
+    return b"T" + struct.pack("!IH", 6 + len(described), len(columns)) + described
--- a/wickvane/net/tds/session.py
+++ b/wickvane/net/tds/session.py
@@ -10,9 +10,8 @@
 from wickvane.net import exchange as ex
 from wickvane.net.counters import NOBODY
 from wickvane.net.front import MESSAGE_S, RECV, STORM_TEXT, WRITE_S, Ended, Front
-from wickvane.net.tds import errors, logins, packets, results, statements
+from wickvane.net.tds import errors, logins, packets, results, statements, token_encoding, tokens
 from wickvane.net.tds import login as lg
-from wickvane.net.tds import tokens as t
 from wickvane.net.tds.packets import (
     ATTENTION,
     BATCH,
@@ -26,7 +25,7 @@
     Assembler,
     frame,
 )
-from wickvane.net.tds.types import COLLATION
+from wickvane.net.tds.type_info import COLLATION
 
 MESSAGE_MOST = 192 << 10  # a statement of 64 KiB in two-octet characters, with its headers and parameters
 LOGIN_MOST, HANDSHAKE_MOST = 16_384, 32
@@ -35,7 +34,9 @@
 
 
 def failed(number, text, severity=16, state=1, status=0):
-    return t.told(t.ERROR, number, state, severity, text) + t.done(t.DONE_ERROR | status)
+    return token_encoding.encode_message(
+        tokens.ERROR, number, state, severity, text
+    ) + token_encoding.encode_done(tokens.DONE_ERROR | status)
 
 
 class Session(Front):
@@ -194,13 +195,15 @@
         self.assembler.most, self.first_by = MESSAGE_MOST, float("inf")
         collation = bytes((len(COLLATION),)) + COLLATION
         answer = (
-            t.envchange(t.DATABASE, self.database, "master")
-            + t.told(t.INFO, 5701, 2, 0, f"Changed database context to '{self.database}'.")
-            + t.envchange(t.COLLATION_CHANGE, collation, b"\0")
-            + t.envchange(t.LANGUAGE, "us_english", "")
-            + t.loginack()
-            + t.envchange(t.PACKET_SIZE, str(self.size), str(packets.SIZE))
-            + t.done()
+            token_encoding.encode_envchange(tokens.ENV_DATABASE, self.database, "master")
+            + token_encoding.encode_message(
+                tokens.INFO, 5701, 2, 0, f"Changed database context to '{self.database}'."
+            )
+            + token_encoding.encode_envchange(tokens.ENV_COLLATION, collation, b"\0")
+            + token_encoding.encode_envchange(tokens.ENV_LANGUAGE, "us_english", "")
+            + token_encoding.encode_loginack()
+            + token_encoding.encode_envchange(tokens.ENV_PACKET_SIZE, str(self.size), str(packets.SIZE))
+            + token_encoding.encode_done()
         )
         self.sock.settimeout(WRITE_S)
         self.put(frame(RESULT, answer, packets.SIZE, SPID))
@@ -227,7 +230,7 @@
             kind, status, body = found
             self.prefix = b""
             if status & (RESET | RESET_KEEP):
-                self.prefix = t.envchange(t.RESET_ACK, b"\0", b"\0")
+                self.prefix = token_encoding.encode_envchange(tokens.ENV_RESET_ACK, b"\0", b"\0")
                 self.prepared, self.effects = statements.Prepared(), False
             if kind == BATCH:
                 self.call, self.told = False, b""
@@ -236,7 +239,7 @@
                 self.procedure(body)
             elif kind == ATTENTION:
                 # Of an answer that had gone out already: it is acknowledged all the same.
-                self.reply(t.done(t.ATTENTION))
+                self.reply(token_encoding.encode_done(tokens.DONE_ATTN))
             elif kind == TRANSACTION:
                 self.transact(body)
             else:
@@ -250,7 +253,11 @@
             self.reply(failed(errors.UNUSABLE, str(error)))
             return
         if text is None:
-            self.reply(t.return_status() + self.told + t.done(token=t.DONEPROC))
+            self.reply(
+                token_encoding.encode_return_status()
+                + self.told
+                + token_encoding.encode_done(token_type=tokens.DONEPROC)
+            )
         else:
             self.request(text)
 
@@ -274,11 +281,20 @@
 
     def end(self, rows=None, status=0):
         """What closes an answer: of a batch, or of a call with what it gives back."""
-        counted = t.COUNTED if rows is not None else 0
+        counted = tokens.DONE_COUNT if rows is not None else 0
         if not self.call:
-            return t.done(status | counted, rows or 0)
-        inner = t.done(t.MORE | counted, rows or 0, t.DONEINPROC) if rows is not None else b""
-        return inner + t.return_status() + self.told + t.done(status, 0, t.DONEPROC, 0xE0)
+            return token_encoding.encode_done(status | counted, rows or 0)
+        inner = (
+            token_encoding.encode_done(tokens.DONE_MORE | counted, rows or 0, tokens.DONEINPROC)
+            if rows is not None
+            else b""
+        )
+        return (
+            inner
+            + token_encoding.encode_return_status()
+            + self.told
+            + token_encoding.encode_done(status, 0, tokens.DONEPROC, 0xE0)
+        )
 
     # Transactions: each query is its own, so that one is only told to have begun and ended
 
@@ -292,20 +308,22 @@
         answer, status = self.transaction_by(word)
         if again:
             answer += self.transaction_by("begin")[0]
-        self.reply(answer + t.done(status))
+        self.reply(answer + token_encoding.encode_done(status))
 
     def transaction_by(self, word):
         """(tokens, status of the final DONE)."""
         if word == "begin":
             self.transaction, self.effects = secrets.token_bytes(8), False
-            return t.envchange(t.BEGIN, b"\x08" + self.transaction, b"\0"), 0
+            return token_encoding.encode_envchange(
+                tokens.ENV_BEGIN_TRANSACTION, b"\x08" + self.transaction, b"\0"
+            ), 0
         old, effects = self.transaction, self.effects
         self.transaction, self.effects = b"", False
         told, status = b"", 0
         if word == "rollback" and effects:
-            status = t.DONE_ERROR
-            told = t.told(
-                t.ERROR,
+            status = tokens.DONE_ERROR
+            told = token_encoding.encode_message(
+                tokens.ERROR,
                 errors.NO_ROLLBACK,
                 1,
                 16,
@@ -313,7 +331,11 @@
             )
         if not old:
             return told, status
-        return told + t.envchange(t.COMMIT if word == "commit" else t.ROLLBACK, b"\0", b"\x08" + old), status
+        return told + token_encoding.encode_envchange(
+            tokens.ENV_COMMIT_TRANSACTION if word == "commit" else tokens.ENV_ROLLBACK_TRANSACTION,
+            b"\0",
+            b"\x08" + old,
+        ), status
 
     # What a protocol says
 
@@ -358,13 +380,17 @@
             self.effects = True
         if self.attended:
             self.attended = False
-            return ex.LEFT if kind == ex.LEFT else kind, self.framed(t.done(t.ATTENTION)), 1
+            return (
+                ex.LEFT if kind == ex.LEFT else kind,
+                self.framed(token_encoding.encode_done(tokens.DONE_ATTN)),
+                1,
+            )
         if kind == ex.FINISHED:
             try:
-                if isinstance(pending.pages, results.Tokens):
+                if isinstance(pending.pages, results.GatheredTokens):
                     data, rows = b"".join(raw for _, raw, _ in pending.pages), pending.pages.rows
                 else:
-                    data, rows = results.of_pages(pending.pages)
+                    data, rows = results.encode_pages(pending.pages)
                 return kind, self.framed(data + self.end(rows)), rows + 2
             except ValueError:
                 kind, data = ex.KILLED, failed(errors.KILLED, "the engine's result cannot be read")
@@ -379,7 +405,7 @@
             why = f" ({pending.why})" if pending.why else ""
             data = failed(errors.KILLED, f"killed: it could not be finished, and may have run{why}")
         else:
-            data = t.done(t.DONE_ERROR)
+            data = token_encoding.encode_done(tokens.DONE_ERROR)
         return kind, self.framed(data), 2
 
     @staticmethod
@@ -399,7 +425,9 @@
         return False  # an attention comes on the connection of its query
 
     def warn(self):
-        self.prefix += t.told(t.INFO, errors.STORM, 1, 0, STORM_TEXT + f" retry-storm={self.warned}")
+        self.prefix += token_encoding.encode_message(
+            tokens.INFO, errors.STORM, 1, 0, STORM_TEXT + f" retry-storm={self.warned}"
+        )
 
     # A result that is longer than what is gathered
 
@@ -415,9 +443,9 @@
     def __init__(self, session, framer, head):
         self.session, self.framer, self.head, self.rows = session, framer, head, 0
 
-    def more(self, tokens):
-        data, self.head = self.head + b"".join(raw for _, raw, _ in tokens), b""
-        self.rows += sum(token in (t.ROW, t.NBCROW) for token, _, _ in tokens)
+    def more(self, chunk):
+        data, self.head = self.head + b"".join(raw for _, raw, _ in chunk), b""
+        self.rows += sum(token in (tokens.ROW, tokens.NBCROW) for token, _, _ in chunk)
         return self.framer.more(data)
 
     def end(self):
--- a/wickvane/net/tds/statements.py
+++ b/wickvane/net/tds/statements.py
@@ -10,19 +10,12 @@
 import struct
 
 from wickvane.errors import ProtocolError
-from wickvane.net.tds import tokens as t
-from wickvane.net.tds.types import (
-    INT_INFO,
-    Cursor,
-    More,
-    int4,
-    literal_of,
-    nvarchar,
-    nvarchar_info,
-    read_info,
-    read_raw,
-    value_of,
-)
+from wickvane.net.tds import token_encoding, tokens
+from wickvane.net.tds.conversion import to_literal, to_python
+from wickvane.net.tds.cursor import Cursor, IncompleteDataError
+from wickvane.net.tds.encoding import INT_INFO, encode_int, encode_nvarchar, nvarchar_info
+from wickvane.net.tds.type_info import read_type_info
+from wickvane.net.tds.values import read_value
 
 EXECUTESQL, PREPARE, EXECUTE, PREPEXEC, UNPREPARE = 10, 11, 12, 13, 15
 NAMED = {
@@ -77,24 +70,24 @@
 def read_call(body):
     cursor, call = Cursor(body, past_headers(body)), Call()
     try:
-        size = cursor.short()
+        size = cursor.ushort()
         if size == 0xFFFF:
-            call.number, call.name = cursor.short(), ""
+            call.number, call.name = cursor.ushort(), ""
         else:
             if size > 1046:
                 raise ProtocolError("a procedure's name is too long")
             call.name = cursor.ucs2(size)
             call.number = NAMED.get(call.name.lower().rpartition(".")[2], 0)
-        cursor.short()
+        cursor.ushort()
         call.parameters = []
         while cursor.at < cursor.end:
             if cursor.data[cursor.at] in (0x80, 0xFE, 0xFF):
                 raise ProtocolError("more than one call in a request is not taken")
-            name, flags, info = cursor.b_varchar(), cursor.byte(), read_info(cursor)
-            call.parameters.append((name, flags, info, value_of(info, read_raw(cursor, info))))
+            name, flags, info = cursor.b_varchar(), cursor.byte(), read_type_info(cursor)
+            call.parameters.append((name, flags, info, to_python(info, read_value(cursor, info))))
             if len(call.parameters) > PARAMETERS_MOST:
                 raise ProtocolError("a call has too many parameters")
-    except More:
+    except IncompleteDataError:
         raise ProtocolError("a call ends inside itself") from None
     return call
 
@@ -108,7 +101,7 @@
         if flags & (OUTPUT | DEFAULT):
             raise ProtocolError("parameters that are given back, or have a default, are not taken")
         place = name.lower() or (names[n] if n < len(names) else "")
-        literals[place] = literal_of(value, info)
+        literals[place] = to_literal(value, info)
 
     def put(found):
         name = found["name"]
@@ -151,7 +144,7 @@
         declared = call.parameters[1][3] if len(call.parameters) > 1 else ""
         text = text_at(call, 2)
         handle = prepared.add(text, declared or "")
-        told = t.return_value(0, "", INT_INFO, int4(handle))
+        told = token_encoding.encode_return_value(0, "", INT_INFO, encode_int(handle))
         return (with_values(text, declared, call.parameters[3:]) if call.number == PREPEXEC else None), told
     if call.number in (EXECUTE, UNPREPARE):
         handle = call.parameters[0][3] if call.parameters else None
@@ -166,7 +159,7 @@
         if any(flags & OUTPUT for _, flags, _, _ in call.parameters):
             raise ProtocolError("parameters that are given back are not taken")
         given = ", ".join(
-            (f"{name} = " if name else "") + literal_of(value, info)
+            (f"{name} = " if name else "") + to_literal(value, info)
             for name, _, info, value in call.parameters
         )
         return f"EXEC {call.name} {given}".rstrip(), b""
@@ -223,9 +216,9 @@
         return Answered(transaction=found[1].lower())
     if found := USE.match(text):
         name = (found[1] or found[2] or found[3]).replace("]]", "]")[:128]
-        told = t.envchange(t.DATABASE, name, database) + t.told(
-            t.INFO, 5701, 2, 0, f"Changed database context to '{name}'."
-        )
+        told = token_encoding.encode_envchange(
+            tokens.ENV_DATABASE, name, database
+        ) + token_encoding.encode_message(tokens.INFO, 5701, 2, 0, f"Changed database context to '{name}'.")
         return Answered(told, database=name)
     if found := SELECT.match(text):
         named = []
@@ -234,11 +227,11 @@
             if words[0].lower() not in VARIABLES:
                 return None
             named.append((words[-1].strip("[]") if len(words) > 1 else "", VARIABLES[words[0].lower()]))
-        columns = t.columns_of(
+        columns = token_encoding.encode_colmetadata(
             [(name, INT_INFO if isinstance(value, int) else nvarchar_info(128)) for name, value in named]
         )
-        row = bytes((t.ROW,)) + b"".join(
-            int4(value) if isinstance(value, int) else nvarchar(value) for _, value in named
+        row = bytes((tokens.ROW,)) + b"".join(
+            encode_int(value) if isinstance(value, int) else encode_nvarchar(value) for _, value in named
         )
         return Answered(columns + row, rows=1)
     return None
@@ -253,7 +246,7 @@
     """(what is asked, whether a new one begins behind it)."""
     cursor = Cursor(body, past_headers(body))
     try:
-        kind = cursor.short()
+        kind = cursor.ushort()
         if kind == TM_BEGIN:
             return kind, False
         if kind in (TM_COMMIT, TM_ROLLBACK):
@@ -261,7 +254,7 @@
             return kind, bool(cursor.byte() & 1)
         if kind == TM_SAVE:
             return kind, False
-    except More:
+    except IncompleteDataError:
         raise ProtocolError("a request of the transaction manager is cut") from None
     raise ProtocolError("this request of the transaction manager is not taken")
 
--- a/wickvane/net/tds/tokens.py
+++ b/wickvane/net/tds/tokens.py
@@ -1,226 +1,274 @@
-"""The token stream of TDS 7.4 (MS-TDS 2.2.7), read as it comes and written. No I/O."""
+"""The token stream of TDS 7.4 (MS-TDS 2.2.7), read incrementally. No I/O."""
 
-import struct
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+from typing import NamedTuple
 
 from wickvane.errors import ProtocolError
-from wickvane.net.tds.types import Cursor, More, read_info, read_raw, skip_value
-
-COLMETADATA, ROW, NBCROW, DONE, DONEPROC, DONEINPROC = 0x81, 0xD1, 0xD2, 0xFD, 0xFE, 0xFF
-ERROR, INFO, LOGINACK, ENVCHANGE, RETURNSTATUS, RETURNVALUE = 0xAA, 0xAB, 0xAD, 0xE3, 0x79, 0xAC
-ORDER, TABNAME, COLINFO, FEATUREEXTACK, SESSIONSTATE = 0xA9, 0xA4, 0xA5, 0xAE, 0xE4
-SSPI, OFFSET, FEDAUTHINFO = 0xED, 0x78, 0xEE
-DONES = (DONE, DONEPROC, DONEINPROC)
-SHORT_TOKENS = {LOGINACK, ENVCHANGE, ORDER, TABNAME, COLINFO, SSPI}
-LONG_TOKENS = {SESSIONSTATE, FEDAUTHINFO}
-MORE, DONE_ERROR, COUNTED, ATTENTION, SERVER_ERROR = 0x01, 0x02, 0x10, 0x20, 0x100
-COLUMNS_MOST, TOKEN_MOST = 4096, 2 << 20
-# Of ENVCHANGE
-DATABASE, LANGUAGE, PACKET_SIZE, COLLATION_CHANGE, BEGIN, COMMIT, ROLLBACK, RESET_ACK, ROUTING = (
-    1,
-    2,
-    4,
-    7,
-    8,
-    9,
-    10,
-    18,
-    20,
-)
-
-
+from wickvane.net.tds.cursor import Cursor, IncompleteDataError
+from wickvane.net.tds.type_info import IMAGE, NTEXT, TEXT, TypeInfo, read_type_info
+from wickvane.net.tds.values import read_value, skip_value
+
+# Token types
+OFFSET = 0x78
+RETURNSTATUS = 0x79
+COLMETADATA = 0x81
+TABNAME = 0xA4
+COLINFO = 0xA5
+ORDER = 0xA9
+ERROR = 0xAA
+INFO = 0xAB
+RETURNVALUE = 0xAC
+LOGINACK = 0xAD
+FEATUREEXTACK = 0xAE
+ROW = 0xD1
+NBCROW = 0xD2
+ENVCHANGE = 0xE3
+SESSIONSTATE = 0xE4
+SSPI = 0xED
+FEDAUTHINFO = 0xEE
+DONE = 0xFD
+DONEPROC = 0xFE
+DONEINPROC = 0xFF
+DONE_TOKENS = (DONE, DONEPROC, DONEINPROC)
+ROW_TOKENS = (ROW, NBCROW)
+USHORT_LENGTH_TOKENS = (LOGINACK, ORDER, TABNAME, COLINFO, SSPI)
+ULONG_LENGTH_TOKENS = (SESSIONSTATE, FEDAUTHINFO)
+
+# Status flags of DONE, DONEPROC and DONEINPROC
+DONE_MORE = 0x01
+DONE_ERROR = 0x02
+DONE_COUNT = 0x10
+DONE_ATTN = 0x20
+DONE_SRVERROR = 0x100
+
+# Types of ENVCHANGE
+ENV_DATABASE = 1
+ENV_LANGUAGE = 2
+ENV_PACKET_SIZE = 4
+ENV_COLLATION = 7
+ENV_BEGIN_TRANSACTION = 8
+ENV_COMMIT_TRANSACTION = 9
+ENV_ROLLBACK_TRANSACTION = 10
+ENV_RESET_ACK = 18
+ENV_ROUTING = 20
+
+MAX_COLUMNS = 4096
+MAX_TOKEN_SIZE = 2 << 20  # octets
+NO_METADATA = 0xFFFF  # a COLMETADATA's count of columns where it has none
+FEATURE_TERMINATOR = 0xFF
+OFFSET_SIZE = 4
+RETURN_VALUE_FLAGS_SIZE = 7  # status, user type and flags
+
+
+@dataclass(slots=True)
 class Column:
     """A column of a result, as COLMETADATA describes it."""
 
-    __slots__ = ("name", "info", "flags")
+    name: str
+    info: TypeInfo
+    flags: int
 
-    def __init__(self, name, info, flags):
-        self.name, self.info, self.flags = name, info, flags
 
+class Done(NamedTuple):
+    """The content of a DONE, DONEPROC or DONEINPROC."""
 
-class Stream:
-    """Bytes of a result's messages in, tokens out: (token, raw octets, what it says).
+    status: int
+    command: int
+    row_count: int
 
-    COLMETADATA      list of Column            ROW, NBCROW       None (see values())
-    DONE and kin     (status, command, rows)   ERROR, INFO       (number, state, class, text)
-    ENVCHANGE        (type, octets)            others            octets, or None
 
-    Holds one token at most, of TOKEN_MOST octets. Raises ProtocolError and nothing else."""
+class ServerMessage(NamedTuple):
+    """The content of an ERROR or INFO; severity is the field that MS-TDS calls Class."""
 
-    def __init__(self):
-        self.buffer, self.columns = bytearray(), None
+    number: int
+    state: int
+    severity: int
+    text: str
 
-    def feed(self, data):
-        """Tokens that are whole by now."""
-        self.buffer += data
-        at, end = 0, len(self.buffer)
-        try:
-            while at < end:
-                cursor = Cursor(self.buffer, at, end)
-                try:
-                    token, said = self.one(cursor)
-                except More:
-                    if end - at > TOKEN_MOST:
-                        raise ProtocolError("a token is too long") from None
-                    return
-                begin, at = at, cursor.at
-                yield token, bytes(self.buffer[begin:at]), said
-        finally:
-            del self.buffer[:at]
 
-    def midway(self):
-        return bool(self.buffer)
+class EnvironmentChange(NamedTuple):
+    """The content of an ENVCHANGE; data: the new and the old value, each behind its length."""
+
+    type: int
+    data: bytes
 
-    def one(self, cursor):
-        token = cursor.byte()
-        if token == ROW:
-            if self.columns is None:
-                raise ProtocolError("a row ahead of its columns")
-            for column in self.columns:
-                skip_value(cursor, column.info)
-            return token, None
-        if token == NBCROW:
-            if self.columns is None:
-                raise ProtocolError("a row ahead of its columns")
-            bits = cursor.take((len(self.columns) + 7) // 8)
-            for n, column in enumerate(self.columns):
-                if not bits[n >> 3] >> (n & 7) & 1:
-                    skip_value(cursor, column.info)
-            return token, None
-        if token in DONES:
-            return token, (cursor.short(), cursor.short(), cursor.big())
-        if token == COLMETADATA:
-            columns = read_columns(cursor)
-            self.columns = columns if columns is not None else self.columns
-            return token, columns
-        if token in (ERROR, INFO):
-            part = Cursor(cursor.take(cursor.short()))
-            try:
-                number = int.from_bytes(part.take(4), "little", signed=True)
-                state, severity = part.byte(), part.byte()
-                return token, (number, state, severity, part.us_varchar())
-            except More:
-                raise ProtocolError("a message of the server ends inside itself") from None
-        if token == ENVCHANGE:
-            data = cursor.take(cursor.short())
-            if not data:
-                raise ProtocolError("a change of the environment is empty")
-            return token, (data[0], data[1:])
-        if token in SHORT_TOKENS:
-            return token, cursor.take(cursor.short())
-        if token in LONG_TOKENS:
-            size = cursor.long()
-            if size > TOKEN_MOST:
-                raise ProtocolError("a token is too long")
-            return token, cursor.take(size)
-        if token == RETURNSTATUS:
-            return token, int.from_bytes(cursor.take(4), "little", signed=True)
-        if token == RETURNVALUE:
-            cursor.short()
-            name = cursor.b_varchar()
-            cursor.skip(7)
-            info = read_info(cursor)
-            return token, (name, info, read_raw(cursor, info))
-        if token == FEATUREEXTACK:
-            while cursor.byte() != 0xFF:
-                size = cursor.long()
-                if size > TOKEN_MOST:
-                    raise ProtocolError("a token is too long")
-                cursor.skip(size)
-            return token, None
-        if token == OFFSET:
-            return token, cursor.take(4)
-        raise ProtocolError(f"the token {token:#x} is not known")
-
-
-def read_columns(cursor):
-    """Columns of a COLMETADATA behind its token; None where it says that there are none."""
-    count = cursor.short()
-    if count == 0xFFFF:
-        return None
-    if count > COLUMNS_MOST:
-        raise ProtocolError("there are too many columns")
-    columns = []
-    for _ in range(count):
-        cursor.skip(4)
-        flags = cursor.short()
-        info = read_info(cursor)
-        if info.type in (0x22, 0x23, 0x63):
-            for _ in range(cursor.byte()):
-                cursor.us_varchar()
-        columns.append(Column(cursor.b_varchar(), info, flags))
-    return columns
-
-
-def values(raw, columns):
-    """(octets or None) by column of one row's token."""
-    cursor = Cursor(raw)
-    token = cursor.byte()
-    try:
-        if token == ROW:
-            return [read_raw(cursor, column.info) for column in columns]
-        bits = cursor.take((len(columns) + 7) // 8)
-        return [
-            None if bits[n >> 3] >> (n & 7) & 1 else read_raw(cursor, column.info)
-            for n, column in enumerate(columns)
-        ]
-    except More:
-        raise ProtocolError("a row is cut") from None
 
+class ReturnValue(NamedTuple):
+    """The content of a RETURNVALUE."""
 
-# Writing
+    name: str
+    info: TypeInfo
+    value: bytes | None
 
 
-def b_varchar(text):
-    data = text[:255].encode("utf-16-le")[:510]
-    return bytes((len(data) // 2,)) + data
+Content = list[Column] | Done | ServerMessage | EnvironmentChange | ReturnValue | int | bytes | None
 
 
-def us_varchar(text):
-    data = text.encode("utf-16-le")[: 65_534 // 2 * 2]
-    return struct.pack("<H", len(data) // 2) + data
+class Token(NamedTuple):
+    """A token: its type, its octets, and its content.
 
+    COLMETADATA has a list of Column, or None where it has no metadata. ROW and NBCROW have None: see
+    row_values(). RETURNSTATUS has an int, FEATUREEXTACK None, and tokens without a class of their own have
+    octets."""
 
-def told(token, number, state, severity, text, server="wickvane", line=1):
-    """An ERROR or INFO."""
-    body = struct.pack("<iBB", number, state, severity) + us_varchar(text[:2000]) + b_varchar(server) + b"\0"
-    body += struct.pack("<I", line)
-    return struct.pack("<BH", token, len(body)) + body
+    type: int
+    raw: bytes
+    content: Content
 
 
-def done(status=0, rows=0, token=DONE, command=0xC1):
-    return struct.pack("<BHHQ", token, status, command, rows)
+class TokenStreamReader:
+    """Bytes of a message in, tokens out.
 
+    Holds one incomplete token at most, of MAX_TOKEN_SIZE octets. Raises ProtocolError and nothing else."""
 
-def envchange(type, new, old):
-    """For the types whose values are strings; others hand in octets with their lengths."""
-    body = bytes((type,)) + (b_varchar(new) if isinstance(new, str) else new)
-    body += b_varchar(old) if isinstance(old, str) else old
-    return struct.pack("<BH", ENVCHANGE, len(body)) + body
+    def __init__(self) -> None:
+        self.buffer = bytearray()
+        self.columns: list[Column] | None = None
 
+    def feed(self, data: bytes) -> Iterator[Token]:
+        """Yields the tokens that are complete with this data."""
+        buffer = self.buffer
+        buffer += data
+        at = 0
+        end = len(buffer)
+        try:
+            while at < end:
+                cursor = Cursor(buffer, at, end)
+                try:
+                    token_type = cursor.byte()
+                    read_content = _CONTENT_READERS.get(token_type)
+                    if read_content is None:
+                        raise ProtocolError(f"the token {token_type:#x} is not known")
+                    content = read_content(self, cursor)
+                except IncompleteDataError:
+                    if end - at > MAX_TOKEN_SIZE:
+                        raise ProtocolError("a token is too long") from None
+                    return
+                begin = at
+                at = cursor.at
+                yield Token(token_type, bytes(buffer[begin:at]), content)
+        finally:
+            del buffer[:at]
 
-def loginack(version=0x74000004, program="wickvane"):
-    body = b"\1" + struct.pack(">I", version) + b_varchar(program) + bytes((15, 0, 0, 0))
-    return struct.pack("<BH", LOGINACK, len(body)) + body
+    def is_mid_token(self) -> bool:
+        """Whether a token has begun that is not complete."""
+        return bool(self.buffer)
 
+    def _read_row(self, cursor: Cursor) -> None:
+        if self.columns is None:
+            raise ProtocolError("a row ahead of its columns")
+        for column in self.columns:
+            skip_value(cursor, column.info)
+
+    def _read_nbcrow(self, cursor: Cursor) -> None:
+        if self.columns is None:
+            raise ProtocolError("a row ahead of its columns")
+        null_bitmap = cursor.take((len(self.columns) + 7) // 8)
+        for n, column in enumerate(self.columns):
+            if not null_bitmap[n >> 3] >> (n & 7) & 1:
+                skip_value(cursor, column.info)
 
-def columns_of(named):
-    """A COLMETADATA of (name, TYPE_INFO octets)."""
-    parts = [struct.pack("<BH", COLMETADATA, len(named))]
-    for name, info in named:
-        parts.append(struct.pack("<IH", 0, 9) + info + b_varchar(name))  # nullable, may be written
-    return b"".join(parts)
+    def _read_colmetadata(self, cursor: Cursor) -> list[Column] | None:
+        columns = _read_columns(cursor)
+        if columns is not None:
+            self.columns = columns
+        return columns
 
+    def _read_done(self, cursor: Cursor) -> Done:
+        return Done(cursor.ushort(), cursor.ushort(), cursor.ulonglong())
 
-def return_status(value=0):
-    return struct.pack("<Bi", RETURNSTATUS, value)
+    def _read_message(self, cursor: Cursor) -> ServerMessage:
+        body = Cursor(cursor.take(cursor.ushort()))
+        try:
+            return ServerMessage(body.long(), body.byte(), body.byte(), body.us_varchar())
+        except IncompleteDataError:
+            raise ProtocolError("a message of the server ends inside itself") from None
+
+    def _read_envchange(self, cursor: Cursor) -> EnvironmentChange:
+        data = cursor.take(cursor.ushort())
+        if not data:
+            raise ProtocolError("a change of the environment is empty")
+        return EnvironmentChange(data[0], data[1:])
+
+    def _read_ushort_length(self, cursor: Cursor) -> bytes:
+        return cursor.take(cursor.ushort())
+
+    def _read_ulong_length(self, cursor: Cursor) -> bytes:
+        return cursor.take(_read_bounded_size(cursor))
+
+    def _read_returnstatus(self, cursor: Cursor) -> int:
+        return cursor.long()
+
+    def _read_returnvalue(self, cursor: Cursor) -> ReturnValue:
+        cursor.ushort()  # ordinal
+        name = cursor.b_varchar()
+        cursor.skip(RETURN_VALUE_FLAGS_SIZE)
+        info = read_type_info(cursor)
+        return ReturnValue(name, info, read_value(cursor, info))
+
+    def _read_featureextack(self, cursor: Cursor) -> None:
+        while cursor.byte() != FEATURE_TERMINATOR:
+            cursor.skip(_read_bounded_size(cursor))
+
+    def _read_offset(self, cursor: Cursor) -> bytes:
+        return cursor.take(OFFSET_SIZE)
+
+
+_CONTENT_READERS: dict[int, Callable[[TokenStreamReader, Cursor], Content]] = {
+    ROW: TokenStreamReader._read_row,
+    NBCROW: TokenStreamReader._read_nbcrow,
+    COLMETADATA: TokenStreamReader._read_colmetadata,
+    **dict.fromkeys(DONE_TOKENS, TokenStreamReader._read_done),
+    **dict.fromkeys((ERROR, INFO), TokenStreamReader._read_message),
+    ENVCHANGE: TokenStreamReader._read_envchange,
+    **dict.fromkeys(USHORT_LENGTH_TOKENS, TokenStreamReader._read_ushort_length),
+    **dict.fromkeys(ULONG_LENGTH_TOKENS, TokenStreamReader._read_ulong_length),
+    RETURNSTATUS: TokenStreamReader._read_returnstatus,
+    RETURNVALUE: TokenStreamReader._read_returnvalue,
+    FEATUREEXTACK: TokenStreamReader._read_featureextack,
+    OFFSET: TokenStreamReader._read_offset,
+}
+
+
+def row_values(raw: bytes, columns: list[Column]) -> list[bytes | None]:
+    """The octets of each column of a ROW's or NBCROW's raw octets; None for NULL."""
+    cursor = Cursor(raw)
+    token_type = cursor.byte()
+    try:
+        if token_type == ROW:
+            return [read_value(cursor, column.info) for column in columns]
+        null_bitmap = cursor.take((len(columns) + 7) // 8)
+        return [
+            None if null_bitmap[n >> 3] >> (n & 7) & 1 else read_value(cursor, column.info)
+            for n, column in enumerate(columns)
+        ]
+    except IncompleteDataError:
+        raise ProtocolError("a row is cut") from None
 
 
-def return_value(ordinal, name, info, value):
-    return (
-        struct.pack("<BH", RETURNVALUE, ordinal)
-        + b_varchar(name)
-        + b"\1"
-        + struct.pack("<IH", 0, 0)
-        + info
-        + value
-    )
+def _read_bounded_size(cursor: Cursor) -> int:
+    size = cursor.ulong()
+    if size > MAX_TOKEN_SIZE:
+        raise ProtocolError("a token is too long")
+    return size
+
+
+def _read_columns(cursor: Cursor) -> list[Column] | None:
+    count = cursor.ushort()
+    if count == NO_METADATA:
+        return None
+    if count > MAX_COLUMNS:
+        raise ProtocolError("there are too many columns")
+    return [_read_column(cursor) for _ in range(count)]
+
+
+def _read_column(cursor: Cursor) -> Column:
+    cursor.ulong()  # user type
+    flags = cursor.ushort()
+    info = read_type_info(cursor)
+    if info.type in (IMAGE, TEXT, NTEXT):
+        table_name_parts = cursor.byte()
+        for _ in range(table_name_parts):
+            cursor.us_varchar()
+    return Column(cursor.b_varchar(), info, flags)
--- a/wickvane/rehearsal/tds.py
+++ b/wickvane/rehearsal/tds.py
@@ -7,15 +7,14 @@
 
 from wickvane.errors import ProtocolError
 from wickvane.events import Ending
-from wickvane.net.tds import errors, packets, statements, types
+from wickvane.net.tds import encoding, errors, packets, statements, token_encoding, tokens
 from wickvane.net.tds import login as lg
-from wickvane.net.tds import tokens as t
 from wickvane.rehearsal import connection, load
 
 MESSAGE_MOST = 1 << 18
 HEAD = re.compile(r"/\* id=(\w{1,32}),([^*]*) \*/ (.*)", re.S)
-COLUMNS = t.columns_of(
-    [("engine", types.nvarchar_info(64)), ("work", types.INT_INFO), ("id", types.nvarchar_info(32))]
+COLUMNS = token_encoding.encode_colmetadata(
+    [("engine", encoding.nvarchar_info(64)), ("work", encoding.INT_INFO), ("id", encoding.nvarchar_info(32))]
 )
 BUSY, UNKNOWN = 10_928, 50_001
 ANSWERS = {errors.DEFERRED: "deferred", errors.STOPPING: "deferred", errors.KILLED: "killed"}
@@ -44,12 +43,12 @@
         elif kind == packets.LOGIN:
             lg.read_login(body)
             self.logged_in = True
-            self.tokens(t.loginack(program="rehearsal") + t.done())
+            self.tokens(token_encoding.encode_loginack(program="rehearsal") + token_encoding.encode_done())
         elif kind == packets.ATTENTION and self.logged_in:
             for query in list(self.open.values()):
                 self.serving.gives_up_here(query)
             self.open = {}
-            self.tokens(t.done(t.ATTENTION))
+            self.tokens(token_encoding.encode_done(tokens.DONE_ATTN))
         elif kind == packets.BATCH and self.logged_in:
             found = HEAD.match(statements.batch_text(body))
             if found is None:
@@ -63,7 +62,10 @@
         self.send(packets.frame(packets.RESULT, data))
 
     def fault(self, id):
-        self.tokens(t.told(t.ERROR, UNKNOWN, 1, 16, "no group of this script") + t.done(t.DONE_ERROR))
+        self.tokens(
+            token_encoding.encode_message(tokens.ERROR, UNKNOWN, 1, 16, "no group of this script")
+            + token_encoding.encode_done(tokens.DONE_ERROR)
+        )
 
     def hears(self, query, submission, process, ending, work, resource_group):
         if self.open.pop(query.id, None) is None:
@@ -71,15 +73,20 @@
         if ending == Ending.FINISHED:
             memory = self.serving.script.groups[resource_group].memory
             row = (
-                bytes((t.ROW,))
-                + types.nvarchar(process.name)
-                + types.int4(work // 10)
-                + types.nvarchar(query.id.decode())
+                bytes((tokens.ROW,))
+                + encoding.encode_nvarchar(process.name)
+                + encoding.encode_int(work // 10)
+                + encoding.encode_nvarchar(query.id.decode())
+            )
+            report = token_encoding.encode_message(
+                tokens.INFO, errors.REPORT, 1, 0, f"work={work / 10:.1f} memory={memory:.0f}"
             )
-            report = t.told(t.INFO, errors.REPORT, 1, 0, f"work={work / 10:.1f} memory={memory:.0f}")
-            self.tokens(COLUMNS + row + report + t.done(t.COUNTED, 1))
+            self.tokens(COLUMNS + row + report + token_encoding.encode_done(tokens.DONE_COUNT, 1))
         elif ending == Ending.REJECTED:
-            self.tokens(t.told(t.ERROR, BUSY, 1, 16, "the engine is full") + t.done(t.DONE_ERROR))
+            self.tokens(
+                token_encoding.encode_message(tokens.ERROR, BUSY, 1, 16, "the engine is full")
+                + token_encoding.encode_done(tokens.DONE_ERROR)
+            )
         else:
             self.close(reset=True)
 
@@ -104,7 +111,7 @@
             )
         )
         answer = self.exchange(packets.frame(packets.LOGIN, lg.login("load", "", "rehearsal", "bi")))
-        if not any(token == t.LOGINACK for token, _, _ in t.Stream().feed(answer)):
+        if not any(token == tokens.LOGINACK for token, _, _ in tokens.TokenStreamReader().feed(answer)):
             raise ValueError("the login was refused")
 
     def exchange(self, message):
@@ -120,8 +127,8 @@
     def answer_to(self, text):
         try:
             body = self.exchange(packets.frame(packets.BATCH, statements.batch(text)))
-            for token, _, said in t.Stream().feed(body):
-                if token == t.ERROR:
+            for token, _, said in tokens.TokenStreamReader().feed(body):
+                if token == tokens.ERROR:
                     return ANSWERS.get(said[0], f"error {said[0]}")
         except ProtocolError as error:
             raise ValueError(str(error)) from None
