--- a/benchmarks/tds.py
+++ b/benchmarks/tds.py
@@ -167,12 +167,12 @@
         Thread(target=send, args=(query,), daemon=True).start()
 
     def send(query):
-        framer = packets.Framer(packets.RESULT)
-        query.conn.send(framer.more(COLUMNS))
+        framer = packets.PacketWriter(packets.TABULAR_RESULT)
+        query.conn.send(framer.write(COLUMNS))
         one = b"".join(row(n, "x" * 100) for n in range(500))
         for _ in range(megabytes * (1 << 20) // len(one)):
-            query.conn.send(framer.more(one))
-        query.conn.send(framer.end(token_encoding.encode_done(tokens.DONE_COUNT, 1)))
+            query.conn.send(framer.write(one))
+        query.conn.send(framer.finish(token_encoding.encode_done(tokens.DONE_COUNT, 1)))
 
     with tempfile.TemporaryDirectory() as folder:
         dispatcher = started(folder, [TdsEngine(answer)])
@@ -181,11 +181,11 @@
         client = Raw(dispatcher.tds_port)
         client.batch(statement(n=1, limit=60_000))
         while True:
-            if (found_ := client.assembler.packet()) is None:
+            if (found_ := client.assembler.next_packet()) is None:
                 client.assembler.feed(client.sock.recv(1 << 18))
                 continue
             size += len(found_[2])
-            if found_[1] & packets.LAST:
+            if found_[1] & packets.STATUS_EOM:
                 break
         took = time.monotonic() - began
         more = dispatcher.memory() - before
--- a/tests/fuzz_codecs.py
+++ b/tests/fuzz_codecs.py
@@ -20,13 +20,13 @@
 
 with atheris.instrument_imports(include=["wickvane"]):
     from wickvane.flows import ipfix, netflow9
-    from wickvane.net.tds import login, packets, results, statements, token_encoding, tokens
+    from wickvane.net.tds import login7, packets, prelogin, results, statements, token_encoding, tokens
 
 
 def messages(data):
-    assembler = packets.Assembler(1 << 16)
+    assembler = packets.MessageAssembler(1 << 16)
     assembler.feed(data)
-    while assembler.message() is not None:
+    while assembler.next_message() is not None:
         pass
     assert len(assembler.buffer) <= len(data)
 
@@ -45,8 +45,8 @@
 READERS = (
     messages,
     token_stream,
-    login.read_login,
-    login.read_prelogin,
+    login7.read_login7,
+    prelogin.read_prelogin,
     statements.batch_text,
     statements.read_transaction,
     lambda data: statements.statement_of(statements.read_call(data), statements.Prepared()),
@@ -72,10 +72,10 @@
     stream = columns + b"\xd1\x04\1\0\0\0\x02\x00a\x00" + token_encoding.encode_done(tokens.DONE_COUNT, 1)
     generation = ipfix.Generation(32_473)
     made = {
-        0: packets.frame(packets.BATCH, b"abc", 512),
+        0: packets.encode_packets(packets.SQL_BATCH, b"abc", 512),
         1: stream,
-        2: login.login("u", "p"),
-        3: login.prelogin({0: bytes(6), 1: b"\2"}),
+        2: login7.encode_login7("u", "p"),
+        3: prelogin.encode_prelogin({0: bytes(6), 1: b"\2"}),
         4: statements.batch("SELECT 1"),
         5: b"\x04\0\0\0\x05\0\0\0",
         6: b"\x04\0\0\0\xff\xff\x0a\0\0\0\0\0\xe7\x10\0\x09\x04\xd0\0\x34\2\0a\0",
--- a/tests/standins/tds_engine.py
+++ b/tests/standins/tds_engine.py
@@ -9,8 +9,7 @@
 from bench_free import STANDING, reset
 
 from wickvane.errors import ProtocolError
-from wickvane.net.tds import encoding, packets, statements, token_encoding, tokens
-from wickvane.net.tds import login as lg
+from wickvane.net.tds import encoding, login7, packets, prelogin, statements, token_encoding, tokens
 
 HEAD = re.compile(r"/\* id=(\w+),queue=([\w-]+),budget=(\d+)([^*]*) \*/ (.*)", re.S)
 COLUMNS = token_encoding.encode_colmetadata([("n", encoding.INT_INFO), ("name", encoding.nvarchar_info(100))])
@@ -40,7 +39,7 @@
         self.text = found[5]
 
     def answer(self, tokens):
-        self.conn.send(packets.frame(packets.RESULT, tokens))
+        self.conn.send(packets.encode_packets(packets.TABULAR_RESULT, tokens))
 
 
 class Connection:
@@ -61,47 +60,49 @@
         return not self.attended.is_set()
 
     def serve(self):
-        assembler = packets.Assembler(1 << 20)
+        assembler = packets.MessageAssembler(1 << 20)
         while data := self.sock.recv(1024 if self.engine.half else 65_536):
             if self.engine.half and self.user is not None:
                 self.engine.came.put(("HALF", self))
                 self.engine.half(self)
                 return
             assembler.feed(data)
-            while (found := assembler.message()) is not None:
+            while (found := assembler.next_message()) is not None:
                 self.message(*found)
 
     def message(self, kind, status, body):
         engine = self.engine
         if kind == packets.PRELOGIN:
-            lg.read_prelogin(body)
+            prelogin.read_prelogin(body)
             self.send(
-                packets.frame(
-                    packets.RESULT,
-                    lg.prelogin({lg.VERSION: bytes(6), lg.ENCRYPTION: bytes((engine.encryption,))}),
+                packets.encode_packets(
+                    packets.TABULAR_RESULT,
+                    prelogin.encode_prelogin(
+                        {prelogin.VERSION: bytes(6), prelogin.ENCRYPTION: bytes((engine.encryption,))}
+                    ),
                 )
             )
-        elif kind == packets.LOGIN:
-            login = lg.read_login(body)
+        elif kind == packets.LOGIN7:
+            login = login7.read_login7(body)
             self.user = login.user
             engine.came.put(("LOGIN", login))
             if engine.refuses:
                 refusal = token_encoding.encode_message(
                     tokens.ERROR, *engine.refuses
                 ) + token_encoding.encode_done(tokens.DONE_ERROR)
-                self.send(packets.frame(packets.RESULT, refusal))
+                self.send(packets.encode_packets(packets.TABULAR_RESULT, refusal))
                 return
             self.send(
-                packets.frame(
-                    packets.RESULT,
+                packets.encode_packets(
+                    packets.TABULAR_RESULT,
                     token_encoding.encode_loginack()
                     + token_encoding.encode_envchange(tokens.ENV_PACKET_SIZE, "4096", "4096")
                     + token_encoding.encode_done(),
                 )
             )
-        elif kind == packets.BATCH:
+        elif kind == packets.SQL_BATCH:
             query = Query(self, statements.batch_text(body))
-            query.reset = bool(status & packets.RESET)
+            query.reset = bool(status & packets.STATUS_RESET_CONNECTION)
             engine.came.put(("BATCH", query))
             answer = engine.answers(query)
             if answer is not None:
@@ -111,7 +112,11 @@
             with self.lock:
                 self.attended.set()
                 if engine.acknowledges:
-                    self.send(packets.frame(packets.RESULT, token_encoding.encode_done(tokens.DONE_ATTN)))
+                    self.send(
+                        packets.encode_packets(
+                            packets.TABULAR_RESULT, token_encoding.encode_done(tokens.DONE_ATTN)
+                        )
+                    )
 
 
 class TdsEngine:
@@ -119,7 +124,7 @@
 
     def __init__(self, answers=lambda query: result((1, "a")), port=0):
         self.answers, self.came, self.connections = answers, Queue(), []
-        self.refuses, self.acknowledges, self.encryption = None, True, lg.ENCRYPT_NOT_SUPPORTED
+        self.refuses, self.acknowledges, self.encryption = None, True, prelogin.ENCRYPT_NOT_SUPPORTED
         self.half = None  # called with the connection once the first octets of a batch have come, then closed
         self.listening = socket.create_server(("127.0.0.1", port))
         self.address = f"127.0.0.1:{self.listening.getsockname()[1]}"
--- a/tests/tds/test_wire_digest.py
+++ b/tests/tds/test_wire_digest.py
@@ -15,8 +15,9 @@
 from wickvane.net.tds import (
     conversion,
     encoding,
-    login,
+    login7,
     packets,
+    prelogin,
     results,
     statements,
     token_encoding,
@@ -270,7 +271,7 @@
 
 def login_cases(chance: Random) -> Iterator[str]:
     def read_login(body: bytes) -> list:
-        found = login.read_login(body)
+        found = login7.read_login7(body)
         names = ("host", "user", "password", "application", "server", "extension", "library", "language")
         more = ("database", "version", "packet_size", "integrated", "features")
         return [getattr(found, name) for name in names + more]
@@ -278,17 +279,17 @@
     for _ in range(300):
         words = [word(chance) for _ in range(6)]
         size = chance.choice((0, 100, 512, 4096, 32_767, 99_999))
-        body = login.login(words[0], words[1], words[2], words[3], size, words[4], words[5])
+        body = login7.encode_login7(words[0], words[1], words[2], words[3], size, words[4], words[5])
         options = {
             n: octets(chance, chance.randrange(7)) for n in chance.sample(range(8), chance.randrange(8))
         }
-        asked = login.prelogin(options)
+        asked = prelogin.encode_prelogin(options)
         yield repr((body, asked))
         for used in (body, damaged(chance, body)):
             yield outcome(lambda d=used: read_login(d))
         for used in (asked, damaged(chance, asked)):
-            yield outcome(lambda d=used: login.read_prelogin(d))
-            yield outcome(lambda d=used: login.encryption(login.read_prelogin(d)))
+            yield outcome(lambda d=used: prelogin.read_prelogin(d))
+            yield outcome(lambda d=used: prelogin.encryption_of(prelogin.read_prelogin(d)))
 
 
 def request_cases(chance: Random) -> Iterator[str]:
@@ -346,24 +347,24 @@
 
 def packet_cases(chance: Random) -> Iterator[str]:
     def messages(data: bytes) -> list:
-        assembler = packets.Assembler(1400)
+        assembler = packets.MessageAssembler(1400)
         found = []
         assembler.feed(data)
-        while (message := assembler.message()) is not None:
+        while (message := assembler.next_message()) is not None:
             found.append(tuple(message))
-        return [found, assembler.midway()]
+        return [found, assembler.is_mid_message()]
 
-    kinds = (packets.BATCH, packets.RPC, packets.ATTENTION, packets.LOGIN)
+    kinds = (packets.SQL_BATCH, packets.RPC, packets.ATTENTION, packets.LOGIN7)
     for _ in range(400):
         data = b""
         for _ in range(chance.randrange(4)):
             body = octets(chance, chance.randrange(1500))
             size = chance.randrange(512, 1000)
-            data += packets.frame(
+            data += packets.encode_packets(
                 chance.choice(kinds), body, size, chance.randrange(99), chance.choice((0, 8))
             )
-            framer = packets.Framer(packets.BATCH, size, 51)
-            data += framer.more(body) + framer.end(body[:9])
+            framer = packets.PacketWriter(packets.SQL_BATCH, size, 51)
+            data += framer.write(body) + framer.finish(body[:9])
         yield repr(data)
         for used in (data, damaged(chance, data)):
             yield outcome(lambda d=used: messages(d))
--- a/tests/test_tds.py
+++ b/tests/test_tds.py
@@ -43,8 +43,7 @@
 from wickvane.files import FileError
 from wickvane.net.lines import connection as lines
 from wickvane.net.service import Service
-from wickvane.net.tds import errors, logins, packets, token_encoding, tokens
-from wickvane.net.tds import login as lg
+from wickvane.net.tds import errors, login7, logins, packets, prelogin, token_encoding, tokens
 from wickvane.net.tds.connection import Connection as TdsConnection
 
 RULE = 'rule application="*" { group "lookup"; tenant "acme"; limit "5s" }'
@@ -262,7 +261,7 @@
                     tokens.ERROR, 10929, 1, 16, "busy"
                 ) + token_encoding.encode_done(tokens.DONE_ERROR)
             else:
-                query.conn.send(packets.frame(packets.RESULT, COLUMNS)[:-3])
+                query.conn.send(packets.encode_packets(packets.TABULAR_RESULT, COLUMNS)[:-3])
                 reset(query.conn.sock)
             return None
         return result((1, "a"))
@@ -314,7 +313,7 @@
     if refusal == "login":
         bad.refuses = (18456, 1, 14, "Login failed")
     elif refusal == "encrypted":
-        bad.encryption = lg.ENCRYPT_REQUIRED
+        bad.encryption = prelogin.ENCRYPT_REQUIRED
     elif refusal == "closed":
         bad.end()
     else:
@@ -396,9 +395,9 @@
 def test_a_half_written_batch_is_proven_not_to_have_run_and_a_whole_one_is_not(monkeypatch, reason, proven):
     for whole in (False, True):
         place, theirs, sub, inbox = out_on_a_pair(monkeypatch)
-        assembler = packets.Assembler(1 << 20)
+        assembler = packets.MessageAssembler(1 << 20)
         assembler.feed(theirs.recv(3000))
-        while whole and assembler.message() is None:
+        while whole and assembler.next_message() is None:
             assembler.feed(theirs.recv(65_536))
         place.fail(reason)
         assert only_ending(inbox, sub) == (Ending.RESET if whole else proven)
@@ -444,23 +443,28 @@
 
     def __init__(self, port, login=True, size=4096):
         self.sock = socket.create_connection(("127.0.0.1", port), timeout=10)
-        self.assembler = packets.Assembler(1 << 30, frozenset((packets.RESULT, packets.PRELOGIN)))
+        self.assembler = packets.MessageAssembler(
+            1 << 30, frozenset((packets.TABULAR_RESULT, packets.PRELOGIN))
+        )
         if login:
-            self.send(packets.PRELOGIN, lg.prelogin({lg.VERSION: bytes(6), lg.ENCRYPTION: b"\2"}))
+            self.send(
+                packets.PRELOGIN,
+                prelogin.encode_prelogin({prelogin.VERSION: bytes(6), prelogin.ENCRYPTION: b"\2"}),
+            )
             self.message()
-            self.send(packets.LOGIN, lg.login("u", "p", "Report", "bi", size))
+            self.send(packets.LOGIN7, login7.encode_login7("u", "p", "Report", "bi", size))
             self.tokens()
 
     def send(self, kind, body):
-        self.sock.sendall(packets.frame(kind, body))
+        self.sock.sendall(packets.encode_packets(kind, body))
 
     def batch(self, text):
         from wickvane.net.tds import statements
 
-        self.send(packets.BATCH, statements.batch(text))
+        self.send(packets.SQL_BATCH, statements.batch(text))
 
     def message(self):
-        while (found := self.assembler.message()) is None:
+        while (found := self.assembler.next_message()) is None:
             data = self.sock.recv(65_536)
             if not data:
                 return None
@@ -552,14 +556,14 @@
 
 
 def long_answer(query, count=3000, size=400, end=True):
-    framer = packets.Framer(packets.RESULT)
-    query.conn.send(framer.more(COLUMNS))
+    framer = packets.PacketWriter(packets.TABULAR_RESULT)
+    query.conn.send(framer.write(COLUMNS))
     one = b"".join(row(n, "x" * (size // 4)) for n in range(10))
     for _ in range(count // 10):
-        if not query.conn.send_on(framer.more(one)):
+        if not query.conn.send_on(framer.write(one)):
             return
     if end:
-        query.conn.send(framer.end(token_encoding.encode_done(tokens.DONE_COUNT, count)))
+        query.conn.send(framer.finish(token_encoding.encode_done(tokens.DONE_COUNT, count)))
 
 
 def test_a_long_result_streams_to_both_fronts_in_bounded_memory():
@@ -586,7 +590,7 @@
     dispatcher = Dispatcher(engine)
     client = Raw(dispatcher.port)
     client.batch("SELECT * FROM sales_1.t")
-    while client.assembler.packet() is None:
+    while client.assembler.next_packet() is None:
         client.assembler.feed(client.sock.recv(65_536))
     reset(client.sock)
     engine.next("ATTENTION")
@@ -601,8 +605,12 @@
     trustme.CA().issue_cert("127.0.0.1").private_key_and_cert_chain_pem.write_to_path(str(tmp_path / "s.pem"))
     dispatcher = Dispatcher(TdsEngine(), more=f'encrypt "required"\ncertificate "{tmp_path}/s.pem"')
     client = Raw(dispatcher.port, login=False)
-    client.send(packets.PRELOGIN, lg.prelogin({lg.VERSION: bytes(6), lg.ENCRYPTION: b"\1"}))
-    assert lg.read_prelogin(client.message())[lg.ENCRYPTION] == bytes((lg.ENCRYPT_REQUIRED,))
+    client.send(
+        packets.PRELOGIN, prelogin.encode_prelogin({prelogin.VERSION: bytes(6), prelogin.ENCRYPTION: b"\1"})
+    )
+    assert prelogin.read_prelogin(client.message())[prelogin.ENCRYPTION] == bytes(
+        (prelogin.ENCRYPT_REQUIRED,)
+    )
     began = time.monotonic()
     client.send(packets.PRELOGIN, b"\x16\x03\x01\x02")  # a hello that never goes on
     assert client.message() is None and time.monotonic() - began < 3
@@ -615,11 +623,11 @@
     def guarded(query):
         try:
             sent.append(0)
-            framer = packets.Framer(packets.RESULT)
-            query.conn.send(framer.more(COLUMNS))
+            framer = packets.PacketWriter(packets.TABULAR_RESULT)
+            query.conn.send(framer.write(COLUMNS))
             one = b"".join(row(n, "x" * 100) for n in range(100))
             while True:
-                data = framer.more(one)
+                data = framer.write(one)
                 query.conn.send(data)
                 sent[0] += len(data)
         except OSError:
@@ -724,22 +732,24 @@
     monkeypatch.setattr("wickvane.net.front.FIRST_S", 0.3)
     dispatcher = Dispatcher(TdsEngine(), more="connections 40")
     good = dispatcher.connect()
-    login = packets.frame(packets.PRELOGIN, lg.prelogin({lg.VERSION: bytes(6), lg.ENCRYPTION: b"\2"}))
-    inside = login + packets.frame(packets.LOGIN, lg.login("u", "p"))
+    login = packets.encode_packets(
+        packets.PRELOGIN, prelogin.encode_prelogin({prelogin.VERSION: bytes(6), prelogin.ENCRYPTION: b"\2"})
+    )
+    inside = login + packets.encode_packets(packets.LOGIN7, login7.encode_login7("u", "p"))
     sent = [
         login[:11],
         b"GET / HTTP/1.1\r\n\r\n",
         bytes(64),
-        packets.HEAD.pack(18, 1, 0xFFFF, 0, 1, 0) + bytes(9000),
-        packets.frame(packets.PRELOGIN, b"\x00\xff\xff\xff\xff"),
-        packets.frame(packets.BATCH, bytes(50)),
-        login + packets.frame(packets.LOGIN, bytes(200)),
-        login + packets.frame(packets.LOGIN, b"\xff" * 94),
-        inside + packets.frame(packets.BATCH, b"\xff" * 30),
-        inside + packets.frame(packets.BULK, b"abc"),
-        inside + packets.frame(packets.BATCH, b"\4\0\0\0abc"),
-        inside + packets.frame(packets.RPC, b"\4\0\0\0abc"),
-        login + packets.HEAD.pack(18, 0, 8, 0, 1, 0) * 9000,
+        packets.HEADER.pack(18, 1, 0xFFFF, 0, 1, 0) + bytes(9000),
+        packets.encode_packets(packets.PRELOGIN, b"\x00\xff\xff\xff\xff"),
+        packets.encode_packets(packets.SQL_BATCH, bytes(50)),
+        login + packets.encode_packets(packets.LOGIN7, bytes(200)),
+        login + packets.encode_packets(packets.LOGIN7, b"\xff" * 94),
+        inside + packets.encode_packets(packets.SQL_BATCH, b"\xff" * 30),
+        inside + packets.encode_packets(packets.BULK_LOAD, b"abc"),
+        inside + packets.encode_packets(packets.SQL_BATCH, b"\4\0\0\0abc"),
+        inside + packets.encode_packets(packets.RPC, b"\4\0\0\0abc"),
+        login + packets.HEADER.pack(18, 0, 8, 0, 1, 0) * 9000,
     ]
     for data in sent:
         client, told = socket.create_connection(("127.0.0.1", dispatcher.port), timeout=1.5), b""
@@ -756,7 +766,7 @@
         client.sendall(inside)
         try:
             for _ in range(60 * 16):
-                client.sendall(packets.HEAD.pack(1, 0, 32_767, 0, 1, 0) + bytes(32_759) + bytes(32_768))
+                client.sendall(packets.HEADER.pack(1, 0, 32_767, 0, 1, 0) + bytes(32_759) + bytes(32_768))
             raise AssertionError("60 MB were taken")
         except OSError:
             pass
@@ -788,10 +798,10 @@
             return result((1, "a"))
         sent.append(query)
         if spoilt == "endless":
-            framer = packets.Framer(packets.RESULT)
+            framer = packets.PacketWriter(packets.TABULAR_RESULT)
             info = bytes((tokens.RETURNVALUE,)) + b"\0\0\xff" + bytes(510)
             try:
-                query.conn.send(framer.more(info + bytes(4 << 20)))
+                query.conn.send(framer.write(info + bytes(4 << 20)))
             except OSError:
                 pass
         elif spoilt == "token":
@@ -801,9 +811,9 @@
         elif spoilt == "nothing-asked":
             query.answer(result((1, "a")) + result((2, "b")))
         elif spoilt == "lengths":
-            query.conn.send(packets.HEAD.pack(4, 1, 3, 0, 1, 0))
+            query.conn.send(packets.HEADER.pack(4, 1, 3, 0, 1, 0))
         else:
-            query.conn.send(packets.frame(packets.RESULT, result((1, "a")))[:-5])
+            query.conn.send(packets.encode_packets(packets.TABULAR_RESULT, result((1, "a")))[:-5])
             reset(query.conn.sock)
         return None
 
--- a/tests/test_tds_codec.py
+++ b/tests/test_tds_codec.py
@@ -15,7 +15,9 @@
 from wickvane.net.tds import (
     conversion,
     encoding,
+    login7,
     packets,
+    prelogin,
     results,
     statements,
     token_encoding,
@@ -23,28 +25,33 @@
     type_info,
     values,
 )
-from wickvane.net.tds import login as lg
 from wickvane.net.tds.cursor import Cursor, IncompleteDataError
 
 
 def messages(data, cuts=(), most=1 << 16):
-    assembler, found, at = packets.Assembler(most, packets.FROM_CLIENT | {packets.RESULT}), [], 0
+    assembler, found, at = (
+        packets.MessageAssembler(most, packets.CLIENT_TYPES | {packets.TABULAR_RESULT}),
+        [],
+        0,
+    )
     for cut in [*sorted(cuts), len(data)]:
         assembler.feed(data[at:cut])
         at = cut
-        while (message := assembler.message()) is not None:
+        while (message := assembler.next_message()) is not None:
             found.append(message)
     return found
 
 
 @settings(max_examples=60, deadline=None)
 @given(
-    st.lists(st.tuples(st.sampled_from((packets.BATCH, packets.RPC)), st.binary(max_size=999)), max_size=3),
+    st.lists(
+        st.tuples(st.sampled_from((packets.SQL_BATCH, packets.RPC)), st.binary(max_size=999)), max_size=3
+    ),
     st.integers(512, 2000),
     st.integers(0, 1 << 32),
 )
 def test_messages_split_into_packets_and_cut_anywhere_come_back(sent, size, seed):
-    data = b"".join(packets.frame(kind, body, size) for kind, body in sent)
+    data = b"".join(packets.encode_packets(kind, body, size) for kind, body in sent)
     chance = Random(seed)
     cuts = [chance.randrange(len(data) + 1) for _ in range(6)] if data else []
     assert [(kind, body) for kind, _, body in messages(data, cuts)] == sent
@@ -53,8 +60,10 @@
 def test_a_framer_makes_the_same_message_of_any_pieces():
     body = bytes(range(256)) * 40
     for step in (1, 100, 5000, 20_000):
-        framer = packets.Framer(packets.RESULT, 512)
-        data = b"".join(framer.more(body[at : at + step]) for at in range(0, len(body), step)) + framer.end()
+        framer = packets.PacketWriter(packets.TABULAR_RESULT, 512)
+        data = (
+            b"".join(framer.write(body[at : at + step]) for at in range(0, len(body), step)) + framer.finish()
+        )
         assert [found[2] for found in messages(data)] == [body]
 
 
@@ -65,11 +74,11 @@
         (b"\x01\x01\x00\x07\0\0\0\0", "length"),
         (b"\x01\x01\xff\xff\0\0\0\0", "length"),
         (
-            packets.HEAD.pack(1, 0, 9, 0, 1, 0) + b"x" + packets.HEAD.pack(3, 1, 9, 0, 1, 0) + b"x",
+            packets.HEADER.pack(1, 0, 9, 0, 1, 0) + b"x" + packets.HEADER.pack(3, 1, 9, 0, 1, 0) + b"x",
             "another type",
         ),
-        (packets.HEAD.pack(1, 0, 8, 0, 1, 0) * 5000, "too long"),
-        (packets.frame(1, bytes(70_000)), "too long"),
+        (packets.HEADER.pack(1, 0, 8, 0, 1, 0) * 5000, "too long"),
+        (packets.encode_packets(1, bytes(70_000)), "too long"),
     ],
 )
 def test_packets_that_lie_are_refused(data, why):
@@ -78,21 +87,21 @@
 
 
 def test_an_attention_gives_up_the_message_that_was_being_sent():
-    half = packets.HEAD.pack(1, 0, 12, 0, 1, 0) + b"half"
-    assert messages(half + packets.frame(packets.ATTENTION, b"")) == [(packets.ATTENTION, 1, b"")]
+    half = packets.HEADER.pack(1, 0, 12, 0, 1, 0) + b"half"
+    assert messages(half + packets.encode_packets(packets.ATTENTION, b"")) == [(packets.ATTENTION, 1, b"")]
 
 
 def test_a_login_is_read_as_it_was_written_and_features_are_skipped():
-    body = bytearray(lg.login("ann", "pä'ss", "Report Tool", "bi"))
-    login = lg.read_login(bytes(body))
+    body = bytearray(login7.encode_login7("ann", "pä'ss", "Report Tool", "bi"))
+    login = login7.read_login7(bytes(body))
     assert (login.user, login.password) == ("ann", "pä'ss")
     assert (login.application, login.database) == ("Report Tool", "bi")
     at = len(body)
     body += struct.pack("<I", at + 4) + b"\x0a" + struct.pack("<I", 1) + b"\x01\x04" + bytes(4) + b"\xff"
-    body[27] |= lg.EXTENSION_FLAG
-    struct.pack_into("<HH", body, lg.FIELDS_AT + 4 * 5, at, 4)
+    body[27] |= login7.EXTENSION_FLAG
+    struct.pack_into("<HH", body, login7.FIELDS_OFFSET + 4 * 5, at, 4)
     struct.pack_into("<I", body, 0, len(body))
-    assert lg.read_login(bytes(body)).features == [0x0A, 4]
+    assert login7.read_login7(bytes(body)).features == [0x0A, 4]
 
 
 RAW = {
@@ -283,10 +292,10 @@
 
 SEEDS = [
     stream()[0],
-    lg.login("u", "p"),
-    lg.prelogin({0: bytes(6), 1: b"\2"}),
+    login7.encode_login7("u", "p"),
+    prelogin.encode_prelogin({0: bytes(6), 1: b"\2"}),
     statements.batch("SELECT 1"),
-    packets.frame(1, b"abc" * 100, 512),
+    packets.encode_packets(1, b"abc" * 100, 512),
 ]
 
 
@@ -306,8 +315,8 @@
     for read in (
         messages,
         rows,
-        lg.read_login,
-        lg.read_prelogin,
+        login7.read_login7,
+        prelogin.read_prelogin,
         statements.batch_text,
         lambda d: statements.statement_of(statements.read_call(d), statements.Prepared()),
         statements.read_transaction,
--- a/wickvane/net/tds/connection.py
+++ b/wickvane/net/tds/connection.py
@@ -21,15 +21,14 @@
 from wickvane.events import Ending
 from wickvane.net.lines import connection as lines
 from wickvane.net.queues import ResultStream
-from wickvane.net.tds import errors, packets, statements, tokens
-from wickvane.net.tds import login as lg
+from wickvane.net.tds import errors, login7, packets, prelogin, statements, tokens
 from wickvane.net.tds.results import GatheredTokens
 
 RESULT_MOST = 48_000  # octets gathered whole; what is longer streams
 PIPE_MOST = 256 << 10
 LOGIN_TOKENS_MOST, RECV, DONE_SIZE = 64, 32_768, 13
 READ_S, STALLS = 5, 2
-RECEIVED = frozenset((packets.RESULT, packets.PRELOGIN))
+RECEIVED = frozenset((packets.TABULAR_RESULT, packets.PRELOGIN))
 MESSAGE_MOST = 1 << 62  # a result has no bound of its own: each packet is taken out of it as it comes
 WORK = re.compile(r"work=(\d{1,9}(?:\.\d{1,6})?) memory=(\d{1,9}(?:\.\d{1,6})?)\Z")
 
@@ -43,7 +42,11 @@
     def __init__(self, link):
         super().__init__(link)
         self.engines = link.queue.speaks
-        self.size, self.stream, self.assembler = packets.SIZE, None, packets.Assembler(MESSAGE_MOST, RECEIVED)
+        self.size, self.stream, self.assembler = (
+            packets.DEFAULT_PACKET_SIZE,
+            None,
+            packets.MessageAssembler(MESSAGE_MOST, RECEIVED),
+        )
         # busy: a batch is out whose end has not come; attending: when its attention must be acknowledged.
         self.busy, self.attending, self.attempt = False, 0, None
         self.result, self.gathered, self.pipe, self.error = GatheredTokens(), 0, None, None
@@ -69,15 +72,15 @@
         self.result, self.gathered, self.pipe, self.error = GatheredTokens(), 0, None, None
         self.stream = tokens.TokenStreamReader()
         # What the last query left in the session (temporary tables, options) is no matter of this one.
-        status = packets.RESET if self.asked else 0
-        return packets.frame(packets.BATCH, statements.batch(text), self.size, 0, status)
+        status = packets.STATUS_RESET_CONNECTION if self.asked else 0
+        return packets.encode_packets(packets.SQL_BATCH, statements.batch(text), self.size, 0, status)
 
     def attention(self, attempt, ending):
         if not self.busy or self.attempt is not attempt or self.attending:
             return None
         self.attending = self.link.clock.now() + self.link.links.attention_time
         self.link.links.call(self)
-        return packets.frame(packets.ATTENTION, b"")
+        return packets.encode_packets(packets.ATTENTION, b"")
 
     def terms(self, attempt):
         return None  # priorities are not said in TDS once a batch is out
@@ -151,8 +154,8 @@
         """A message of the start and its answer's body."""
         sock.sendall(message)
         self.count_sent(lines.NOBODY, len(message), 1)
-        self.assembler.most = 65_536
-        while (found := self.assembler.message()) is None:
+        self.assembler.max_message_size = 65_536
+        while (found := self.assembler.next_message()) is None:
             data = sock.recv(RECV)
             if not data:
                 raise ConnectionResetError("closed at the login")
@@ -162,31 +165,32 @@
 
     def log_in(self, sock):
         """Why the engine does not take us, or None."""
-        encryption = bytes((lg.ENCRYPT_NOT_SUPPORTED,))
-        answer = lg.read_prelogin(
+        encryption = bytes((prelogin.ENCRYPT_NOT_SUPPORTED,))
+        answer = prelogin.read_prelogin(
             self.exchange_of(
                 sock,
-                packets.frame(
+                packets.encode_packets(
                     packets.PRELOGIN,
-                    lg.prelogin(
+                    prelogin.encode_prelogin(
                         {
-                            lg.VERSION: bytes(6),
-                            lg.ENCRYPTION: encryption,
-                            lg.INSTANCE: b"\0",
-                            lg.THREAD: bytes(4),
-                            lg.MARS: b"\0",
+                            prelogin.VERSION: bytes(6),
+                            prelogin.ENCRYPTION: encryption,
+                            prelogin.INSTANCE: b"\0",
+                            prelogin.THREAD_ID: bytes(4),
+                            prelogin.MARS: b"\0",
                         }
                     ),
                 ),
             )
         )
-        if lg.encryption(answer) in (lg.ENCRYPT_ON, lg.ENCRYPT_REQUIRED):
+        if prelogin.encryption_of(answer) in (prelogin.ENCRYPT_ON, prelogin.ENCRYPT_REQUIRED):
             return "it takes encrypted logins only"
         engines = self.engines
         body = self.exchange_of(
             sock,
-            packets.frame(
-                packets.LOGIN, lg.login(engines.user, engines.password, "wickvane", engines.database)
+            packets.encode_packets(
+                packets.LOGIN7,
+                login7.encode_login7(engines.user, engines.password, "wickvane", engines.database),
             ),
         )
         welcome, why = False, "no login was acknowledged"
@@ -200,7 +204,7 @@
                 return "it routes elsewhere"
             elif token == tokens.ENVCHANGE and said[0] == tokens.ENV_PACKET_SIZE and said[1]:
                 size = said[1][1 : 1 + 2 * said[1][0]].decode("utf-16-le", "replace")
-                if size.isdigit() and packets.SIZE_LEAST <= int(size) <= packets.SIZE_MOST:
+                if size.isdigit() and packets.MIN_PACKET_SIZE <= int(size) <= packets.MAX_PACKET_SIZE:
                     self.size = int(size)
             if count > LOGIN_TOKENS_MOST:
                 raise ProtocolError("a login's answer is too long")
@@ -230,14 +234,14 @@
                 len(data),
             )
             self.assembler.feed(data)
-            while (found := self.assembler.packet()) is not None:
+            while (found := self.assembler.next_packet()) is not None:
                 kind, status, body = found
-                if kind != packets.RESULT or self.stream is None or not self.busy:
+                if kind != packets.TABULAR_RESULT or self.stream is None or not self.busy:
                     raise ProtocolError("an answer to nothing")
                 if self.attending and (self.pipe is not None or self.gathered > RESULT_MOST):
-                    self.discard(body, status & packets.LAST)
+                    self.discard(body, status & packets.STATUS_EOM)
                 else:
-                    self.process_tokens(body, status & packets.LAST)
+                    self.process_tokens(body, status & packets.STATUS_EOM)
                 if self.dead:
                     return
 
--- a/wickvane/net/tds/packets.py
+++ b/wickvane/net/tds/packets.py
@@ -1,102 +1,152 @@
-"""TDS packets (MS-TDS 2.2.3): cut from a stream and put together to messages, and back. No I/O."""
+"""TDS packets (MS-TDS 2.2.3): messages assembled from a stream of packets, and written as packets. No I/O."""
 
 import struct
+from collections.abc import Collection
+from typing import NamedTuple
 
 from wickvane.errors import ProtocolError
 
-HEAD = struct.Struct(">BBHHBB")  # type, status, length, SPID, packet number, window
-BATCH, RPC, RESULT, ATTENTION, BULK, TRANSACTION, LOGIN, PRELOGIN = 1, 3, 4, 6, 7, 14, 16, 18
-LAST, IGNORE, RESET, RESET_KEEP = 1, 2, 8, 16
-SIZE_LEAST, SIZE, SIZE_MOST = 512, 4096, 32_767
-FROM_CLIENT = frozenset((BATCH, RPC, ATTENTION, BULK, TRANSACTION, LOGIN, PRELOGIN))
-SPLIT_MOST = 4096  # packets of one message: against a message made of empty ones
+HEADER = struct.Struct(">BBHHBB")  # type, status, length, SPID, packet number, window
 
+# Packet types
+SQL_BATCH = 1
+RPC = 3
+TABULAR_RESULT = 4
+ATTENTION = 6
+BULK_LOAD = 7
+TRANSACTION_MANAGER = 14
+LOGIN7 = 16
+PRELOGIN = 18
+CLIENT_TYPES = frozenset((SQL_BATCH, RPC, ATTENTION, BULK_LOAD, TRANSACTION_MANAGER, LOGIN7, PRELOGIN))
 
-class Assembler:
-    """Bytes in, whole messages out as (type, status of the first packet, body); `most` octets a message.
+# Status flags
+STATUS_EOM = 0x01  # the last packet of its message
+STATUS_IGNORE = 0x02
+STATUS_RESET_CONNECTION = 0x08
+STATUS_RESET_CONNECTION_SKIP_TRAN = 0x10
 
-    Holds one message and one packet at most. A message whose last packet says IGNORE is dropped."""
+MIN_PACKET_SIZE = 512  # octets, with the header
+DEFAULT_PACKET_SIZE = 4096
+MAX_PACKET_SIZE = 32_767
+MAX_PACKETS_PER_MESSAGE = 4096  # against a message of empty packets
 
-    def __init__(self, most, types=FROM_CLIENT):
-        self.most, self.types = most, types
-        self.buffer, self.kind, self.status, self.parts, self.size, self.count = bytearray(), 0, 0, [], 0, 0
 
-    def feed(self, data):
+class Message(NamedTuple):
+    """A packet, or a message with the status of its first packet."""
+
+    type: int
+    status: int
+    body: bytes
+
+
+class MessageAssembler:
+    """Octets in, complete messages out; drops messages whose last packet has STATUS_IGNORE.
+
+    Holds one message of max_message_size octets and one packet at most. Raises ProtocolError."""
+
+    def __init__(self, max_message_size: int, types: Collection[int] = CLIENT_TYPES) -> None:
+        self.max_message_size = max_message_size
+        self.types = types
+        self.buffer = bytearray()
+        self._bodies: list[bytes] = []
+        self._size = 0
+        self._type = 0
+        self._status = 0
+
+    def feed(self, data: bytes) -> None:
+        """Adds received octets."""
         self.buffer += data
 
-    def midway(self):
-        return bool(self.buffer or self.parts)
+    def is_mid_message(self) -> bool:
+        """Whether a message has begun that is not complete."""
+        return bool(self.buffer or self._bodies)
 
-    def packet(self):
-        """(type, status, body) of the next packet, None while it is not whole."""
-        if len(self.buffer) < HEAD.size:
+    def next_packet(self) -> Message | None:
+        """The next packet; None while it is incomplete."""
+        if len(self.buffer) < HEADER.size:
             return None
-        kind, status, length, _, _, _ = HEAD.unpack_from(self.buffer)
-        if kind not in self.types:
+        packet_type, status, length, _, _, _ = HEADER.unpack_from(self.buffer)
+        if packet_type not in self.types:
             raise ProtocolError("a packet's type is not known here")
-        if not HEAD.size <= length <= SIZE_MOST:
+        if not HEADER.size <= length <= MAX_PACKET_SIZE:
             raise ProtocolError("a packet's length is out of range")
         if len(self.buffer) < length:
             return None
-        body = bytes(self.buffer[HEAD.size : length])
+        body = bytes(self.buffer[HEADER.size : length])
         del self.buffer[:length]
-        return kind, status, body
-
-    def message(self):
-        """The next whole message, None while there is none."""
-        while (found := self.packet()) is not None:
-            kind, status, body = found
-            if not self.parts:
-                self.kind, self.status = kind, status
-            elif kind != self.kind:
-                if kind == ATTENTION:
-                    # It gives up the message that was being sent.
-                    self.parts, self.size, self.count = [], 0, 0
-                    return kind, status, body
-                raise ProtocolError("a packet of another type inside a message")
-            self.parts.append(body)
-            self.size, self.count = self.size + len(body), self.count + 1
-            if self.size > self.most or self.count > SPLIT_MOST:
+        return Message(packet_type, status, body)
+
+    def next_message(self) -> Message | None:
+        """The next complete message; None while there is none.
+
+        An ATTENTION cancels a message of which only some packets were sent."""
+        while (packet := self.next_packet()) is not None:
+            if not self._bodies:
+                self._type = packet.type
+                self._status = packet.status
+            elif packet.type != self._type:
+                if packet.type != ATTENTION:
+                    raise ProtocolError("a packet of another type inside a message")
+                self._discard_bodies()
+                return packet
+            self._bodies.append(packet.body)
+            self._size += len(packet.body)
+            if self._size > self.max_message_size or len(self._bodies) > MAX_PACKETS_PER_MESSAGE:
                 raise ProtocolError("a message is too long")
-            if status & LAST:
-                whole, first = b"".join(self.parts), self.status
-                self.parts, self.size, self.count = [], 0, 0
-                if not status & IGNORE:
-                    return self.kind, first, whole
+            if packet.status & STATUS_EOM:
+                body = b"".join(self._bodies)
+                self._discard_bodies()
+                if not packet.status & STATUS_IGNORE:
+                    return Message(self._type, self._status, body)
         return None
 
+    def _discard_bodies(self) -> None:
+        self._bodies = []
+        self._size = 0
+
 
-def frame(kind, body, size=SIZE, spid=0, status=0):
-    """A message as packets of `size` octets at most; status is that of the first (RESET and its like)."""
-    room = size - HEAD.size
+def encode_packets(
+    message_type: int, body: bytes, packet_size: int = DEFAULT_PACKET_SIZE, spid: int = 0, status: int = 0
+) -> bytes:
+    """A message as packets of packet_size octets at most; status: flags of the first packet."""
+    room = packet_size - HEADER.size
     if len(body) <= room:
-        return HEAD.pack(kind, LAST | status, HEAD.size + len(body), spid, 1, 0) + body
+        return HEADER.pack(message_type, STATUS_EOM | status, HEADER.size + len(body), spid, 1, 0) + body
     parts = []
-    for n, at in enumerate(range(0, len(body), room), 1):
+    for number, at in enumerate(range(0, len(body), room), 1):
         piece = body[at : at + room]
-        flags = (LAST if at + room >= len(body) else 0) | (status if n == 1 else 0)
-        parts.append(HEAD.pack(kind, flags, HEAD.size + len(piece), spid, n & 255, 0))
+        flags = STATUS_EOM if at + room >= len(body) else 0
+        if number == 1:
+            flags |= status
+        parts.append(HEADER.pack(message_type, flags, HEADER.size + len(piece), spid, number & 255, 0))
         parts.append(piece)
     return b"".join(parts)
 
 
-class Framer:
-    """A message that is written in pieces as it comes: whole packets go out, the rest waits for more."""
+class PacketWriter:
+    """Writes one message in pieces: full packets are returned, the rest is held back for the next piece."""
 
-    def __init__(self, kind, size=SIZE, spid=0):
-        self.kind, self.room, self.spid, self.held, self.number = kind, size - HEAD.size, spid, bytearray(), 0
+    def __init__(self, message_type: int, packet_size: int = DEFAULT_PACKET_SIZE, spid: int = 0) -> None:
+        self._type = message_type
+        self._room = packet_size - HEADER.size
+        self._spid = spid
+        self._held = bytearray()
+        self._number = 0
 
-    def more(self, data):
-        self.held += data
+    def write(self, data: bytes) -> bytes:
+        """The packets that are full with this data."""
+        self._held += data
         parts = []
-        while len(self.held) > self.room:
-            parts.append(self.one(bytes(self.held[: self.room]), 0))
-            del self.held[: self.room]
+        while len(self._held) > self._room:
+            parts.append(self._packet(bytes(self._held[: self._room]), 0))
+            del self._held[: self._room]
         return b"".join(parts)
 
-    def one(self, body, status):
-        self.number = self.number + 1 & 255
-        return HEAD.pack(self.kind, status, HEAD.size + len(body), self.spid, self.number, 0) + body
+    def finish(self, data: bytes = b"") -> bytes:
+        """The remaining packets, the last of them with STATUS_EOM."""
+        return self.write(data) + self._packet(bytes(self._held), STATUS_EOM)
 
-    def end(self, data=b""):
-        return self.more(data) + self.one(bytes(self.held), LAST)
+    def _packet(self, body: bytes, status: int) -> bytes:
+        self._number = (self._number + 1) & 255
+        header = HEADER.pack(self._type, status, HEADER.size + len(body), self._spid, self._number, 0)
+        return header + body
--- a/wickvane/net/tds/session.py
+++ b/wickvane/net/tds/session.py
@@ -10,20 +10,16 @@
 from wickvane.net import exchange as ex
 from wickvane.net.counters import NOBODY
 from wickvane.net.front import MESSAGE_S, RECV, STORM_TEXT, WRITE_S, Ended, Front
-from wickvane.net.tds import errors, logins, packets, results, statements, token_encoding, tokens
-from wickvane.net.tds import login as lg
-from wickvane.net.tds.packets import (
-    ATTENTION,
-    BATCH,
-    LOGIN,
-    PRELOGIN,
-    RESET,
-    RESET_KEEP,
-    RESULT,
-    RPC,
-    TRANSACTION,
-    Assembler,
-    frame,
+from wickvane.net.tds import (
+    errors,
+    login7,
+    logins,
+    packets,
+    prelogin,
+    results,
+    statements,
+    token_encoding,
+    tokens,
 )
 from wickvane.net.tds.type_info import COLLATION
 
@@ -42,17 +38,17 @@
 class Session(Front):
     """One client connection by TDS."""
 
-    TOO_MANY = frame(RESULT, failed(errors.TOO_MANY, "too many clients", 20))
+    TOO_MANY = packets.encode_packets(packets.TABULAR_RESULT, failed(errors.TOO_MANY, "too many clients", 20))
     peek_s = 0.08  # an attention comes on the connection of its query, which nobody reads meanwhile
     door = None  # what the parts document says of this listener: set by its class of sessions
 
     def __init__(self, sock, peer, service, full):
         super().__init__(sock, peer, service, full)
         self.idle_s = self.door.idle_s
-        self.assembler = Assembler(LOGIN_MOST)
+        self.assembler = packets.MessageAssembler(LOGIN_MOST)
         self.buffer = self.assembler.buffer
         self.tls = self.incoming = self.outgoing = None
-        self.size, self.database, self.defaults = packets.SIZE, "", None
+        self.size, self.database, self.defaults = packets.DEFAULT_PACKET_SIZE, "", None
         self.attended, self.prepared = False, statements.Prepared()
         self.transaction, self.effects = b"", False
         self.prefix, self.call, self.told = b"", False, b""
@@ -79,12 +75,12 @@
 
     def reply(self, body):
         self.sock.settimeout(WRITE_S)
-        self.put(frame(RESULT, self.prefix + body, self.size, SPID))
+        self.put(packets.encode_packets(packets.TABULAR_RESULT, self.prefix + body, self.size, SPID))
         self.prefix = b""
 
     def next_message(self, until):
         """The next message, read within its time; ProtocolError ends the connection with a word."""
-        while (found := self.assembler.message()) is None:
+        while (found := self.assembler.next_message()) is None:
             self.want(len(self.buffer) + 1, until)
         return found
 
@@ -96,60 +92,63 @@
             self.serve()
         except ProtocolError as error:
             raise Ended(
-                "message-malformed", frame(RESULT, failed(errors.PROTOCOL, str(error), 20)), str(error)
+                "message-malformed",
+                packets.encode_packets(packets.TABULAR_RESULT, failed(errors.PROTOCOL, str(error), 20)),
+                str(error),
             ) from None
         except ssl.SSLError as error:
             raise Ended("tls-failed", detail=error.reason or type(error).__name__) from None
 
     def handshake(self):
         kind, _, body = self.next_message(self.first_by)
-        if kind != PRELOGIN:
+        if kind != packets.PRELOGIN:
             raise ProtocolError("the first message is no PRELOGIN")
-        wanted, ours = lg.encryption(lg.read_prelogin(body)), self.door.encryption
+        wanted, ours = prelogin.encryption_of(prelogin.read_prelogin(body)), self.door.encryption
         agreed = self.agree(wanted, ours)
         self.put(
-            frame(
-                RESULT,
-                lg.prelogin(
+            packets.encode_packets(
+                packets.TABULAR_RESULT,
+                prelogin.encode_prelogin(
                     {
-                        lg.VERSION: VERSION,
-                        lg.ENCRYPTION: bytes((agreed,)),
-                        lg.INSTANCE: b"\0",
-                        lg.THREAD: b"",
-                        lg.MARS: b"\0",
+                        prelogin.VERSION: VERSION,
+                        prelogin.ENCRYPTION: bytes((agreed,)),
+                        prelogin.INSTANCE: b"\0",
+                        prelogin.THREAD_ID: b"",
+                        prelogin.MARS: b"\0",
                     }
                 ),
             )
         )
         if self.full:
             raise Ended("too-many", self.TOO_MANY)
-        if agreed != lg.ENCRYPT_NOT_SUPPORTED:
-            if wanted == lg.ENCRYPT_NOT_SUPPORTED:
+        if agreed != prelogin.ENCRYPT_NOT_SUPPORTED:
+            if wanted == prelogin.ENCRYPT_NOT_SUPPORTED:
                 raise Ended(
                     "no-encryption",
-                    frame(
-                        RESULT,
+                    packets.encode_packets(
+                        packets.TABULAR_RESULT,
                         failed(errors.ENCRYPTION, "this dispatcher takes encrypted connections only", 20),
                     ),
                 )
             self.secure()
         kind, _, body = self.next_message(self.first_by)
-        if kind != LOGIN:
+        if kind != packets.LOGIN7:
             raise ProtocolError("no LOGIN7 behind the PRELOGIN")
-        login = lg.read_login(body)
-        if agreed == lg.ENCRYPT_OFF:
+        login = login7.read_login7(body)
+        if agreed == prelogin.ENCRYPT_OFF:
             self.tls = None  # the login alone was encrypted
         self.let_in(login)
 
     def agree(self, wanted, ours):
         """MS-TDS 2.2.6.5: what is answered to a client's wish; ours is "off", "on" or "required"."""
         if ours == "off":
-            return lg.ENCRYPT_NOT_SUPPORTED
+            return prelogin.ENCRYPT_NOT_SUPPORTED
         if ours == "required":
-            return lg.ENCRYPT_REQUIRED
-        return {lg.ENCRYPT_OFF: lg.ENCRYPT_OFF, lg.ENCRYPT_NOT_SUPPORTED: lg.ENCRYPT_NOT_SUPPORTED}.get(
-            wanted, lg.ENCRYPT_ON
-        )
+            return prelogin.ENCRYPT_REQUIRED
+        return {
+            prelogin.ENCRYPT_OFF: prelogin.ENCRYPT_OFF,
+            prelogin.ENCRYPT_NOT_SUPPORTED: prelogin.ENCRYPT_NOT_SUPPORTED,
+        }.get(wanted, prelogin.ENCRYPT_ON)
 
     def secure(self):
         """A handshake inside of PRELOGIN packets; from there on TLS is outside."""
@@ -162,7 +161,7 @@
             except ssl.SSLWantReadError:
                 done = False
             if data := outgoing.read():
-                self.put(frame(PRELOGIN, data))
+                self.put(packets.encode_packets(packets.PRELOGIN, data))
             if done:
                 rest = bytes(self.buffer)
                 self.buffer.clear()
@@ -170,16 +169,18 @@
                 self.buffer += self.plain(rest) if rest else b""
                 return
             kind, _, body = self.next_message(self.first_by)
-            if kind != PRELOGIN:
+            if kind != packets.PRELOGIN:
                 raise ProtocolError("a handshake that is not in PRELOGIN packets")
             incoming.write(body)
         raise ProtocolError("a handshake that does not end")
 
     def let_in(self, login):
         def refuse(reason, number, text, severity=14):
-            raise Ended(reason, frame(RESULT, failed(number, text, severity)))
+            raise Ended(
+                reason, packets.encode_packets(packets.TABULAR_RESULT, failed(number, text, severity))
+            )
 
-        if login.version < lg.TDS_LEAST:
+        if login.version < login7.MIN_TDS_VERSION:
             refuse("protocol-version", errors.PROTOCOL, "TDS 7.2 or later is needed", 20)
         if login.integrated:
             refuse("login-failed", errors.LOGIN_FAILED, "logins by user and password only")
@@ -192,7 +193,7 @@
         self.database, self.size = login.database or "master", login.packet_size
         self.defaults = self.door.defaults(login.application, self.database, login.user)
         # Drivers' pools connect ahead of need: who has logged in may take its time.
-        self.assembler.most, self.first_by = MESSAGE_MOST, float("inf")
+        self.assembler.max_message_size, self.first_by = MESSAGE_MOST, float("inf")
         collation = bytes((len(COLLATION),)) + COLLATION
         answer = (
             token_encoding.encode_envchange(tokens.ENV_DATABASE, self.database, "master")
@@ -202,11 +203,13 @@
             + token_encoding.encode_envchange(tokens.ENV_COLLATION, collation, b"\0")
             + token_encoding.encode_envchange(tokens.ENV_LANGUAGE, "us_english", "")
             + token_encoding.encode_loginack()
-            + token_encoding.encode_envchange(tokens.ENV_PACKET_SIZE, str(self.size), str(packets.SIZE))
+            + token_encoding.encode_envchange(
+                tokens.ENV_PACKET_SIZE, str(self.size), str(packets.DEFAULT_PACKET_SIZE)
+            )
             + token_encoding.encode_done()
         )
         self.sock.settimeout(WRITE_S)
-        self.put(frame(RESULT, answer, packets.SIZE, SPID))
+        self.put(packets.encode_packets(packets.TABULAR_RESULT, answer, packets.DEFAULT_PACKET_SIZE, SPID))
 
     def rank(self, fresh):
         # A storm of connections that never log in must not push out those that did.
@@ -215,12 +218,17 @@
     # Messages
 
     def serve(self):
-        stop = Ended("stop", frame(RESULT, failed(errors.STOPPING, "the dispatcher stops", 20)))
+        stop = Ended(
+            "stop",
+            packets.encode_packets(
+                packets.TABULAR_RESULT, failed(errors.STOPPING, "the dispatcher stops", 20)
+            ),
+        )
         while True:
             self.claim(NOBODY)
-            found = self.assembler.message()
+            found = self.assembler.next_message()
             if found is None:
-                self.idle = not self.assembler.midway()
+                self.idle = not self.assembler.is_mid_message()
                 try:
                     if self.idle:
                         self.await_first(stop)
@@ -229,18 +237,18 @@
                 found = self.next_message(time.monotonic() + MESSAGE_S)
             kind, status, body = found
             self.prefix = b""
-            if status & (RESET | RESET_KEEP):
+            if status & (packets.STATUS_RESET_CONNECTION | packets.STATUS_RESET_CONNECTION_SKIP_TRAN):
                 self.prefix = token_encoding.encode_envchange(tokens.ENV_RESET_ACK, b"\0", b"\0")
                 self.prepared, self.effects = statements.Prepared(), False
-            if kind == BATCH:
+            if kind == packets.SQL_BATCH:
                 self.call, self.told = False, b""
                 self.request(statements.batch_text(body))
-            elif kind == RPC:
+            elif kind == packets.RPC:
                 self.procedure(body)
-            elif kind == ATTENTION:
+            elif kind == packets.ATTENTION:
                 # Of an answer that had gone out already: it is acknowledged all the same.
                 self.reply(token_encoding.encode_done(tokens.DONE_ATTN))
-            elif kind == TRANSACTION:
+            elif kind == packets.TRANSACTION_MANAGER:
                 self.transact(body)
             else:
                 raise ProtocolError("this request is not taken")
@@ -340,14 +348,17 @@
     # What a protocol says
 
     def internal_error(self):
-        return frame(RESULT, failed(errors.INTERNAL, "internal error", 20))
+        return packets.encode_packets(packets.TABULAR_RESULT, failed(errors.INTERNAL, "internal error", 20))
 
     def rejected(self, rejected):
         number = errors.STOPPING if rejected.sqlstate == ex.STOPS else errors.UNUSABLE
         return self.framed(failed(number, f"{rejected.sqlstate}: {rejected.text}"))
 
     def framed(self, body):
-        data, self.prefix = frame(RESULT, self.prefix + body, self.size, SPID), b""
+        data, self.prefix = (
+            packets.encode_packets(packets.TABULAR_RESULT, self.prefix + body, self.size, SPID),
+            b"",
+        )
         return data
 
     def vanished(self):
@@ -366,8 +377,8 @@
             self.buffer += self.plain(data)
             if len(self.buffer) > MESSAGE_MOST:
                 return True
-            if len(self.buffer) >= packets.HEAD.size and self.buffer[0] == ATTENTION:
-                self.attended = self.assembler.message() is not None
+            if len(self.buffer) >= packets.HEADER.size and self.buffer[0] == packets.ATTENTION:
+                self.attended = self.assembler.next_message() is not None
         except (ProtocolError, ssl.SSLError):
             return True
         return self.attended
@@ -410,8 +421,8 @@
 
     @staticmethod
     def too_fast(away):
-        return frame(
-            RESULT,
+        return packets.encode_packets(
+            packets.TABULAR_RESULT,
             failed(
                 errors.LOGIN_BUSY,
                 f"too many new connections stay-away={away}ms" if away else "too many new connections",
@@ -432,7 +443,7 @@
     # A result that is longer than what is gathered
 
     def streaming(self, pending):
-        framer = packets.Framer(RESULT, self.size, SPID)
+        framer = packets.PacketWriter(packets.TABULAR_RESULT, self.size, SPID)
         head, self.prefix = self.prefix, b""
         return TokenStream(self, framer, head)
 
@@ -446,13 +457,13 @@
     def more(self, chunk):
         data, self.head = self.head + b"".join(raw for _, raw, _ in chunk), b""
         self.rows += sum(token in (tokens.ROW, tokens.NBCROW) for token, _, _ in chunk)
-        return self.framer.more(data)
+        return self.framer.write(data)
 
     def end(self):
-        return self.framer.end(self.session.end(self.rows))
+        return self.framer.finish(self.session.end(self.rows))
 
     def broken(self):
-        return self.framer.end(failed(errors.KILLED, "killed: the result broke off; it may have run"))
+        return self.framer.finish(failed(errors.KILLED, "killed: the result broke off; it may have run"))
 
 
 class Door:
--- a/wickvane/rehearsal/tds.py
+++ b/wickvane/rehearsal/tds.py
@@ -7,8 +7,7 @@
 
 from wickvane.errors import ProtocolError
 from wickvane.events import Ending
-from wickvane.net.tds import encoding, errors, packets, statements, token_encoding, tokens
-from wickvane.net.tds import login as lg
+from wickvane.net.tds import encoding, errors, login7, packets, prelogin, statements, token_encoding, tokens
 from wickvane.rehearsal import connection, load
 
 MESSAGE_MOST = 1 << 18
@@ -25,23 +24,25 @@
 
     def __init__(self, serving, sock, process):
         super().__init__(serving, sock, process)
-        self.assembler, self.logged_in = packets.Assembler(MESSAGE_MOST), False
+        self.assembler, self.logged_in = packets.MessageAssembler(MESSAGE_MOST), False
 
     def came(self, data):
         try:
             self.assembler.feed(data)
-            while not self.closed and (found := self.assembler.message()) is not None:
+            while not self.closed and (found := self.assembler.next_message()) is not None:
                 self.message(*found)
         except ProtocolError:
             self.close(reset=True)
 
     def message(self, kind, status, body):
         if kind == packets.PRELOGIN:
-            lg.read_prelogin(body)
-            encryption = bytes((lg.ENCRYPT_NOT_SUPPORTED,))
-            self.tokens(lg.prelogin({lg.VERSION: bytes(6), lg.ENCRYPTION: encryption}))
-        elif kind == packets.LOGIN:
-            lg.read_login(body)
+            prelogin.read_prelogin(body)
+            encryption = bytes((prelogin.ENCRYPT_NOT_SUPPORTED,))
+            self.tokens(
+                prelogin.encode_prelogin({prelogin.VERSION: bytes(6), prelogin.ENCRYPTION: encryption})
+            )
+        elif kind == packets.LOGIN7:
+            login7.read_login7(body)
             self.logged_in = True
             self.tokens(token_encoding.encode_loginack(program="rehearsal") + token_encoding.encode_done())
         elif kind == packets.ATTENTION and self.logged_in:
@@ -49,7 +50,7 @@
                 self.serving.gives_up_here(query)
             self.open = {}
             self.tokens(token_encoding.encode_done(tokens.DONE_ATTN))
-        elif kind == packets.BATCH and self.logged_in:
+        elif kind == packets.SQL_BATCH and self.logged_in:
             found = HEAD.match(statements.batch_text(body))
             if found is None:
                 return self.fault(None)
@@ -59,7 +60,7 @@
             self.close(reset=True)
 
     def tokens(self, data):
-        self.send(packets.frame(packets.RESULT, data))
+        self.send(packets.encode_packets(packets.TABULAR_RESULT, data))
 
     def fault(self, id):
         self.tokens(
@@ -95,29 +96,31 @@
     """By batches, without encryption."""
 
     def start(self):
-        self.stream = packets.Assembler(1 << 24, frozenset((packets.RESULT,)))
+        self.stream = packets.MessageAssembler(1 << 24, frozenset((packets.TABULAR_RESULT,)))
         self.exchange(
-            packets.frame(
+            packets.encode_packets(
                 packets.PRELOGIN,
-                lg.prelogin(
+                prelogin.encode_prelogin(
                     {
-                        lg.VERSION: bytes(6),
-                        lg.ENCRYPTION: bytes((lg.ENCRYPT_NOT_SUPPORTED,)),
-                        lg.INSTANCE: b"\0",
-                        lg.THREAD: bytes(4),
-                        lg.MARS: b"\0",
+                        prelogin.VERSION: bytes(6),
+                        prelogin.ENCRYPTION: bytes((prelogin.ENCRYPT_NOT_SUPPORTED,)),
+                        prelogin.INSTANCE: b"\0",
+                        prelogin.THREAD_ID: bytes(4),
+                        prelogin.MARS: b"\0",
                     }
                 ),
             )
         )
-        answer = self.exchange(packets.frame(packets.LOGIN, lg.login("load", "", "rehearsal", "bi")))
+        answer = self.exchange(
+            packets.encode_packets(packets.LOGIN7, login7.encode_login7("load", "", "rehearsal", "bi"))
+        )
         if not any(token == tokens.LOGINACK for token, _, _ in tokens.TokenStreamReader().feed(answer)):
             raise ValueError("the login was refused")
 
     def exchange(self, message):
         """The body of the next message."""
         self.sock.sendall(message)
-        while (found := self.stream.message()) is None:
+        while (found := self.stream.next_message()) is None:
             data = self.sock.recv(65_536)
             if not data:
                 raise ValueError("closed")
@@ -126,7 +129,7 @@
 
     def answer_to(self, text):
         try:
-            body = self.exchange(packets.frame(packets.BATCH, statements.batch(text)))
+            body = self.exchange(packets.encode_packets(packets.SQL_BATCH, statements.batch(text)))
             for token, _, said in tokens.TokenStreamReader().feed(body):
                 if token == tokens.ERROR:
                     return ANSWERS.get(said[0], f"error {said[0]}")
