--- a/wickvane/net/tds/connection.py
+++ b/wickvane/net/tds/connection.py
@@ -1,336 +1,344 @@
-"""One connection to an engine that speaks TDS: a login, then a query at a time, given up by attention.
-
-It stands where a connection of the line protocol does: the keeper hands in orders, a thread of its own
-dials, logs in and reads (a stream waits for its client, which the keeper must not), and each attempt gets
-its one ending. What proves that nothing ran:
-
-    refused, not up in time, login refused, routed elsewhere    no connection   proven
-    given up or lost before the first packet left               not sent        proven
-    lost while the last byte of the batch had not left us       no connection   proven: only whole ones run
-    ERROR of a number in errors.TURNED_AWAY                     turned away     proven
-    any other ERROR, whatever its severity                      error           no
-    reset, closed, malformed, no end, once all of it has left   reset           no
-    attention acknowledged                                      cancelled       no
+"""One connection to an engine that speaks TDS: a login, then one batch at a time, cancelled by ATTENTION.
+
+It has the interface of a connection of the line protocol: the engine pool's I/O loop hands in orders; a
+thread of its own dials, logs in and reads, since it may wait for the client of a streamed result, which the
+I/O loop must not. Each attempt gets one ending. What proves that nothing ran:
+
+    connection refused or timed out, login rejected, routed elsewhere    no connection   proven
+    given up or lost before the first packet was sent                    not sent        proven
+    lost before the last byte of the batch was sent                      no connection   proven
+    ERROR of a number in errors.TURNED_AWAY                              rejected        proven
+    any other ERROR, whatever its severity                               error           no
+    reset, closed, malformed or no end after all of it was sent          reset           no
+    attention acknowledged                                               cancelled       no
 """
 
-import re
 import socket
-from struct import pack
+import struct
+from enum import Enum, auto
 
 from wickvane.errors import ProtocolError
 from wickvane.events import Ending
 from wickvane.net.lines import connection as lines
 from wickvane.net.queues import ResultStream
-from wickvane.net.tds import errors, login7, packets, prelogin, statements, tokens
+from wickvane.net.tds import engine_login, errors, packets, statements, tokens
+from wickvane.net.tds.batch_answer import BatchAnswer, Chunk, read_end_status
 from wickvane.net.tds.results import GatheredTokens
 
-RESULT_MOST = 48_000  # octets gathered whole; what is longer streams
-PIPE_MOST = 256 << 10
-LOGIN_TOKENS_MOST, RECV, DONE_SIZE = 64, 32_768, 13
-READ_S, STALLS = 5, 2
-RECEIVED = frozenset((packets.TABULAR_RESULT, packets.PRELOGIN))
-MESSAGE_MOST = 1 << 62  # a result has no bound of its own: each packet is taken out of it as it comes
-WORK = re.compile(r"work=(\d{1,9}(?:\.\d{1,6})?) memory=(\d{1,9}(?:\.\d{1,6})?)\Z")
+STREAM_BUFFER_SIZE = 256 << 10  # octets between the engine's thread and the client's
+RECEIVE_SIZE = 32_768  # octets
+READ_TIMEOUT_S = 5
+MAX_READ_TIMEOUTS_MIDWAY = 2
+MAX_LOGIN_ANSWER_SIZE = 65_536  # octets
+UNBOUNDED = 1 << 62  # a result has no bound: its packets are taken out one by one
+MAX_LOGGED_ERROR_CHARACTERS = 400
+ENGINE_MESSAGE_TYPES = frozenset((packets.TABULAR_RESULT, packets.PRELOGIN))
+
+
+class BatchState(Enum):
+    """Where the batch on a connection is."""
+
+    IDLE = auto()  # none is out
+    RUNNING = auto()  # sent; its result is gathered
+    STREAMING = auto()  # its result is passed on while it is read
+    ATTENTION_SENT = auto()  # cancelled; the acknowledgement is awaited
+
+
+class BatchEvent(Enum):
+    """What changes a BatchState."""
+
+    BATCH_ENCODED = auto()
+    STREAM_BEGUN = auto()
+    ATTENTION_ENCODED = auto()
+    ANSWER_COMPLETE = auto()
 
 
 class Connection(lines.Connection):
     """One connection to an engine by TDS, with a thread of its own."""
 
-    READS = 0  # its own thread does
-    RUNS_WHOLE = True  # [MS-TDS] 2.2.1.3: a batch is whole with the packet that has the end-of-message bit
+    READS = 0  # its own thread reads, not the I/O loop
+    RUNS_WHOLE = True  # MS-TDS 2.2.1.3: a batch is complete with the packet that has the EOM bit
 
-    def __init__(self, link):
+    def __init__(self, link) -> None:
         super().__init__(link)
         self.engines = link.queue.speaks
-        self.size, self.stream, self.assembler = (
-            packets.DEFAULT_PACKET_SIZE,
-            None,
-            packets.MessageAssembler(MESSAGE_MOST, RECEIVED),
-        )
-        # busy: a batch is out whose end has not come; attending: when its attention must be acknowledged.
-        self.busy, self.attending, self.attempt = False, 0, None
-        self.result, self.gathered, self.pipe, self.error = GatheredTokens(), 0, None, None
-
-    def takes(self, attempt, now):
+        self.packet_size = packets.DEFAULT_PACKET_SIZE
+        self.assembler = packets.MessageAssembler(UNBOUNDED, ENGINE_MESSAGE_TYPES)
+        self.state = BatchState.IDLE
+        self.attention_deadline = 0  # ticks; by then an attention must be acknowledged
+        self.attempt = None
+        self.answer_reader: BatchAnswer | None = None
+        self.stream: ResultStream | None = None
+
+    def _change_state(self, event: BatchEvent) -> None:
+        """All transitions. Under the lock."""
+        match event:
+            case BatchEvent.BATCH_ENCODED:
+                self.state = BatchState.RUNNING
+            case BatchEvent.STREAM_BEGUN:
+                if self.state is BatchState.RUNNING:
+                    self.state = BatchState.STREAMING
+            case BatchEvent.ATTENTION_ENCODED:
+                self.state = BatchState.ATTENTION_SENT
+            case BatchEvent.ANSWER_COMPLETE:
+                self.state = BatchState.IDLE
+
+    @property
+    def attention_sent(self) -> bool:
+        """Whether the acknowledgement of an attention is awaited."""
+        return self.state is BatchState.ATTENTION_SENT
+
+    def takes(self, attempt, now: int) -> bool:
+        """As lines.Connection: one batch at a time."""
         with self.lock:
-            return (
-                not self.dead
-                and not self.retired
-                and not self.open
-                and not self.busy
-                and now - self.used < self.link.idle_time
-            )
+            usable = not self.dead and not self.retired
+            unused = not self.open and self.state is BatchState.IDLE
+            return usable and unused and now - self.used < self.link.idle_time
 
     # Orders
 
-    def ask(self, attempt):
-        fields, pending = self.fields(attempt), attempt.pending
+    def ask(self, attempt) -> bytes | None:
+        """The packets of an attempt's batch; None where it is not sent any more."""
+        fields = self.fields(attempt)
         if not fields:
             return None
+        pending = attempt.pending
         text = (b"/* id=%b,%b */ %b" % (pending.id, fields, pending.body)).decode("utf-8", "replace")
-        self.busy, self.attempt, self.attending = True, attempt, 0
-        self.result, self.gathered, self.pipe, self.error = GatheredTokens(), 0, None, None
-        self.stream = tokens.TokenStreamReader()
-        # What the last query left in the session (temporary tables, options) is no matter of this one.
+        self.attempt = attempt
+        self.answer_reader = BatchAnswer()
+        self.stream = None
+        self._change_state(BatchEvent.BATCH_ENCODED)
+        # Temporary tables and options that the last query left in the engine's session must not be seen.
         status = packets.STATUS_RESET_CONNECTION if self.asked else 0
-        return packets.encode_packets(packets.SQL_BATCH, statements.batch(text), self.size, 0, status)
+        return packets.encode_packets(packets.SQL_BATCH, statements.batch(text), self.packet_size, 0, status)
 
-    def attention(self, attempt, ending):
-        if not self.busy or self.attempt is not attempt or self.attending:
+    def attention(self, attempt, ending: Ending) -> bytes | None:
+        """The ATTENTION that cancels an attempt; None where it is not running or is cancelled already."""
+        if self.attempt is not attempt or self.state in (BatchState.IDLE, BatchState.ATTENTION_SENT):
             return None
-        self.attending = self.link.clock.now() + self.link.links.attention_time
+        self._change_state(BatchEvent.ATTENTION_ENCODED)
+        self.attention_deadline = self.link.clock.now() + self.link.links.attention_time
         self.link.links.call(self)
         return packets.encode_packets(packets.ATTENTION, b"")
 
-    def terms(self, attempt):
-        return None  # priorities are not said in TDS once a batch is out
+    def terms(self, attempt) -> None:
+        """Nothing: TDS cannot change the priority of a batch that is out."""
+        return None
 
     FORMS = {"ask": ask, "attention": attention, "terms": terms}
 
-    def call_off(self, attempt, ending, at_once):
-        """A batch that is out is given up by attention; its ending is the acknowledgement's, or the
-        connection's, since until then its threads are at work. Only at the client's own limit is it told at
-        once. A stream is its client's."""
-        if self.pipe is not None:
+    def call_off(self, attempt, ending: Ending, at_once: bool) -> None:
+        """Cancels a batch by ATTENTION; a streamed result is left to its client.
+
+        The attempt ends with the acknowledgement or the connection, since until then the engine works on it;
+        at_once: it ends now, as its client's own time limit requires."""
+        if self.stream is not None:
             return
         self.put("attention", attempt, ending)
         if at_once:
             self.drop(attempt, ending)
 
-    def drop(self, attempt, ending, pages=None):
+    def drop(self, attempt, ending: Ending, pages=None) -> None:
+        """The one end of an attempt on this connection."""
         with self.lock:
             if self.open.get(attempt.pending.id) is not attempt:
                 return
             del self.open[attempt.pending.id]
             self.used = self.link.clock.now()
-        self.link.exchange.end(attempt, ending, attempt.told - attempt.at if attempt.told else None, pages)
+        elapsed = attempt.told - attempt.at if attempt.told else None
+        self.link.exchange.end(attempt, ending, elapsed, pages)
         self.link.links.call(self)
 
-    def idles(self):
-        return super().idles() and not self.busy
+    def idles(self) -> bool:
+        """As lines.Connection."""
+        return super().idles() and self.state is BatchState.IDLE
 
-    def overdue(self, now):
-        if self.attending and now > self.attending and self.busy:
+    def overdue(self, now: int) -> tuple[str, str | None] | None:
+        """As lines.Connection; an attention has a time within which it must be acknowledged."""
+        if self.attention_sent and now > self.attention_deadline:
             return "attention-unanswered", None
         return super().overdue(now) if self.up else None
 
-    def due(self, now):
-        return now + lines.LOOK if self.attending or not self.up else super().due(now)
+    def due(self, now: int) -> int:
+        """As lines.Connection."""
+        return now + lines.LOOK if self.attention_sent or not self.up else super().due(now)
 
-    # The start
+    # Dialling and login
 
-    def start(self):
-        if not self.link.links.threads.spare(self.work_out, "engine-reader"):
+    def start(self) -> None:
+        """Starts the thread that dials, logs in and reads."""
+        if not self.link.links.threads.spare(self._run, "engine-reader"):
             self.fail("no-thread")
 
-    def work_out(self):
-        self.guard(self.work)
-        self.let_go()
+    def release(self) -> None:
+        """Nothing: its own thread closes the socket."""
 
-    def release(self):
-        pass  # its own thread reads
+    def _run(self) -> None:
+        self.guard(self._connect_and_read)
+        self.let_go()
 
-    def dial(self):
+    def dial(self) -> socket.socket:
+        """Connects to the engine; raises OSError."""
         sock = socket.create_connection(self.link.address, timeout=self.link.connect_s)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self.accounts is not None:
             self.account = self.accounts.engine(sock, self.link.queue.name)
         return sock
 
-    def work(self):
+    def _connect_and_read(self) -> None:
         sock = self.dial()
         with self.lock:
-            self.sock = sock  # so that a connection that is ended meanwhile is closed under its login
+            self.sock = sock  # so that ending the connection from elsewhere ends the login too
         if self.dead:
             return
-        refused = self.log_in(sock)
-        if refused:
-            self.fail("login-refused", refused)
+        rejection = self._log_in(sock)
+        if rejection is not None:
+            self.fail("login-refused", rejection)
         elif self.come_up(sock):
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, pack("ll", READ_S, 0))
-            self.read()
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, struct.pack("ll", READ_TIMEOUT_S, 0))
+            self._read()
 
-    def exchange_of(self, sock, message):
-        """A message of the start and its answer's body."""
+    def _log_in(self, sock: socket.socket) -> str | None:
+        """Why the engine does not accept the login, or None."""
+        if engine_login.requires_encryption(self._exchange(sock, engine_login.prelogin_request())):
+            return "it takes encrypted logins only"
+        engines = self.engines
+        request = engine_login.login_request(engines.user, engines.password, engines.database)
+        result = engine_login.read_login_answer(self._exchange(sock, request))
+        self.packet_size = result.packet_size
+        return result.rejection
+
+    def _exchange(self, sock: socket.socket, message: bytes) -> bytes:
+        """Sends a message of the login; returns the body of its answer."""
         sock.sendall(message)
         self.count_sent(lines.NOBODY, len(message), 1)
-        self.assembler.max_message_size = 65_536
-        while (found := self.assembler.next_message()) is None:
-            data = sock.recv(RECV)
+        self.assembler.max_message_size = MAX_LOGIN_ANSWER_SIZE
+        while (answer := self.assembler.next_message()) is None:
+            data = sock.recv(RECEIVE_SIZE)
             if not data:
                 raise ConnectionResetError("closed at the login")
             self.received += len(data)
             self.assembler.feed(data)
-        return found[2]
-
-    def log_in(self, sock):
-        """Why the engine does not take us, or None."""
-        encryption = bytes((prelogin.ENCRYPT_NOT_SUPPORTED,))
-        answer = prelogin.read_prelogin(
-            self.exchange_of(
-                sock,
-                packets.encode_packets(
-                    packets.PRELOGIN,
-                    prelogin.encode_prelogin(
-                        {
-                            prelogin.VERSION: bytes(6),
-                            prelogin.ENCRYPTION: encryption,
-                            prelogin.INSTANCE: b"\0",
-                            prelogin.THREAD_ID: bytes(4),
-                            prelogin.MARS: b"\0",
-                        }
-                    ),
-                ),
-            )
-        )
-        if prelogin.encryption_of(answer) in (prelogin.ENCRYPT_ON, prelogin.ENCRYPT_REQUIRED):
-            return "it takes encrypted logins only"
-        engines = self.engines
-        body = self.exchange_of(
-            sock,
-            packets.encode_packets(
-                packets.LOGIN7,
-                login7.encode_login7(engines.user, engines.password, "wickvane", engines.database),
-            ),
-        )
-        welcome, why = False, "no login was acknowledged"
-        for count, (token, _, said) in enumerate(tokens.TokenStreamReader().feed(body)):
-            if token == tokens.LOGINACK:
-                welcome = True
-            elif token == tokens.ERROR:
-                welcome, why = False, f"{said[0]}: {said[3]}"
-                break
-            elif token == tokens.ENVCHANGE and said[0] == tokens.ENV_ROUTING:
-                return "it routes elsewhere"
-            elif token == tokens.ENVCHANGE and said[0] == tokens.ENV_PACKET_SIZE and said[1]:
-                size = said[1][1 : 1 + 2 * said[1][0]].decode("utf-16-le", "replace")
-                if size.isdigit() and packets.MIN_PACKET_SIZE <= int(size) <= packets.MAX_PACKET_SIZE:
-                    self.size = int(size)
-            if count > LOGIN_TOKENS_MOST:
-                raise ProtocolError("a login's answer is too long")
-        return None if welcome else why
+        return answer.body
 
     # Reading
 
-    def read(self):
-        stalls = 0
+    def _read(self) -> None:
+        timeouts_midway = 0
         while not self.dead:
             try:
-                data = self.sock.recv(RECV)
+                data = self.sock.recv(RECEIVE_SIZE)
             except BlockingIOError:
-                # Silence is judged by the module; half a packet or token is an answer that stopped.
-                half = self.assembler.buffer or self.stream and self.stream.is_mid_token()
-                stalls = stalls + 1 if half else 0
-                if stalls >= STALLS:
+                # The scheduler judges silence; half a packet or token is an answer that stopped.
+                timeouts_midway = timeouts_midway + 1 if self._is_midway() else 0
+                if timeouts_midway >= MAX_READ_TIMEOUTS_MIDWAY:
                     raise ProtocolError("an answer stopped midway") from None
                 continue
             if not data:
-                return self.fail("peer-closed")
-            stalls = 0
-            self.received += len(data)
-            attempt = self.attempt
-            self.claim(
-                (attempt.pending.resource_group, attempt.pending.tenant) if attempt else lines.NOBODY,
-                len(data),
-            )
-            self.assembler.feed(data)
-            while (found := self.assembler.next_packet()) is not None:
-                kind, status, body = found
-                if kind != packets.TABULAR_RESULT or self.stream is None or not self.busy:
-                    raise ProtocolError("an answer to nothing")
-                if self.attending and (self.pipe is not None or self.gathered > RESULT_MOST):
-                    self.discard(body, status & packets.STATUS_EOM)
-                else:
-                    self.process_tokens(body, status & packets.STATUS_EOM)
-                if self.dead:
-                    return
-
-    def process_tokens(self, body, last):
-        attempt, ended, chunk, size = self.attempt, None, [], 0
-        for item in self.stream.feed(body):
-            token, raw, said = item
-            if ended is not None and not self.attending:
-                raise ProtocolError("tokens behind the end of an answer")
-            if token in tokens.DONE_TOKENS:
-                status, _, rows = said
-                if status & tokens.DONE_ATTN:
-                    ended = status
-                elif not status & tokens.DONE_MORE and token != tokens.DONEINPROC:
-                    ended = ended if ended is not None else status
-                    self.result.rows = rows if status & tokens.DONE_COUNT else self.result.rows
-                else:
-                    chunk.append(item)
-                    size += len(raw)
-            elif token == tokens.INFO and said[0] == errors.REPORT:
-                if found := WORK.match(said[3]):
-                    attempt.work, attempt.memory = int(float(found[1]) * 10), float(found[2])
-            elif token == tokens.ERROR:
-                self.error = self.error or said
-            elif token in (tokens.COLMETADATA, tokens.ROW, tokens.NBCROW, tokens.ORDER):
-                chunk.append(item)
-                size += len(raw)
-        self.gathered += size
-        if self.pipe is not None:
-            if chunk and not self.pipe.put(chunk, size):
-                self.put("attention", attempt, Ending.CANCELLED)  # the client has gone
-        else:
-            self.result.extend(chunk)
-            if self.gathered > RESULT_MOST and not self.error and not self.attending:
-                self.begin_stream(attempt)
-            elif self.gathered > RESULT_MOST:
-                self.result.clear()  # given up, or an error's: nobody reads it
-        if last:
-            if self.stream.is_mid_token() or ended is None:
+                self.fail("peer-closed")
+                return
+            timeouts_midway = 0
+            self._receive(data)
+
+    def _is_midway(self) -> bool:
+        answer = self.answer_reader
+        return bool(self.assembler.buffer) or answer is not None and answer.is_mid_token()
+
+    def _receive(self, data: bytes) -> None:
+        self.received += len(data)
+        attempt = self.attempt
+        key = (attempt.pending.resource_group, attempt.pending.tenant) if attempt else lines.NOBODY
+        self.claim(key, len(data))
+        self.assembler.feed(data)
+        while not self.dead and (packet := self.assembler.next_packet()) is not None:
+            self._process_packet(packet)
+
+    def _process_packet(self, packet: packets.Message) -> None:
+        answer = self.answer_reader
+        if packet.type != packets.TABULAR_RESULT or answer is None or self.state is BatchState.IDLE:
+            raise ProtocolError("an answer to nothing")
+        is_last = bool(packet.status & packets.STATUS_EOM)
+        if self.attention_sent and (self.stream is not None or answer.is_long()):
+            # An engine may go on for long with a cancelled result: of it only the end is read.
+            if is_last:
+                self._finish(read_end_status(packet.body))
+            return
+        chunk = answer.read_packet(packet.body, self.attention_sent)
+        if answer.load_report is not None:
+            self.attempt.work = answer.load_report.work
+            self.attempt.memory = answer.load_report.memory
+        self._pass_on(answer, chunk)
+        if is_last:
+            if answer.is_mid_token() or chunk.end_status is None:
                 raise ProtocolError("an answer without its end")
-            self.finish(attempt, ended)
+            self._finish(chunk.end_status)
 
-    def discard(self, body, last):
-        """The rest of a long result that was given up: an engine may go on for long, and none of it is worth
-        the reading. Its acknowledgement is the last token of a last packet."""
-        if not last:
+    def _pass_on(self, answer: BatchAnswer, chunk: Chunk) -> None:
+        """Gathers a chunk of the result, or hands it to the stream."""
+        if self.stream is not None:
+            if chunk.tokens and not self.stream.put(chunk.tokens, chunk.size):
+                self.put("attention", self.attempt, Ending.CANCELLED)  # the client has gone
             return
-        end = body[-DONE_SIZE:]
-        if len(end) < DONE_SIZE or end[0] not in tokens.DONE_TOKENS:
-            raise ProtocolError("an answer without its end")
-        self.finish(self.attempt, int.from_bytes(end[1:3], "little"))
-
-    def begin_stream(self, attempt):
-        pipe = ResultStream(PIPE_MOST)
-        pipe.put(list(self.result), 0)
-        self.result = GatheredTokens()
+        answer.result.extend(chunk.tokens)
+        if answer.is_long():
+            if answer.error is None and not self.attention_sent:
+                self._begin_stream(answer)
+            else:
+                answer.result.clear()  # cancelled or failed: nobody reads it
+
+    def _begin_stream(self, answer: BatchAnswer) -> None:
+        attempt = self.attempt
+        stream = ResultStream(STREAM_BUFFER_SIZE)
+        stream.put(list(answer.result), 0)
+        answer.result = GatheredTokens()
         with self.lock:
-            begins = self.open.get(attempt.pending.id) is attempt and self.link.exchange.begin(attempt, pipe)
+            is_open = self.open.get(attempt.pending.id) is attempt
+            begins = is_open and self.link.exchange.begin(attempt, stream)
             if begins:
-                self.pipe = pipe
+                self.stream = stream
+                self._change_state(BatchEvent.STREAM_BEGUN)
         if not begins:
-            self.gathered = 0
+            answer.size = 0
 
-    def finish(self, attempt, status):
+    def _finish(self, status: int) -> None:
+        """The answer has ended; status: of its last DONE."""
+        attempt = self.attempt
+        answer = self.answer_reader
+        stream = self.stream
         acknowledged = bool(status & tokens.DONE_ATTN)
         # An attention that crossed the end of the answer is still to be acknowledged.
-        waits = self.attending and not acknowledged
-        ending = Ending.CANCELLED if acknowledged else Ending.FINISHED
-        if self.error and not acknowledged:
-            number, _, severity, text = self.error
-            ending = errors.ending_of(number, severity)
-            attempt.pending.why = f"{number}: {text[:400]}"
+        awaits_acknowledgement = self.attention_sent and not acknowledged
+        ending = self._ending(attempt, answer, acknowledged)
         attempt.told = self.link.clock.now()
-        result, pipe, fatal = self.result, self.pipe, self.error and self.error[2] >= errors.FATAL
+        result = answer.result
         with self.lock:
-            if not waits:
-                self.busy, self.attending, self.attempt = False, 0, None
-            self.result, self.stream = GatheredTokens(), tokens.TokenStreamReader() if waits else None
-            # What waits for its acknowledgement alone still discards, whatever comes ahead of it.
-            self.pipe = self.pipe if waits else None
-        if pipe is not None:
-            pipe.end(waits or ending != Ending.FINISHED)
-            ending = Ending.CANCELLED if waits else ending
-        self.drop(attempt, ending, result if ending == Ending.FINISHED and pipe is None else None)
-        if fatal:
+            if awaits_acknowledgement:
+                answer.expect_acknowledgement()
+            else:
+                self._change_state(BatchEvent.ANSWER_COMPLETE)
+                self.attempt = None
+                self.answer_reader = None
+                self.stream = None
+        if stream is not None:
+            stream.end(awaits_acknowledgement or ending != Ending.FINISHED)
+            ending = Ending.CANCELLED if awaits_acknowledgement else ending
+        is_gathered = ending == Ending.FINISHED and stream is None
+        self.drop(attempt, ending, result if is_gathered else None)
+        if answer.error is not None and answer.error.severity >= errors.FATAL:
             self.fail("engine-error", attempt.pending.why)
 
-    def fail(self, reason, detail=None):
-        pipe = self.pipe
+    def _ending(self, attempt, answer: BatchAnswer, acknowledged: bool) -> Ending:
+        if acknowledged:
+            return Ending.CANCELLED
+        if answer.error is None:
+            return Ending.FINISHED
+        number, _, severity, text = answer.error
+        attempt.pending.why = f"{number}: {text[:MAX_LOGGED_ERROR_CHARACTERS]}"
+        return errors.ending_of(number, severity)
+
+    def fail(self, reason: str, detail: str | None = None) -> None:
+        """As lines.Connection; a stream breaks off."""
+        stream = self.stream
         super().fail(reason, detail)
-        if pipe is not None:
-            pipe.end(True)
+        if stream is not None:
+            stream.end(True)
