--- a/wickvane/xds/simulated_proxies.py
+++ b/wickvane/xds/simulated_proxies.py
@@ -13,6 +13,7 @@
 from typing import Any, NamedTuple
 
 from wickvane.events import (
+    FOREVER,
     AttemptEnded,
     ClientGone,
     Deployment,
@@ -151,7 +152,7 @@
         self._in_progress[name] = self._in_progress.get(name, 0) + 1
         gradient.in_progress += 1
         self._open_queries[event.query] = _OpenQuery(event.group, cluster)
-        out.start_attempt(event.query, self._numbers[name], 0)
+        out.start_attempt(event.query, self._numbers[name], 0, FOREVER)
 
     def _choose(self, now: int, cluster: str) -> str | None:
         """The endpoint that a request is sent to, None where there is none."""
