--- a/tests/fleet/rig.py
+++ b/tests/fleet/rig.py
@@ -32,7 +32,8 @@
 # free a moment ago is else another fleet's, or a connection's, by the time a program listens there.
 WORKER = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0")[2:])
 PORTS = itertools.cycle(range(11_000 + 1_500 * (WORKER % 14), 11_000 + 1_500 * (WORKER % 14 + 1)))
-KEY = b"a key that all of the fleet hold"
+# Of this run alone: two runs of tests at once may get the same ports, and must not join their fleets.
+KEY = b"a key that all of the fleet hold, %d" % os.getpid()
 
 
 def own_port(kind):
