--- a/wickvane/events.py
+++ b/wickvane/events.py
@@ -50,7 +50,7 @@
 
 
 class Budget(IntEnum):
-    """What may be leased between dispatcher_count."""
+    """What may be leased between dispatchers."""
 
     CONCURRENCY = 0  # threads in flight on engines
     SLOW_START = 1  # work that engines get while they warm up
@@ -138,7 +138,7 @@
 
 
 class InFlightElsewhere(NamedTuple):
-    """Threads that all other dispatcher_count hold on an engine, as was last heard, `age` ago in the mean."""
+    """Threads that all other dispatchers hold on an engine, as was last heard, `age` ago in the mean."""
 
     engine: int
     threads: int
@@ -155,13 +155,13 @@
 
 
 class TenantsCharged(NamedTuple):
-    """By tenant, the work that other dispatcher_count gave it since the last such event."""
+    """By tenant, the work that other dispatchers gave it since the last such event."""
 
     works: list[int]
 
 
 class EngineJudged(NamedTuple):
-    """What several other dispatcher_count found of an engine, `age` ago."""
+    """What several other dispatchers found of an engine, `age` ago."""
 
     engine: int
     bad: bool  # it fails their attempts
