--- a/tests/quotas/test_lease_broker.py
+++ b/tests/quotas/test_lease_broker.py
@@ -23,7 +23,7 @@
     Quota,
 )
 from wickvane.quotas.lease_messages import LeaseGrant, LeaseMessage, LeaseRelease
-from wickvane.quotas.wire import LeaseEntry, lease_message
+from wickvane.quotas.wire import LeaseEntry, LeaseKind, lease_message
 
 TICK, WINDOW = 500, 10_000
 EPSILON = 1e-6
@@ -236,7 +236,7 @@
     st.lists(
         st.builds(
             LeaseEntry,
-            st.sampled_from([0, 1, 2]),
+            st.sampled_from(list(LeaseKind)),
             st.integers(0, 7),
             st.integers(0, 70),
             st.integers(0, 4096),
--- a/tests/quotas/test_wire.py
+++ b/tests/quotas/test_wire.py
@@ -11,3 +11,10 @@
 def test_hostile_octets_are_no_message(data):
     message = wire.decode(data)
     assert message is None or wire.encode(message)
+
+
+def test_a_lease_message_of_an_unknown_kind_is_no_message():
+    known = wire.GossipMessage(leases=[wire.LeaseEntry(wire.LeaseKind.RELEASE, 0, 1, 0, 0)])
+    unknown = wire.GossipMessage(leases=[wire.LeaseEntry(3, 0, 1, 0, 0)])
+    assert wire.decode(wire.encode(known)) == known
+    assert wire.decode(wire.encode(unknown)) is None
--- a/wickvane/quotas/wire.py
+++ b/wickvane/quotas/wire.py
@@ -4,6 +4,7 @@
 Dispatchers' incarnations are identified by marks: 32 bits of a hash, which all members of the cluster know.
 """
 
+from enum import IntEnum
 from functools import lru_cache
 from typing import Annotated, NamedTuple
 
@@ -35,10 +36,18 @@
     slowdown: Tenths
 
 
+class LeaseKind(IntEnum):
+    """The kinds of lease messages, as they are on the wire."""
+
+    REQUEST = 0
+    GRANT = 1
+    RELEASE = 2
+
+
 class LeaseEntry(NamedTuple):
     """A lease message as it is on the wire; of a release, units and requested_at are 0."""
 
-    kind: Annotated[int, msgspec.Meta(ge=0, le=2)]
+    kind: LeaseKind
     budget: Annotated[int, msgspec.Meta(ge=0, le=7)]
     number: Count
     units: Units
@@ -69,7 +78,6 @@
 
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER = msgspec.msgpack.Decoder(GossipMessage)
-_REQUEST, _GRANT, _RELEASE = range(3)
 
 
 def encode(message: GossipMessage) -> bytes:
@@ -89,19 +97,19 @@
     """A lease message as it is on the wire."""
     match message:
         case LeaseRequest():
-            return LeaseEntry(_REQUEST, *message)
+            return LeaseEntry(LeaseKind.REQUEST, *message)
         case LeaseGrant():
-            return LeaseEntry(_GRANT, *message)
+            return LeaseEntry(LeaseKind.GRANT, *message)
         case LeaseRelease(budget, number):
-            return LeaseEntry(_RELEASE, budget, number, 0, 0)
+            return LeaseEntry(LeaseKind.RELEASE, budget, number, 0, 0)
 
 
 def lease_message(entry: LeaseEntry) -> LeaseMessage:
     """The lease message of an entry that was decoded."""
     kind, budget, number, units, requested_at = entry
-    if kind == _REQUEST:
+    if kind == LeaseKind.REQUEST:
         return LeaseRequest(budget, number, units, requested_at)
-    if kind == _GRANT:
+    if kind == LeaseKind.GRANT:
         return LeaseGrant(budget, number, units, requested_at)
     return LeaseRelease(budget, number)
 
