--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -61,7 +61,9 @@
 @settings(max_examples=400, deadline=None)
 @given(st.lists(reports, max_size=40))
 def test_the_highest_report_of_each_member_holds_whatever_was_received_between(received):
-    membership, plain, now = make_membership(), PlainModel(), 0
+    membership = make_membership()
+    plain = PlainModel()
+    now = 0
     table = membership.table
     for name, epoch, incarnation, state, by in received:
         # So late that others' verdicts are accepted: a suspicion is old, and nobody was heard directly since.
@@ -94,7 +96,8 @@
 @settings(max_examples=300, deadline=None)
 @given(st.lists(reports.filter(lambda one: one[3] != FAILED), max_size=25), st.randoms(use_true_random=False))
 def test_reports_in_any_order_and_any_number_of_times_converge(received, chance: Random):
-    one, other = make_membership(), make_membership()
+    one = make_membership()
+    other = make_membership()
     again = received + chance.choices(received, k=len(received)) if received else []
     chance.shuffle(again)
     for membership, order in ((one, received), (other, again)):
@@ -118,7 +121,9 @@
 )
 def test_a_dead_member_never_comes_back_without_a_higher_incarnation(received):
     """With members that replace each other, are removed, are heard directly; all stays bounded."""
-    membership, now, dead = make_membership(capacity=12, tombstone_after=60 * TICKS_PER_SECOND), 0, {}
+    membership = make_membership(capacity=12, tombstone_after=60 * TICKS_PER_SECOND)
+    now = 0
+    dead = {}
     for (name, epoch, incarnation, state, by), address, direct, wait in received:
         now += wait
         membership.expire(now)
@@ -153,7 +158,8 @@
 
 def test_a_suspect_refutes_and_a_former_run_of_this_program_is_no_rival():
     membership = make_membership()
-    table, local = membership.table, membership.table.local
+    table = membership.table
+    local = membership.table.local
     membership.apply(1, report("me", LOCAL_EPOCH, "1.0.0.9:1", 4, FAILED, "a"))
     assert (local.incarnation, local.state) == (5, JOINING) and table.gossip.transmissions[local] == 0
     membership.apply(2, report("me", LOCAL_EPOCH - 7, "1.0.0.9:1", 9, ALIVE))
@@ -200,10 +206,24 @@
     assert member.state == FAILED
 
 
+def test_no_report_of_a_removed_member_brings_it_back():
+    """Drawn first by test_a_dead_member_never_comes_back_without_a_higher_incarnation; c5b2902 fails it."""
+    membership = make_membership(tombstone_after=60 * TICKS_PER_SECOND)
+    membership.apply(0, report("a", 3, "x:1", 1, LEFT, "a"))
+    membership.expire(61 * TICKS_PER_SECOND)
+    assert ("a", 3) not in membership.table.members and membership.table.tombstones["a"] == 3
+    for incarnation, state in ((0, FAILED), (3, SUSPECT), (2, LEFT), (3, ALIVE)):
+        entry = report("a", 3, "x:1", incarnation, state, "b")
+        assert membership.apply(62 * TICKS_PER_SECOND, entry) is None
+        assert ("a", 3) not in membership.table.members
+
+
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.integers(1, 200), max_size=120))
 def test_each_datagram_counter_is_accepted_once(counters):
-    membership, accepted, highest = make_membership(), set(), 0
+    membership = make_membership()
+    accepted = set()
+    highest = 0
     member = membership.apply(1, report("a", 1, "x:1", 0, ALIVE))
     for counter in counters:
         fits = counter not in accepted and (counter > highest or highest - counter < 64)
--- a/wickvane/cluster/membership.py
+++ b/wickvane/cluster/membership.py
@@ -102,8 +102,10 @@
     def _apply_to_unknown(self, now: int, entry: GossipEntry) -> Member | None:
         table = self.table
         namesakes = table.by_name.get(entry.name, ())
-        if entry.epoch <= table.tombstones.get(entry.name, 0) and entry.state not in DEAD_STATES:
-            self.log_event("peers-former-life", {"name": entry.name, "epoch": entry.epoch})
+        if entry.epoch <= table.tombstones.get(entry.name, 0):
+            # Nor a dead one: it could come back alive from a state below the one in which it was removed.
+            if entry.state not in DEAD_STATES:
+                self.log_event("peers-former-life", {"name": entry.name, "epoch": entry.epoch})
             return None
         if any(other.epoch > entry.epoch and other.address == entry.address for other in namesakes):
             entry = entry._replace(state=LEFT)
