--- a/tests/cluster/test_guards.py
+++ b/tests/cluster/test_guards.py
@@ -29,7 +29,8 @@
     f.run(TICKS_PER_SECOND)
     f.cut = lambda a, b: (a < 20) != (b < 20)
     f.run(f.now + 15 * TICKS_PER_SECOND)
-    f.cut, healed = None, f.now
+    f.cut = None
+    healed = f.now
     return f.until_equal(f.now + 20 * TICKS_PER_SECOND) is not None and not f.false_failures(healed)
 
 
--- a/tests/cluster/test_node.py
+++ b/tests/cluster/test_node.py
@@ -23,7 +23,8 @@
 
 
 def test_no_message_is_longer_than_a_datagram_and_what_is_sent_is_bounded():
-    codec, transport = Codec("c" * 64, [b"k" * 20]), RecordingTransport()
+    codec = Codec("c" * 64, [b"k" * 20])
+    transport = RecordingTransport()
     node = Node(
         0,
         "n" * 64,
@@ -70,7 +71,8 @@
 def test_a_member_that_has_left_answers_until_its_end_and_wakes_for_nothing_else():
     fleet = Fleet(3, 1, settled=True)
     fleet.run(TICKS_PER_SECOND)
-    node, transport = fleet.members[0].node, RecordingTransport()
+    node = fleet.members[0].node
+    transport = RecordingTransport()
     node.leave(fleet.now, transport)
     for _ in range(20):
         next_at = node.run_round(fleet.now + 30 * TICKS_PER_SECOND, [], transport)
--- a/tests/cluster/test_simulated_clusters.py
+++ b/tests/cluster/test_simulated_clusters.py
@@ -28,7 +28,8 @@
 def test_lost_datagrams_and_stalls_of_two_seconds_fail_nobody(seed):
     f = Fleet(30, seed, loss=0.1, doubled=0.1, delay=(3, 600))
     f.until_equal(30 * TICKS_PER_SECOND)
-    who, end = f.chance.sample(range(30), 26), f.now + 40 * TICKS_PER_SECOND
+    who = f.chance.sample(range(30), 26)
+    end = f.now + 40 * TICKS_PER_SECOND
 
     def stall_again(n: int) -> None:
         f.stand_still(n, 2 * TICKS_PER_SECOND)
@@ -50,7 +51,8 @@
     partitions = [m.node.assess(f.now).partition for m in f.members]
     assert set(partitions[:9]) == {Partition.MINORITY} and set(partitions[9:]) == {Partition.MAJORITY}
     assert {m.node.assess(f.now).divisor for m in f.members} == {21}
-    f.cut, healed = None, f.now
+    f.cut = None
+    healed = f.now
     assert f.until_equal(f.now + 15 * TICKS_PER_SECOND) is not None
     assert f.false_failures(healed) == []
 
@@ -75,7 +77,8 @@
 
 def disturb(f: Fleet, chance: Random) -> None:
     """One fault drawn at random: a kill, a restart, a clock that went back, a stall, a cut, a leave."""
-    what, n = chance.randrange(7), chance.randrange(9)
+    what = chance.randrange(7)
+    n = chance.randrange(9)
     if what == 0 and f.members[n].up:
         f.killed(n)
     elif what in (1, 2) and not f.members[n].up:
@@ -101,7 +104,8 @@
     for _ in range(14):
         disturb(f, chance)
         f.run(f.now + chance.randrange(12 * TICKS_PER_SECOND))
-    f.cut, f.loss = None, 0
+    f.cut = None
+    f.loss = 0
     for n in range(9):
         if not f.members[n].up:
             f.restarted(n)
--- a/tests/cluster/test_wire.py
+++ b/tests/cluster/test_wire.py
@@ -51,7 +51,9 @@
 
 
 def test_two_keys_are_accepted_and_another_cluster_is_told_apart(tmp_path):
-    old, both, new = ([b"o" * 16], [b"n" * 16, b"o" * 16], [b"n" * 16])
+    old = [b"o" * 16]
+    both = [b"n" * 16, b"o" * 16]
+    new = [b"n" * 16]
     assert Codec("c", both).open(Codec("c", old).seal(PING)) == PING
     assert Codec("c", both).open(Codec("c", new).seal(PING))
     with pytest.raises(DatagramError, match="unauthenticated"):
--- a/wickvane/cluster/failure_detector.py
+++ b/wickvane/cluster/failure_detector.py
@@ -36,7 +36,7 @@
         """Asks a helper to ping a member."""
 
     def send_nack(self, requester: Member, sequence: int) -> None:
-        """Tells a requester that its member did not acknowledge."""
+        """Reports to a requester that its member did not acknowledge."""
 
     def handle_suspected(self, now: int, member: Member, helpers: list[Member]) -> None:
         """A member did not acknowledge, neither here nor to these helpers."""
--- a/wickvane/cluster/message_receiver.py
+++ b/wickvane/cluster/message_receiver.py
@@ -109,8 +109,8 @@
         return member
 
     def notify_ended(self, now: int, entry: GossipEntry) -> None:
-        """Tells a sender that it has left by all that is known here, so that it starts a new epoch: an
-        operator forgot it, or its clock went back behind a former epoch's at its address."""
+        """Notifies a sender that it counts as left here, so that it starts a new epoch: an operator forgot
+        it, or its clock went back behind a former epoch's at its address."""
         self.reject("former-life")
         if entry.state == LEFT or now < self._notify_at:
             return
--- a/wickvane/cluster/message_sender.py
+++ b/wickvane/cluster/message_sender.py
@@ -19,7 +19,7 @@
 
 
 class Transport(Protocol):
-    """What delivers messages; one that cannot be sent is lost without a word."""
+    """What delivers messages. It raises nothing: a message that cannot be sent is lost."""
 
     def send(self, address: str, message: Message) -> None:
         """Sends a message to an address."""
@@ -63,8 +63,8 @@
         body: bytes = b"",
         required: Sequence[Member] = (),
     ) -> None:
-        """Sends to a member, with the entries of `required` and others. One that is suspected or failed is
-        told so with it, and can refute."""
+        """Sends to a member, with the entries of `required` and others. One that is suspected or failed
+        receives its own entry too, so that it can refute."""
         if member.state in (SUSPECT, FAILED):
             required = [member, *required]
         self.send_to_address(member.address, member.epoch, kind, sequence, subject, body, required)
--- a/wickvane/cluster/node.py
+++ b/wickvane/cluster/node.py
@@ -30,7 +30,7 @@
 GOSSIP_FANOUT = 3  # members
 EXPIRY_INTERVAL = TICKS_PER_SECOND
 MAX_VIEW_AGE = 4 * TICKS_PER_SECOND  # of an observed view that still counts
-LEAVE_FANOUT = 8  # members that are told directly when this one leaves
+LEAVE_FANOUT = 8  # members that this one notifies directly when it leaves
 
 
 class Delegate(Protocol):
@@ -153,7 +153,7 @@
             self.delegate.receive_payload(now, member, message.body)
 
     def leave(self, now: int, transport: Transport) -> None:
-        """Leaves the cluster: some members are told at once, the rest learn it from them."""
+        """Leaves the cluster: notifies some members at once, from which the rest learn it by gossip."""
         self.now = now
         local = self.table.local
         if local.state == LEFT:
--- a/wickvane/cluster/probing.py
+++ b/wickvane/cluster/probing.py
@@ -32,8 +32,6 @@
         else:
             self._detector.suspicions.cancel(member)
 
-    # As the detector's ProbeHandler.
-
     def send_ping(self, member: Member, sequence: int) -> None:
         """Sends a ping."""
         self._sender.send(member, MessageKind.PING, sequence)
@@ -43,7 +41,7 @@
         self._sender.send(helper, MessageKind.PING_REQUEST, sequence, subject=member.id)
 
     def send_nack(self, requester: Member, sequence: int) -> None:
-        """Tells a requester that its member did not acknowledge."""
+        """Reports to a requester that its member did not acknowledge."""
         if self._table.is_living(requester):
             self._sender.send(requester, MessageKind.NACK, sequence)
 
@@ -66,8 +64,6 @@
             return
         self._membership.transition(now, member, member.incarnation, FAILED, self._table.local.name)
 
-    # Received messages.
-
     def handle_ping(self, now: int, member: Member, message: Message) -> None:
         """Acknowledges a ping."""
         self._sender.send(member, MessageKind.ACK, message.sequence)
