--- a/tests/xds_service/plain_proxy.py
+++ b/tests/xds_service/plain_proxy.py
@@ -1,138 +1,177 @@
 """A plain xDS client, and a control plane whose resources are JSON instead of protobuf."""
 
+from collections.abc import Collection, Iterable
+from typing import Any, NamedTuple
+
 import orjson
 from bench_free import group, site
 
 from wickvane.events import EngineState
 from wickvane.units import TICKS_PER_SECOND
+from wickvane.xds.catalog import CachedResource
 from wickvane.xds.control_plane import ControlPlane
-from wickvane.xds.messages import DeltaDiscoveryRequest, DiscoveryRequest, Variant
-from wickvane.xds.placement import (
-    Placement,
-)
+from wickvane.xds.messages import DeltaDiscoveryRequest, DiscoveryRequest, DiscoveryResponse, Variant
+from wickvane.xds.placement import PlacedEndpoint, Placement
 from wickvane.xds.resource_types import ResourceType
 
 TABLES = (1, 2, 3)
 CDS, EDS, LDS, RDS = ResourceType
 SOTW, DELTA = Variant
-
-
-def entry(name, state=EngineState.READY, started=0, kind="old", zone="dc", port=None):
+STEP = 600  # ticks between two responses, longer than the service's interval
+
+
+def entry(
+    name: str,
+    state: EngineState = EngineState.READY,
+    started: float = 0,
+    kind: str = "old",
+    zone: str = "dc",
+    port: int | None = None,
+) -> tuple:
+    """An entry of the endpoint list; started: in milliseconds."""
     return name, ("127.0.0.1", port or 1000 + int(name[1:])), state, zone, kind, 0, started, 1.0
 
 
 class PlainResources:
     """Resources as JSON, in place of xDS."""
 
-    def build_static(self, placement):
+    def build_static(self, placement: Placement) -> dict[ResourceType, dict[str, bytes]]:
         return {
             CDS: {name: b"c" for name in placement.cluster_names()},
-            LDS: {g: b"l" for g in placement.class_of},
-            RDS: {g: b"r" for g in placement.class_of},
+            LDS: {name: b"l" for name in placement.class_of},
+            RDS: {name: b"r" for name in placement.class_of},
         }
 
-    def build_assignment(self, name, places):
-        return orjson.dumps([[p.name, p.priority, p.weight] for p in places])
+    def build_assignment(self, name: str, endpoints: Iterable[PlacedEndpoint]) -> bytes:
+        return orjson.dumps([[placed.name, placed.priority, placed.weight] for placed in endpoints])
 
-    def belongs_to(self, placement, kind, name, groups):
-        return name in groups if kind in (LDS, RDS) else name.partition("/")[0] in groups
+    def belongs_to(
+        self, placement: Placement, resource_type: ResourceType, name: str, groups: Collection[str]
+    ) -> bool:
+        return name in groups if resource_type in (LDS, RDS) else name.partition("/")[0] in groups
 
 
-def build_placement(groups=None, **more):
-    deployment = site(groups or [group()], **more)
-    names = [f"g{n}" for n in range(len(deployment.groups))]
+def build_placement(groups: list | None = None, **settings: Any) -> Placement:
+    """Placement of these resource groups, by default of one."""
+    deployment = site(groups or [group()], **settings)
+    names = [f"g{number}" for number in range(len(deployment.groups))]
     return Placement(deployment, names, TABLES, 2, ["old", "new"], ["dc", "far"])
 
 
-def build_control_plane(**more):
-    return ControlPlane(build_placement(), PlainResources(), 2 * TICKS_PER_SECOND, **more)
+def build_control_plane(**settings: Any) -> ControlPlane:
+    """A control plane with a grace period of two seconds."""
+    return ControlPlane(build_placement(), PlainResources(), 2 * TICKS_PER_SECOND, **settings)
+
+
+class Received(NamedTuple):
+    """A response that is not answered yet; index: of the endpoint list that it follows from."""
+
+    response: DiscoveryResponse
+    resources: dict[str, CachedResource]
+    index: int
 
 
 class PlainProxy:
-    """A plain proxy: what it holds, by type. apply() is what an xDS client does."""
-
-    def __init__(self, variant, name):
-        self.variant, self.name, self.held = variant, name, [{} for _ in range(4)]
-        self.versions, self.whole, self.control_plane, self.number = (
-            [{} for _ in range(4)],
-            [""] * 4,
-            None,
-            None,
-        )
-        self.late = []  # responses that came and are not answered
-        self.newest = 0  # index of the newest list that an accepted response followed from
-
-    def connect(self, control_plane, now):
+    """An xDS client that holds what it was sent, by type."""
+
+    def __init__(self, variant: Variant, name: str) -> None:
+        self.variant = variant
+        self.name = name
+        self.held: list[dict[str, bytes]] = [{} for _ in ResourceType]
+        self.versions: list[dict[str, str]] = [{} for _ in ResourceType]
+        self.type_versions = ["" for _ in ResourceType]
+        self.control_plane: ControlPlane | None = None
+        self.number: int | None = None
+        self.unanswered: list[Received] = []
+        self.newest_index = 0  # of the newest list that an accepted response follows from
+
+    def connect(self, control_plane: ControlPlane, now: int) -> None:
+        """Opens a stream and subscribes to everything, with what it holds."""
         self.disconnect(now)
-        self.control_plane, self.number, self.late = (
-            control_plane,
-            control_plane.open_stream(now, self.variant),
-            [],
-        )
+        self.control_plane = control_plane
+        self.number = control_plane.open_stream(now, self.variant)
+        self.unanswered = []
         control_plane.identify(self.number, self.name)
-        session = control_plane.streams[self.number]
-        for kind in (CDS, EDS, LDS, RDS):
-            names = (
-                []
-                if kind in (CDS, LDS)
-                else sorted(self.held[(CDS, None, None, LDS)[kind] if kind != EDS else CDS])
+        for resource_type in ResourceType:
+            names = self._subscribed_names(resource_type)
+            versions = self.versions[resource_type]
+            self._send(now, resource_type, "", names, versions, None)
+
+    @staticmethod
+    def _subscribed_names(resource_type: ResourceType) -> list[str]:
+        if resource_type == EDS:
+            return [f"g0/{table}" for table in (0, *TABLES)]
+        return ["g0"] if resource_type == RDS else []
+
+    def _send(
+        self,
+        now: int,
+        resource_type: ResourceType,
+        nonce: str,
+        names: list[str],
+        versions: dict[str, str],
+        error: str | None,
+    ) -> None:
+        """Sends a request; names, versions: of the first request (incremental)."""
+        if self.variant is SOTW:
+            version = self.type_versions[resource_type]
+            request = DiscoveryRequest(
+                resource_type, version, nonce, self._subscribed_names(resource_type), error
             )
-            if kind == EDS:
-                names = [f"g0/{table}" for table in (0, *TABLES)]
-            if kind == RDS:
-                names = ["g0"]
-            if self.variant == SOTW:
-                session.receive(now, DiscoveryRequest(kind, self.whole[kind], "", names, None))
-            else:
-                session.receive(now, DeltaDiscoveryRequest(kind, "", names, [], self.versions[kind], None))
-
-    def disconnect(self, now):
+        else:
+            request = DeltaDiscoveryRequest(resource_type, nonce, names, [], versions, error)
+        self.control_plane.streams[self.number].receive(now, request)
+
+    def disconnect(self, now: int) -> None:
+        """Closes its stream, if it has one."""
         if self.control_plane is not None and self.number in self.control_plane.streams:
             self.control_plane.close_stream(self.number)
         self.control_plane = None
 
-    def receive(self, now):
-        """Takes what is next into its line; whether there was something."""
+    def receive(self, now: int) -> bool:
+        """Receives the next response without answering it; whether there was one."""
         response = self.control_plane.next_response(self.number, now)
         if response is None:
             return False
-        entries = self.control_plane.catalog.resources[response.resource_type]
-        self.late.append(
-            (response, {name: entries[name] for name in response.names}, self.control_plane.snapshot.index)
-        )
+        resources = self.control_plane.catalog.resources[response.resource_type]
+        found = {name: resources[name] for name in response.names}
+        self.unanswered.append(Received(response, found, self.control_plane.snapshot.index))
         return True
 
-    def answer(self, now, refuse):
-        """The oldest that came: applied and acknowledged, or refused."""
-        if not self.late:
+    def answer(self, now: int, refuse: bool) -> None:
+        """Applies and acknowledges the oldest response, or rejects it."""
+        if not self.unanswered:
             return
-        response, entries, index = self.late.pop(0)
-        kind, session = response.resource_type, self.control_plane.streams[self.number]
+        received = self.unanswered.pop(0)
+        if not refuse and not received.response.is_heartbeat:
+            self._apply(received)
         error = "no" if refuse else None
-        if not refuse and not response.is_heartbeat:
-            if self.variant == SOTW and kind in (CDS, LDS):
-                self.held[kind].clear()
-            for name, entry in entries.items():
-                self.held[kind][name], self.versions[kind][name] = entry.body, entry.version
-            for name in response.removed:
-                self.held[kind].pop(name, None)
-                self.versions[kind].pop(name, None)
-            self.whole[kind] = response.version
-            if kind == EDS:
-                self.newest = max(self.newest, index)
-        names = [f"g0/{table}" for table in (0, *TABLES)] if kind == EDS else ["g0"] if kind == RDS else []
-        if self.variant == SOTW:
-            session.receive(now, DiscoveryRequest(kind, self.whole[kind], response.nonce, names, error))
-        else:
-            session.receive(now, DeltaDiscoveryRequest(kind, response.nonce, [], [], {}, error))
-
-    def sends_to(self):
+        response = received.response
+        self._send(now, response.resource_type, response.nonce, [], {}, error)
+
+    def _apply(self, received: Received) -> None:
+        response = received.response
+        resource_type = response.resource_type
+        if self.variant is SOTW and resource_type in (CDS, LDS):
+            self.held[resource_type].clear()
+        for name, resource in received.resources.items():
+            self.held[resource_type][name] = resource.body
+            self.versions[resource_type][name] = resource.version
+        for name in response.removed:
+            self.held[resource_type].pop(name, None)
+            self.versions[resource_type].pop(name, None)
+        self.type_versions[resource_type] = response.version
+        if resource_type == EDS:
+            self.newest_index = max(self.newest_index, received.index)
+
+    def sends_to(self) -> set[str]:
+        """The endpoints that it sends requests to."""
         return {row[0] for body in self.held[EDS].values() for row in orjson.loads(body) if row[2]}
 
 
-def settle(proxy, now, times=30):
-    for n in range(times):
-        if not proxy.receive(now + 600 * n):
-            continue
-        proxy.answer(now + 600 * n, False)
-    return now + 600 * times
+def settle(proxy: PlainProxy, now: int, times: int = 30) -> int:
+    """Has a proxy receive and acknowledge responses; the time afterwards."""
+    for step in range(times):
+        if proxy.receive(now + STEP * step):
+            proxy.answer(now + STEP * step, False)
+    return now + STEP * times
--- a/tests/xds_service/test_stream_model.py
+++ b/tests/xds_service/test_stream_model.py
@@ -18,42 +18,44 @@
 
     def __init__(self):
         super().__init__()
-        self.now, self.events, self.next_engine = TICKS_PER_SECOND, [], 6
-        self.instances, self.heard, self.drained, self.all = (
-            [build_control_plane(), build_control_plane()],
-            [0, 0],
-            {},
-            [],
-        )
-        self.tell([entry(f"e{n}") for n in range(6)], True)
-        self.hear(0, 1)
-
-    def tell(self, rows, whole=False):
-        self.events.append((len(self.events) + 1, whole, rows))
+        self.now = TICKS_PER_SECOND
+        self.next_engine = 6
+        self.events = []
+        self.instances = [build_control_plane(), build_control_plane()]
+        self.delivered = [0, 0]  # events, by instance
+        self.drained = {}  # by engine: index of the event
+        self.all_proxies = []
+        self.announce([entry(f"e{n}") for n in range(6)], True)
+        self.deliver(0, 1)
+
+    def announce(self, rows: list[tuple], is_complete: bool = False) -> None:
+        """Adds an event to the list that all instances will be sent."""
+        self.events.append((len(self.events) + 1, is_complete, rows))
         for row in rows:
             if row[2] != EngineState.READY:
                 self.drained.setdefault(row[0], len(self.events))
 
-    def hear(self, which, count):
-        for event in self.events[self.heard[which] : self.heard[which] + count]:
+    def deliver(self, which: int, count: int) -> None:
+        """Hands an instance its next events."""
+        for event in self.events[self.delivered[which] : self.delivered[which] + count]:
             self.instances[which].apply_endpoint_event(self.now, *event)
-            self.heard[which] += 1
+            self.delivered[which] += 1
 
     @rule(target=proxies, variant=st.sampled_from([SOTW, DELTA]), which=st.integers(0, 1))
     def starts(self, variant, which):
-        proxy = PlainProxy(variant, f"p{len(self.all)}")
-        self.all.append(proxy)
+        proxy = PlainProxy(variant, f"p{len(self.all_proxies)}")
+        self.all_proxies.append(proxy)
         proxy.connect(self.instances[which], self.now)
         return proxy
 
     @rule(n=st.integers(0, 30), state=st.sampled_from([EngineState.DRAINING, EngineState.GONE]))
     def leaves(self, n, state):
         names = [f"e{k}" for k in range(self.next_engine)]
-        self.tell([entry(names[n % len(names)], state)])
+        self.announce([entry(names[n % len(names)], state)])
 
     @rule()
     def comes(self):
-        self.tell([entry(f"e{self.next_engine}", started=self.now / 10)])
+        self.announce([entry(f"e{self.next_engine}", started=self.now / 10)])
         self.next_engine += 1
 
     @rule(n=st.integers(0, 30))
@@ -64,7 +66,7 @@
 
     @rule(which=st.integers(0, 1), count=st.integers(1, 3))
     def reaches(self, which, count):
-        self.hear(which, count)
+        self.deliver(which, count)
 
     @rule(time=st.sampled_from([1, 100, 700, TICKS_PER_SECOND, 5 * TICKS_PER_SECOND]))
     def passes(self, time):
@@ -91,7 +93,7 @@
     def restarts(self, which):
         """From its snapshot, with nothing in mind; the list's stream goes on behind it."""
         old = self.instances[which]
-        for proxy in self.all:
+        for proxy in self.all_proxies:
             if proxy.control_plane is old:
                 proxy.disconnect(self.now)
         fresh = build_control_plane()
@@ -100,9 +102,9 @@
 
     @invariant()
     def none_shows_a_drained_engine_again(self):
-        for proxy in self.all:
-            back = {name for name in proxy.sends_to() if self.drained.get(name, 1e9) <= proxy.newest}
-            assert not back, (proxy.name, back, proxy.newest)
+        for proxy in self.all_proxies:
+            back = {name for name in proxy.sends_to() if self.drained.get(name, 1e9) <= proxy.newest_index}
+            assert not back, (proxy.name, back, proxy.newest_index)
 
     @invariant()
     def instances_with_one_list_tell_one_content(self):
@@ -121,15 +123,15 @@
     def teardown(self):
         """In the end everything arrives, and every proxy holds the newest."""
         for which in (0, 1):
-            self.hear(which, len(self.events))
+            self.deliver(which, len(self.events))
         self.now += 60 * TICKS_PER_SECOND
         for one in self.instances:
             one.tick(self.now)
         # Versions count on what a control_plane was told: an event more ends what was refused.
-        self.tell([entry(f"e{self.next_engine}")])
+        self.announce([entry(f"e{self.next_engine}")])
         for which in (0, 1):
-            self.hear(which, 1)
-        for proxy in self.all:
+            self.deliver(which, 1)
+        for proxy in self.all_proxies:
             if proxy.control_plane is None:
                 proxy.connect(self.instances[0], self.now)
             for _ in range(60):
