--- a/tests/fuzz_codecs.py
+++ b/tests/fuzz_codecs.py
@@ -20,7 +20,17 @@
 
 with atheris.instrument_imports(include=["wickvane"]):
     from wickvane.flows import ipfix, netflow9
-    from wickvane.net.tds import login7, packets, prelogin, results, statements, token_encoding, tokens
+    from wickvane.net.tds import (
+        login7,
+        packets,
+        prelogin,
+        results,
+        rpc,
+        sql_batch,
+        token_encoding,
+        tokens,
+        transaction_manager,
+    )
 
 
 def messages(data):
@@ -47,9 +57,9 @@
     token_stream,
     login7.read_login7,
     prelogin.read_prelogin,
-    statements.batch_text,
-    statements.read_transaction,
-    lambda data: statements.statement_of(statements.read_call(data), statements.Prepared()),
+    sql_batch.read_sql_batch,
+    transaction_manager.read_transaction_request,
+    lambda data: rpc.statement_of(rpc.read_rpc_request(data), rpc.PreparedStatements()),
     lambda data: list(ipfix.Reader(32_473).feed(data)),
     lambda data: list(netflow9.Reader9().message(data)),
 )
@@ -76,7 +86,7 @@
         1: stream,
         2: login7.encode_login7("u", "p"),
         3: prelogin.encode_prelogin({0: bytes(6), 1: b"\2"}),
-        4: statements.batch("SELECT 1"),
+        4: sql_batch.encode_sql_batch("SELECT 1"),
         5: b"\x04\0\0\0\x05\0\0\0",
         6: b"\x04\0\0\0\xff\xff\x0a\0\0\0\0\0\xe7\x10\0\x09\x04\xd0\0\x34\2\0a\0",
         7: ipfix.message(1, 0, 0, generation.sets),
--- a/tests/standins/tds_engine.py
+++ b/tests/standins/tds_engine.py
@@ -9,7 +9,7 @@
 from bench_free import STANDING, reset
 
 from wickvane.errors import ProtocolError
-from wickvane.net.tds import encoding, login7, packets, prelogin, statements, token_encoding, tokens
+from wickvane.net.tds import encoding, login7, packets, prelogin, sql_batch, token_encoding, tokens
 
 HEAD = re.compile(r"/\* id=(\w+),queue=([\w-]+),budget=(\d+)([^*]*) \*/ (.*)", re.S)
 COLUMNS = token_encoding.encode_colmetadata([("n", encoding.INT_INFO), ("name", encoding.nvarchar_info(100))])
@@ -101,7 +101,7 @@
                 )
             )
         elif kind == packets.SQL_BATCH:
-            query = Query(self, statements.batch_text(body))
+            query = Query(self, sql_batch.read_sql_batch(body))
             query.reset = bool(status & packets.STATUS_RESET_CONNECTION)
             engine.came.put(("BATCH", query))
             answer = engine.answers(query)
--- a/tests/tds/test_wire_digest.py
+++ b/tests/tds/test_wire_digest.py
@@ -19,9 +19,12 @@
     packets,
     prelogin,
     results,
-    statements,
+    rpc,
+    session_setup,
+    sql_batch,
     token_encoding,
     tokens,
+    transaction_manager,
     type_info,
     values,
 )
@@ -292,11 +295,37 @@
             yield outcome(lambda d=used: prelogin.encryption_of(prelogin.read_prelogin(d)))
 
 
+def encoded_parameters(chance: Random, number: int) -> bytes:
+    """The parameters of a procedure call, mostly as its number has them."""
+    encoded = b""
+    given = [
+        (encoding.INT_INFO, encoding.encode_int(chance.choice((None, 1, 2)))),
+        (encoding.nvarchar_info(), encoding.encode_nvarchar("@a int, @b nvarchar(9)")),
+        (encoding.nvarchar_info(), encoding.encode_nvarchar(f"SELECT @a, '@a', @b {word(chance)}")),
+    ]
+    if number == 10 or chance.random() < 0.2:
+        given = given[:0:-1]
+    elif number in (12, 15):
+        given = given[:1]
+    for _ in range(chance.randrange(4)):
+        info = chance.choice(TYPE_INFOS)
+        given.append((info, encoded_value(chance, info)))
+    for info, value in given:
+        parameter = chance.choice(("", "", "@a", "@b"))
+        flags = chance.choice((0, 0, 0, 0, 1, 2))
+        encoded += token_encoding.encode_b_varchar(parameter) + bytes((flags,)) + info + value
+    return encoded
+
+
 def request_cases(chance: Random) -> Iterator[str]:
-    prepared = statements.Prepared()
+    prepared = rpc.PreparedStatements()
 
     def call(body: bytes) -> tuple:
-        return statements.statement_of(statements.read_call(body), prepared)
+        return tuple(rpc.statement_of(rpc.read_rpc_request(body), prepared))
+
+    def transaction_request(body: bytes) -> tuple:
+        request = transaction_manager.read_transaction_request(body)
+        return int(request.type), request.begins_another
 
     for _ in range(600):
         number = chance.choice((10, 11, 12, 13, 15, 2, 0))
@@ -307,31 +336,16 @@
             else struct.pack("<H", len(name)) + name.encode("utf-16-le")
         )
         body = struct.pack("<I", 4) + procedure + b"\0\0"
-        given = [
-            (encoding.INT_INFO, encoding.encode_int(chance.choice((None, 1, 2)))),
-            (encoding.nvarchar_info(), encoding.encode_nvarchar("@a int, @b nvarchar(9)")),
-            (encoding.nvarchar_info(), encoding.encode_nvarchar(f"SELECT @a, '@a', @b {word(chance)}")),
-        ]
-        if number == 10 or chance.random() < 0.2:
-            given = given[:0:-1]
-        elif number in (12, 15):
-            given = given[:1]
-        for _ in range(chance.randrange(4)):
-            info = chance.choice(TYPE_INFOS)
-            given.append((info, encoded_value(chance, info)))
-        for info, value in given:
-            parameter = chance.choice(("", "", "@a", "@b"))
-            flags = chance.choice((0, 0, 0, 0, 1, 2))
-            body += token_encoding.encode_b_varchar(parameter) + bytes((flags,)) + info + value
+        body += encoded_parameters(chance, number)
         for used in (body, damaged(chance, body)):
             yield outcome(lambda d=used: call(d))
         text = word(chance)
-        batch = statements.batch(text, octets(chance, 8))
+        batch = sql_batch.encode_sql_batch(text, octets(chance, 8))
         transaction = struct.pack("<IH", 4, chance.randrange(4, 11)) + octets(chance, 3)
         yield repr(batch)
         for used in (batch, damaged(chance, batch)):
-            yield outcome(lambda d=used: statements.batch_text(d))
-        yield outcome(lambda d=transaction: statements.read_transaction(d))
+            yield outcome(lambda d=used: sql_batch.read_sql_batch(d))
+        yield outcome(lambda d=transaction: transaction_request(d))
     for text in (
         "",
         "SET NOCOUNT ON",
@@ -341,7 +355,7 @@
         "BEGIN TRAN",
         "SELECT 1",
     ):
-        found = statements.set_up(text, "master")
+        found = session_setup.answer_setup_statement(text, "master")
         yield repr(found and (found.tokens, found.database, found.transaction, found.rows))
 
 
--- a/tests/test_tds.py
+++ b/tests/test_tds.py
@@ -43,8 +43,18 @@
 from wickvane.files import FileError
 from wickvane.net.lines import connection as lines
 from wickvane.net.service import Service
-from wickvane.net.tds import errors, login7, logins, packets, prelogin, token_encoding, tokens
+from wickvane.net.tds import (
+    authentication,
+    errors,
+    login7,
+    packets,
+    prelogin,
+    sql_batch,
+    token_encoding,
+    tokens,
+)
 from wickvane.net.tds.connection import Connection as TdsConnection
+from wickvane.net.tds.listener import load_tls_context
 
 RULE = 'rule application="*" { group "lookup"; tenant "acme"; limit "5s" }'
 
@@ -459,9 +469,7 @@
         self.sock.sendall(packets.encode_packets(kind, body))
 
     def batch(self, text):
-        from wickvane.net.tds import statements
-
-        self.send(packets.SQL_BATCH, statements.batch(text))
+        self.send(packets.SQL_BATCH, sql_batch.encode_sql_batch(text))
 
     def message(self):
         while (found := self.assembler.next_message()) is None:
@@ -677,27 +685,30 @@
 
 def test_logins_are_checked_against_salted_hashes_and_storms_are_turned_away(tmp_path):
     path = tmp_path / "logins"
-    path.write_text(f"ann:{logins.made('secret')}\n# a note\nbob:{logins.made('other')}\n")
+    path.write_text(
+        f"ann:{authentication.hash_password('secret')}\n# a note\n"
+        f"bob:{authentication.hash_password('other')}\n"
+    )
     dispatcher = Dispatcher(TdsEngine(), more=f'logins "{path}"')
     with dispatcher.connect(user="ann", password="secret") as client:
         assert ask(client, "SELECT 1 FROM sales_1.t")
     for user, password in (("ann", "other"), ("nobody", "secret"), ("ann", "")):
         assert number(partial(dispatcher.connect, user=user, password=password)) == errors.LOGIN_FAILED
-    book = logins.Logins(logins.read(str(path)))
+    book = authentication.Authenticator(authentication.read_password_file(str(path)))
     answers = []
     threads = [Thread(target=lambda n=n: answers.append(book.check("ann", f"wrong{n}"))) for n in range(40)]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    assert set(answers) == {logins.WRONG, logins.BUSY}
-    assert book.check("ann", "secret") == logins.GOOD
+    assert set(answers) == {authentication.LoginCheck.REJECTED, authentication.LoginCheck.BUSY}
+    assert book.check("ann", "secret") == authentication.LoginCheck.ACCEPTED
     began = time.perf_counter()
-    assert all(book.check("ann", "secret") == logins.GOOD for _ in range(100))
+    assert all(book.check("ann", "secret") == authentication.LoginCheck.ACCEPTED for _ in range(100))
     assert time.perf_counter() - began < 0.5  # known again without the dear check
     path.write_text("ann\n")
     with pytest.raises(FileError, match="line 1"):
-        logins.read(str(path))
+        authentication.read_password_file(str(path))
 
 
 @pytest.mark.parametrize("mode", ["on", "required"])
@@ -717,8 +728,7 @@
         assert ask(client, "SELECT 1 FROM sales_1.t") == [(1, "a")]
     issue(new)
     part = dispatcher.parts["tds"]
-    door = dispatcher.service.parts[0].door
-    door.change(part, part.users, door.made(part))
+    dispatcher.service.parts[0].listener.update(part, load_tls_context(part))
     with dispatcher.connect(**secure) as client:
         assert ask(client, "SELECT 1 FROM sales_1.t") == [(1, "a")]
     if mode == "required":
@@ -1021,7 +1031,7 @@
     configuration.write_text(json.dumps(dispatcher.found))
     listen = f'listen "127.0.0.1:{dispatcher.port}"\nengines "mssql" {{ user "w" }}\n'
     users = tmp_path / "logins"
-    users.write_text(f"ann:{logins.made('secret')}\n")
+    users.write_text(f"ann:{authentication.hash_password('secret')}\n")
     group = 'rule application="*" { group "change"; limit "3s" }'
     kdl.write_text(f'tds {{ {listen} {group}\nlogins "{users}" }}')
     assert dispatcher.service.reload(str(configuration), str(kdl))
--- a/tests/test_tds_codec.py
+++ b/tests/test_tds_codec.py
@@ -19,9 +19,12 @@
     packets,
     prelogin,
     results,
-    statements,
+    rpc,
+    session_setup,
+    sql_batch,
     token_encoding,
     tokens,
+    transaction_manager,
     type_info,
     values,
 )
@@ -200,7 +203,7 @@
     body = struct.pack("<I", 4) + struct.pack("<HHH", 0xFFFF, number, 0)
     for name, info, value in parameters:
         body += token_encoding.encode_b_varchar(name) + b"\0" + info + value
-    return statements.read_call(body)
+    return rpc.read_rpc_request(body)
 
 
 def text(value):
@@ -212,7 +215,7 @@
 
 def test_a_call_with_parameters_becomes_one_statement_and_only_parameters_are_replaced():
     asked = call(
-        statements.EXECUTESQL,
+        rpc.ProcedureId.EXECUTESQL,
         ("", *text(UNTOUCHED + "x=@a AND y=@B AND z=@ab AND @@rowcount=@c")),
         ("", *text("@a nvarchar(10), @b int, @ab datetime, @c decimal(9,2)")),
         ("@a", *text("it's")),
@@ -220,7 +223,7 @@
         ("", b"\x6f\x08", RAW["datetime"][1]),
         ("", RAW["decimal"][0], RAW["decimal"][1]),
     )
-    statement, told = statements.statement_of(asked, statements.Prepared())
+    statement, told = rpc.statement_of(asked, rpc.PreparedStatements())
     assert statement == (
         UNTOUCHED + "x=N'it''s' AND y=-4 AND z='1900-01-02T00:00:01.000' AND @@rowcount=-123.45"
     )
@@ -228,27 +231,27 @@
 
 
 def test_prepared_statements_are_held_and_bounded():
-    prepared = statements.Prepared()
+    prepared = rpc.PreparedStatements()
     asked = call(
-        statements.PREPEXEC,
+        rpc.ProcedureId.PREPEXEC,
         ("", encoding.INT_INFO, encoding.encode_int(None)),
         ("", *text("@p int")),
         ("", *text("SELECT @p")),
         ("@p", encoding.INT_INFO, encoding.encode_int(3)),
     )
-    statement, told = statements.statement_of(asked, prepared)
+    statement, told = rpc.statement_of(asked, prepared)
     assert statement == "SELECT 3" and told[0] == tokens.RETURNVALUE
     again = call(
-        statements.EXECUTE,
+        rpc.ProcedureId.EXECUTE,
         ("", encoding.INT_INFO, encoding.encode_int(1)),
         ("", encoding.INT_INFO, encoding.encode_int(9)),
     )
-    assert statements.statement_of(again, prepared)[0] == "SELECT 9"
-    for _ in range(statements.HANDLES_MOST):
+    assert rpc.statement_of(again, prepared)[0] == "SELECT 9"
+    for _ in range(rpc.MAX_PREPARED_STATEMENTS):
         prepared.add("x", "")
-    assert len(prepared.held) == statements.HANDLES_MOST
+    assert len(prepared.by_handle) == rpc.MAX_PREPARED_STATEMENTS
     with pytest.raises(ProtocolError, match="handle"):
-        statements.statement_of(again, prepared)
+        rpc.statement_of(again, prepared)
 
 
 @pytest.mark.parametrize(
@@ -272,7 +275,7 @@
     ],
 )
 def test_only_set_up_statements_that_touch_nothing_are_answered_here(said, answered):
-    assert (statements.set_up(said, "master") is not None) == answered
+    assert (session_setup.answer_setup_statement(said, "master") is not None) == answered
 
 
 def test_pages_become_rows_of_either_width():
@@ -294,7 +297,7 @@
     stream()[0],
     login7.encode_login7("u", "p"),
     prelogin.encode_prelogin({0: bytes(6), 1: b"\2"}),
-    statements.batch("SELECT 1"),
+    sql_batch.encode_sql_batch("SELECT 1"),
     packets.encode_packets(1, b"abc" * 100, 512),
 ]
 
@@ -317,9 +320,9 @@
         rows,
         login7.read_login7,
         prelogin.read_prelogin,
-        statements.batch_text,
-        lambda d: statements.statement_of(statements.read_call(d), statements.Prepared()),
-        statements.read_transaction,
+        sql_batch.read_sql_batch,
+        lambda d: rpc.statement_of(rpc.read_rpc_request(d), rpc.PreparedStatements()),
+        transaction_manager.read_transaction_request,
     ):
         try:
             read(data)
--- a/wickvane/net/tds/connection.py
+++ b/wickvane/net/tds/connection.py
@@ -7,7 +7,7 @@
     connection refused or timed out, login rejected, routed elsewhere    no connection   proven
     given up or lost before the first packet was sent                    not sent        proven
     lost before the last byte of the batch was sent                      no connection   proven
-    ERROR of a number in errors.TURNED_AWAY                              rejected        proven
+    ERROR of a number in errors.REJECTED_BEFORE_RUNNING                  rejected        proven
     any other ERROR, whatever its severity                               error           no
     reset, closed, malformed or no end after all of it was sent          reset           no
     attention acknowledged                                               cancelled       no
@@ -21,9 +21,10 @@
 from wickvane.events import Ending
 from wickvane.net.lines import connection as lines
 from wickvane.net.queues import ResultStream
-from wickvane.net.tds import engine_login, errors, packets, statements, tokens
+from wickvane.net.tds import engine_login, errors, packets, tokens
 from wickvane.net.tds.batch_answer import BatchAnswer, Chunk, read_end_status
 from wickvane.net.tds.results import GatheredTokens
+from wickvane.net.tds.sql_batch import encode_sql_batch
 
 STREAM_BUFFER_SIZE = 256 << 10  # octets between the engine's thread and the client's
 RECEIVE_SIZE = 32_768  # octets
@@ -110,7 +111,7 @@
         self._change_state(BatchEvent.BATCH_ENCODED)
         # Temporary tables and options that the last query left in the engine's session must not be seen.
         status = packets.STATUS_RESET_CONNECTION if self.asked else 0
-        return packets.encode_packets(packets.SQL_BATCH, statements.batch(text), self.packet_size, 0, status)
+        return packets.encode_packets(packets.SQL_BATCH, encode_sql_batch(text), self.packet_size, 0, status)
 
     def attention(self, attempt, ending: Ending) -> bytes | None:
         """The ATTENTION that cancels an attempt; None where it is not running or is cancelled already."""
--- a/wickvane/parts.py
+++ b/wickvane/parts.py
@@ -13,7 +13,7 @@
 # node: the module whose read() understands it, in the order in which a dispatcher puts them to work
 PARTS = {
     "flows": "wickvane.flows.part",
-    "tds": "wickvane.net.tds.part",
+    "tds": "wickvane.net.tds.extension",
     "storms": "wickvane.net.storms",
     "control": "wickvane.xds.part",
     "members": "wickvane.endpoints.extension",
--- a/wickvane/rehearsal/tds.py
+++ b/wickvane/rehearsal/tds.py
@@ -7,7 +7,7 @@
 
 from wickvane.errors import ProtocolError
 from wickvane.events import Ending
-from wickvane.net.tds import encoding, errors, login7, packets, prelogin, statements, token_encoding, tokens
+from wickvane.net.tds import encoding, errors, login7, packets, prelogin, sql_batch, token_encoding, tokens
 from wickvane.rehearsal import connection, load
 
 MESSAGE_MOST = 1 << 18
@@ -51,7 +51,7 @@
             self.open = {}
             self.tokens(token_encoding.encode_done(tokens.DONE_ATTN))
         elif kind == packets.SQL_BATCH and self.logged_in:
-            found = HEAD.match(statements.batch_text(body))
+            found = HEAD.match(sql_batch.read_sql_batch(body))
             if found is None:
                 return self.fault(None)
             words = b"ASK", found[1].encode(), found[2].encode()
@@ -129,7 +129,7 @@
 
     def answer_to(self, text):
         try:
-            body = self.exchange(packets.encode_packets(packets.SQL_BATCH, statements.batch(text)))
+            body = self.exchange(packets.encode_packets(packets.SQL_BATCH, sql_batch.encode_sql_batch(text)))
             for token, _, said in tokens.TokenStreamReader().feed(body):
                 if token == tokens.ERROR:
                     return ANSWERS.get(said[0], f"error {said[0]}")
