--- a/benchmarks/tds.py
+++ b/benchmarks/tds.py
@@ -21,7 +21,7 @@
 from bench_free import Client, Engine, Events, entry, event, found, free_port, rows, statement  # noqa: E402
 from hdrh.histogram import HdrHistogram  # noqa: E402
 from standins.tds_engine import COLUMNS, TdsEngine, result, row  # noqa: E402
-from test_tds import Raw, settled  # noqa: E402
+from tds.helpers import RawClient, tds_settings  # noqa: E402
 
 from benchmarks import conclude  # noqa: E402
 from benchmarks.flow_export import Dispatcher  # noqa: E402
@@ -33,7 +33,7 @@
 def started(folder, engines, more=""):
     port = free_port()
     configuration = found([], Events())
-    configuration["settings"] = settled()
+    configuration["settings"] = tds_settings()
     configuration["settings"]["obligations"]["budget_window_ms"] = 5000.0
     entries = [
         entry(f"e{n}", engine.address) | {"type": "mssql" if isinstance(engine, TdsEngine) else "old"}
@@ -62,7 +62,7 @@
     """So many queries at set moments; the histogram of their latencies in microseconds."""
     histogram, opened = HdrHistogram(1, 60_000_000, 3), []
     for _ in range(clients):
-        opened.append(Raw(dispatcher.tds_port) if front == "tds" else Client(dispatcher))
+        opened.append(RawClient(dispatcher.tds_port) if front == "tds" else Client(dispatcher))
     since = time.monotonic() + 0.2
 
     def one(number, client):
@@ -150,10 +150,10 @@
     with tempfile.TemporaryDirectory() as folder:
         dispatcher = started(folder, [TdsEngine()])
         for _ in range(2):
-            Raw(dispatcher.tds_port)
+            RawClient(dispatcher.tds_port)
         time.sleep(0.3)
         before = resident(dispatcher)
-        held = [Raw(dispatcher.tds_port) for _ in range(100)]
+        held = [RawClient(dispatcher.tds_port) for _ in range(100)]
         time.sleep(0.5)
         kilobytes = (resident(dispatcher) - before) / len(held)
         dispatcher.stop()
@@ -178,7 +178,7 @@
         dispatcher = started(folder, [TdsEngine(answer)])
         time.sleep(0.3)
         before, began, size = dispatcher.memory(), time.monotonic(), 0
-        client = Raw(dispatcher.tds_port)
+        client = RawClient(dispatcher.tds_port)
         client.batch(statement(n=1, limit=60_000))
         while True:
             if (found_ := client.assembler.next_packet()) is None:
--- a/tests/scheduling/test_retry_after.py
+++ b/tests/scheduling/test_retry_after.py
@@ -7,9 +7,9 @@
 import psycopg
 import pytest
 from bench_free import Engine, statement
+from standins.tds_engine import TdsEngine
+from tds.helpers import Dispatcher as TdsDispatcher
 from test_rehearsal import SMALL
-from test_tds import Dispatcher as TdsDispatcher
-from test_tds import TdsEngine
 
 from wickvane.events import AttemptEnded, Ending, EngineState, EngineUpdated, QueryArrived
 from wickvane.net.tds import errors
--- a/tests/test_client_policy.py
+++ b/tests/test_client_policy.py
@@ -11,8 +11,8 @@
 from bench_free import Engine, free_port, hit, reset
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from tds.helpers import Dispatcher
 from test_rehearsal import ROOT
-from test_tds import Dispatcher
 from wickvane_client import AsyncClient, Client, fields, policy
 from wickvane_client.policy import (
     DEFERRED,
