--- a/tests/scheduling/generated_settings.py
+++ b/tests/scheduling/generated_settings.py
@@ -32,9 +32,6 @@
 def deployment(settings: Settings) -> Deployment:
     """The deployment of a day."""
     shares = [1.0 + 0.5 * tenant for tenant in range(settings.tenants)]
-    usual = dict(
-        tenants=[(share / sum(shares), 10.0) for share in shares],
-        cores=list(CORES),
-    )
     groups = [group(**changes) for changes in settings.groups]
-    return site(groups, **usual | settings.deployment)
+    made = site(groups, **dict(cores=list(CORES)) | settings.deployment)
+    return made._replace(tenants=[(share / sum(shares), 10.0) for share in shares])
