--- a/wickvane/net/tds/batch_answer.py
+++ b/wickvane/net/tds/batch_answer.py
@@ -6,14 +6,13 @@
 from wickvane.errors import ProtocolError
 from wickvane.net.tds import errors, tokens
 from wickvane.net.tds.results import GatheredTokens
-from wickvane.net.tds.tokens import Done, ServerMessage, Token
+from wickvane.net.tds.tokens import DONE_TOKENS, Done, ServerMessage, Token
 
 MAX_GATHERED_SIZE = 48_000  # octets; a longer result is streamed
 DONE_SIZE = 13  # octets of a DONE, DONEPROC or DONEINPROC
 LOAD_REPORT = re.compile(r"work=(\d{1,9}(?:\.\d{1,6})?) memory=(\d{1,9}(?:\.\d{1,6})?)\Z")
 WORK_UNITS = 10  # units of an attempt's work per unit of a load report
-# What is part of a result; of the DONE tokens, those that do not end the answer.
-PASSED_ON = frozenset((tokens.COLMETADATA, tokens.ROW, tokens.NBCROW, tokens.ORDER, *tokens.DONE_TOKENS))
+RESULT_TOKENS = frozenset((tokens.COLMETADATA, tokens.ROW, tokens.NBCROW, tokens.ORDER))
 
 
 class LoadReport(NamedTuple):
@@ -56,13 +55,17 @@
         for token in self._reader.feed(body):
             if end_status is not None and not attention_sent:
                 raise ProtocolError("tokens behind the end of an answer")
-            if token.type in tokens.DONE_TOKENS and _ends_answer(token):
-                end_status = self._status_at_end(token.content, end_status)
-            elif token.type in PASSED_ON:
+            token_type = token.type
+            if token_type in RESULT_TOKENS:
                 result_tokens.append(token)
                 size += len(token.raw)
-            else:
+            elif token_type not in DONE_TOKENS:
                 self._read_message(token)
+            elif _ends_answer(token):
+                end_status = self._status_at_end(token.content, end_status)
+            else:
+                result_tokens.append(token)
+                size += len(token.raw)
         self.size += size
         return Chunk(result_tokens, size, end_status)
 
--- a/wickvane/net/tds/tokens.py
+++ b/wickvane/net/tds/tokens.py
@@ -7,7 +7,7 @@
 from wickvane.errors import ProtocolError
 from wickvane.net.tds.cursor import Cursor, IncompleteDataError
 from wickvane.net.tds.type_info import IMAGE, NTEXT, TEXT, TypeInfo, read_type_info
-from wickvane.net.tds.values import read_value, skip_value
+from wickvane.net.tds.values import read_value, skipper_of
 
 # Token types
 OFFSET = 0x78
@@ -58,6 +58,7 @@
 NO_METADATA = 0xFFFF  # a COLMETADATA's count of columns where it has none
 FEATURE_TERMINATOR = 0xFF
 OFFSET_SIZE = 4
+_new_tuple = tuple.__new__
 RETURN_VALUE_FLAGS_SIZE = 7  # status, user type and flags
 
 
@@ -125,6 +126,7 @@
     def __init__(self) -> None:
         self.buffer = bytearray()
         self.columns: list[Column] | None = None
+        self._skippers: list[tuple[Callable[[Cursor, TypeInfo], object], TypeInfo]] = []
 
     def feed(self, data: bytes) -> Iterator[Token]:
         """Yields the tokens that are complete with this data."""
@@ -147,7 +149,8 @@
                     return
                 begin = at
                 at = cursor.at
-                yield Token(token_type, bytes(buffer[begin:at]), content)
+                # Without the NamedTuple's own constructor, which is slow for a loop over many rows.
+                yield _new_tuple(Token, (token_type, bytes(buffer[begin:at]), content))
         finally:
             del buffer[:at]
 
@@ -158,21 +161,22 @@
     def _read_row(self, cursor: Cursor) -> None:
         if self.columns is None:
             raise ProtocolError("a row ahead of its columns")
-        for column in self.columns:
-            skip_value(cursor, column.info)
+        for skip, info in self._skippers:
+            skip(cursor, info)
 
     def _read_nbcrow(self, cursor: Cursor) -> None:
         if self.columns is None:
             raise ProtocolError("a row ahead of its columns")
         null_bitmap = cursor.take((len(self.columns) + 7) // 8)
-        for n, column in enumerate(self.columns):
+        for n, (skip, info) in enumerate(self._skippers):
             if not null_bitmap[n >> 3] >> (n & 7) & 1:
-                skip_value(cursor, column.info)
+                skip(cursor, info)
 
     def _read_colmetadata(self, cursor: Cursor) -> list[Column] | None:
         columns = _read_columns(cursor)
         if columns is not None:
             self.columns = columns
+            self._skippers = [(skipper_of(column.info), column.info) for column in columns]
         return columns
 
     def _read_done(self, cursor: Cursor) -> Done:
--- a/wickvane/net/tds/values.py
+++ b/wickvane/net/tds/values.py
@@ -47,7 +47,12 @@
 
 def skip_value(cursor: Cursor, info: TypeInfo) -> None:
     """Passes over a value; the same errors as read_value()."""
-    _SKIPPERS[info.type](cursor, info)
+    skipper_of(info)(cursor, info)
+
+
+def skipper_of(info: TypeInfo) -> Callable[[Cursor, TypeInfo], object]:
+    """The function that passes over values of a type, to be looked up once for many rows."""
+    return _SKIPPERS[info.type]
 
 
 def _read_fixed(cursor: Cursor, info: TypeInfo) -> bytes | None:
