--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -103,7 +103,7 @@
         path, began = os.path.join(folder, "m.json"), memory()
         put(path, text_of(rows))
         made = service(path, os.path.join(folder, "state"))
-        scheduler, index = made.decider.scheduler, made.registry.engines.of
+        scheduler, index = made.decider.scheduler, made.registry.engines.index_of
         until(lambda: len(index) >= count)
         took, cpu, told = [], [], []
         chance = Random(1)
--- a/tests/config_log/test_policy_document.py
+++ b/tests/config_log/test_policy_document.py
@@ -63,7 +63,7 @@
     ],
 )
 def test_a_document_that_is_invalid_says_what_was_expected(text, words):
-    with pytest.raises(parts.Unusable) as error:
+    with pytest.raises(parts.InvalidDocumentError) as error:
         parsed(text)
     assert words in str(error.value)
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
-"""Generated inputs, and so the verdict, are the same on each run; and the program as a process of its own.
+"""Makes generated inputs, and so the results, the same on each run; starts dispatchers as processes.
 
---hypothesis-profile=search draws new ones."""
+--hypothesis-profile=search generates new inputs on each run."""
 
 import json
 import os
@@ -19,15 +19,15 @@
 
 @pytest.fixture
 def started(tmp_path):
-    """Starts `wickvane serve` with a configuration changed as asked; descriptors: as many as it may hold."""
-    ended = []
+    """Starts `wickvane serve` with a changed configuration; descriptors: the limit of open descriptors."""
+    processes = []
 
     def start(*engines, descriptors=None, **changes):
-        told = found(engines, Events()) | changes
-        path = tmp_path / f"config-{len(ended)}.json"
-        path.write_text(json.dumps(told))
+        configuration = found(engines, Events()) | changes
+        path = tmp_path / f"config-{len(processes)}.json"
+        path.write_text(json.dumps(configuration))
 
-        def bounded():
+        def limit_descriptors():
             resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
 
         process = subprocess.Popen(
@@ -35,13 +35,13 @@
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
             env=os.environ | {"LB_CONFIG": str(path)},
-            preexec_fn=bounded if descriptors else None,
+            preexec_fn=limit_descriptors if descriptors else None,
         )
-        process.found, process.path = told, path
-        ended.append(process)
+        process.found, process.path = configuration, path
+        processes.append(process)
         return process
 
     yield start
-    for process in ended:
+    for process in processes:
         process.kill()
         process.communicate()
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -391,7 +391,7 @@
     ],
 )
 def test_what_a_document_cannot_say(text, words):
-    with pytest.raises(parts.Unusable) as wrong:
+    with pytest.raises(parts.InvalidDocumentError) as wrong:
         parts.read_text(text)
     assert words in str(wrong.value)
 
--- a/tests/quotas/test_decision_observer.py
+++ b/tests/quotas/test_decision_observer.py
@@ -57,7 +57,7 @@
 def accept(decider: Decider, n: int) -> PendingQuery:
     """A query that the decider takes in and sends to the only engine."""
     pending = PendingQuery(NOW, **READER.read(statement(n=n).encode()))
-    decider.exchange.take(pending)
+    decider.exchange.submit(pending)
     decider.round(decider.exchange.inbox.take(0))
     return pending
 
@@ -96,8 +96,8 @@
     group = decider.registry.group_names[pending.resource_group]
     tenant = decider.observer.tenant_names[pending.tenant]
     snapshot(decider)
-    decider.reject(pending.q, 0)
-    decider.fail(pending.q)
+    decider.reject(pending.index, 0)
+    decider.fail(pending.index)
     assert dict(snapshot(decider).increments) == {
         f"deferred/{group}/{tenant}": 1,
         f"killed/{group}/{tenant}": 1,
@@ -115,7 +115,7 @@
 
 def test_news_of_others_become_events_as_old_as_they_are(decider):
     observer = decider.observer
-    engine = decider.registry.engines.of["e"]
+    engine = decider.registry.engines.index_of["e"]
     in_flight = InFlightReport({"e": 5, "unlisted": 7}, 30, NOW - 20)
     assert list(observer.events_of(in_flight, NOW)) == [InFlightElsewhere(engine, 5, 50)]
     verdicts = VerdictsReport(
--- a/tests/scheduling/test_connection_pacing.py
+++ b/tests/scheduling/test_connection_pacing.py
@@ -112,7 +112,7 @@
     return next(
         (
             ticket
-            for ticket in list(served.service.decider.registry.queries.of)
+            for ticket in list(served.service.decider.registry.queries.index_of)
             if ticket.verb == b"load" or ticket.verb == "load"
         ),
         None,
--- a/tests/scheduling/test_retry_storm.py
+++ b/tests/scheduling/test_retry_storm.py
@@ -258,7 +258,7 @@
     )
     said = subprocess.run([sys.executable, "-c", code], capture_output=True, cwd=ROOT, check=True).stdout
     assert said == b"[]\n"
-    with pytest.raises(parts.Unusable, match='storms > remember "1ms": expected'):
+    with pytest.raises(parts.InvalidDocumentError, match='storms > remember "1ms": expected'):
         parts.read_text('storms { remember "1ms" }')
     assert parts.read_text("storms") == {"storms": storms.Part(None)}
     assert parts.read(os.path.join(ROOT, "deploy", "storms.kdl"))["storms"].remember == 600_000
--- a/tests/scheduling/test_storm_damping.py
+++ b/tests/scheduling/test_storm_damping.py
@@ -48,13 +48,13 @@
         asks(1)
         assert not notices
         served.service.decider.storm.state = StormState.STORM  # else the next look says that there is none
-        served.service.exchange.storm = 4
+        served.service.exchange.storm_number = 4
         asks(2)
         asks(3)
         assert notices == [("01000", "retry-storm=4")]
-        served.service.exchange.storm = 5
+        served.service.exchange.storm_number = 5
         asks(4)
-        served.service.exchange.storm = 0
+        served.service.exchange.storm_number = 0
         asks(5)
         assert len(notices) == 2
     served.end()
@@ -63,7 +63,7 @@
 def test_a_tds_driver_reads_it_as_an_info_message_ahead_of_its_result():
     text = SMALL.replace("cores=4", 'speaks="tds" cores=4').format(more="")
     served = Served(text, "tds")
-    served.service.exchange.storm = 2
+    served.service.exchange.storm_number = 2
     client = tds.Client(served.address)
     found = []
     client.exchange, plain = lambda message: found.append(plain(message)) or found[-1], client.exchange
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -74,7 +74,7 @@
 def test_what_is_wrong_with_an_experiment_is_named(tmp_path, old, new, words):
     text = PLAN.format(seeds=2)
     assert old in text
-    with pytest.raises(parts.Unusable, match=words):
+    with pytest.raises(parts.InvalidDocumentError, match=words):
         cells.read(planned(tmp_path, text.replace(old, new)))
 
 
--- a/tests/test_import_direction.py
+++ b/tests/test_import_direction.py
@@ -1,4 +1,4 @@
-"""Imports between packages go one way, as docs/architecture.md draws them."""
+"""Imports between packages go in one direction only, as docs/architecture.md shows."""
 
 import ast
 from pathlib import Path
@@ -31,8 +31,8 @@
 
 
 def imported_packages(path: Path) -> set[str]:
-    """Packages of this project that a module imports, also within functions."""
-    found = set()
+    """Packages of this project that a module imports, including imports within functions."""
+    packages = set()
     for node in ast.walk(ast.parse(path.read_text())):
         names = []
         if isinstance(node, ast.ImportFrom) and node.module == "wickvane":
@@ -41,8 +41,8 @@
             names = [node.module]
         elif isinstance(node, ast.Import):
             names = [alias.name for alias in node.names]
-        found |= {name.split(".")[1] for name in names if name.startswith("wickvane.")}
-    return found - {"__version__"}
+        packages |= {name.split(".")[1] for name in names if name.startswith("wickvane.")}
+    return packages - {"__version__"}
 
 
 @pytest.mark.parametrize("path", modules(), ids=lambda path: str(path.relative_to(ROOT)))
@@ -53,7 +53,7 @@
 
 
 def test_decisions_import_no_io():
-    """The decision modules reach sockets, files, threads and clocks through nothing that they import."""
+    """The decision modules import nothing that gives access to sockets, files, threads or clocks."""
     forbidden = {"socket", "select", "selectors", "threading", "time", "os", "subprocess", "asyncio"}
     for path in (ROOT / "wickvane" / "scheduling").glob("*.py"):
         tree = ast.parse(path.read_text())
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""The parts document: errors that name node, value and what was expected; taken whole or not at all."""
+"""Extensions documents: errors name node, value and what was expected; a reload applies all or nothing."""
 
 import glob
 import json
@@ -22,12 +22,12 @@
 
 
 @pytest.mark.parametrize("path", sorted(glob.glob(os.path.join(ROOT, "deploy", "*.kdl"))))
-def test_each_example_can_be_used(path):
-    # A rehearsal's script is a document of its own.
+def test_each_example_document_is_valid(path):
+    # A rehearsal script is not an extensions document.
     assert scripts.read(path) if path.endswith("rehearsal.kdl") else parts.read(path)
 
 
-def test_values_become_figures_with_their_units_settled():
+def test_values_are_converted_to_base_units():
     part = parts.read_text("""flows {
         active-timeout "1.5s"
         spool "/tmp/x" size="2MiB" segment="64KiB"
@@ -41,9 +41,9 @@
 @pytest.mark.parametrize(
     "text, words",
     [
-        ("flows {", ["no KDL 2"]),
+        ("flows {", ["not a KDL 2 document"]),
         ("nets", ["line 1: nets: expected flows"]),
-        (GOOD + "\n" + GOOD, ["flows", "once only"]),
+        (GOOD + "\n" + GOOD, ["flows", "at most one"]),
         ("flows", ["flows: expected a node collector"]),
         ('flows 5 { collector "a" { address "127.0.0.1:1" } }', ["flows: expected no value of its own"]),
         ('flows x=1 { collector "a" { address "127.0.0.1:1" } }', ["instead of the property x"]),
@@ -88,10 +88,10 @@
         ('flows { when-full "none"; collector "a" { address "127.0.0.1:1" } }', ['"oldest" or "newest"']),
     ],
 )
-def test_what_cannot_be_used_is_named_with_what_was_expected(text, words):
-    with pytest.raises(parts.Unusable) as wrong:
+def test_an_error_names_the_node_and_what_was_expected(text, words):
+    with pytest.raises(parts.InvalidDocumentError) as caught:
         parts.read_text(text)
-    assert all(word in str(wrong.value) for word in words), str(wrong.value)
+    assert all(word in str(caught.value) for word in words), str(caught.value)
 
 
 @settings(max_examples=200, deadline=None)
@@ -99,14 +99,16 @@
     st.one_of(
         st.text(max_size=200),
         st.builds(
-            lambda at, what: GOOD[:at] + what + GOOD[at:], st.integers(0, len(GOOD)), st.text(max_size=12)
+            lambda position, inserted: GOOD[:position] + inserted + GOOD[position:],
+            st.integers(0, len(GOOD)),
+            st.text(max_size=12),
         ),
     )
 )
-def test_no_text_raises_anything_but_the_stated_error(text):
+def test_any_text_raises_only_invalid_document_errors(text):
     try:
         parts.read_text(text)
-    except parts.Unusable:
+    except parts.InvalidDocumentError:
         pass
 
 
@@ -120,7 +122,7 @@
     )
 
 
-def test_check_tells_without_starting_and_serve_ends_with_2(tmp_path):
+def test_check_and_serve_exit_with_2_for_an_invalid_document(tmp_path):
     good, bad, configuration = tmp_path / "good.kdl", tmp_path / "bad.kdl", tmp_path / "config.json"
     good.write_text(GOOD)
     bad.write_text("flows {\n table 1\n}")
@@ -128,13 +130,17 @@
     assert run("check", f"--parts={good}").returncode == 0
     assert run("check", f"--config={configuration}", WICKVANE_PARTS=str(good)).returncode == 0
     for words in (["check"], ["serve", f"--config={configuration}"]):
-        told = run(*words, f"--parts={bad}")
-        assert told.returncode == 2 and "flows > table 1" in told.stderr or "a node collector" in told.stderr
-        assert str(bad) in told.stderr and "Traceback" not in told.stderr
+        result = run(*words, f"--parts={bad}")
+        assert (
+            result.returncode == 2
+            and "flows > table 1" in result.stderr
+            or "a node collector" in result.stderr
+        )
+        assert str(bad) in result.stderr and "Traceback" not in result.stderr
     assert run("check", "--parts=/nowhere.kdl").returncode == 2
 
 
-def test_without_a_document_nothing_of_it_is_imported(tmp_path):
+def test_extension_modules_are_not_imported_without_a_document(tmp_path):
     configuration = tmp_path / "config.json"
     configuration.write_text(json.dumps(found([Engine()], Events())))
     code = """
@@ -145,21 +151,21 @@
     "ckdl", "msgspec", "wickvane.flows", "wickvane.parts", "wickvane.cluster", "wickvane.endpoints", "ssl"))])
 """
     words = [sys.executable, "-c", code, str(configuration)]
-    told = subprocess.run(words, cwd=ROOT, capture_output=True)
-    assert told.stdout == b"[]\n", told
+    result = subprocess.run(words, cwd=ROOT, capture_output=True)
+    assert result.stdout == b"[]\n", result
 
 
-def test_sighup_takes_a_changed_document_whole_or_not_at_all(tmp_path):
-    one, two = Collector(), Collector()
+def test_sighup_applies_a_changed_document_completely_or_not_at_all(tmp_path):
+    first, second = Collector(), Collector()
     configuration, document = tmp_path / "config.json", tmp_path / "parts.kdl"
-    settled = found([Engine()], Events())
-    configuration.write_text(json.dumps(settled))
+    original = found([Engine()], Events())
+    configuration.write_text(json.dumps(original))
 
     def export(collector, more=""):
         named = f'collector "a" {{ address "{collector.address}" }}'
         document.write_text(f'flows {{ statistics-every "100ms"\n{more}\n{named} }}')
 
-    export(one)
+    export(first)
     with open(tmp_path / "log", "wb") as log:
         process = subprocess.Popen(
             [sys.executable, "-m", "wickvane", "serve", f"--config={configuration}", f"--parts={document}"],
@@ -179,20 +185,20 @@
 
     try:
         logged("ready")
-        one.until(lambda c: c.statistics)
-        # Half of it is good, and another coordinator is named beside it: neither acts.
-        export(two, "table 1")
-        configuration.write_text(json.dumps(settled | {"coordinator": "127.0.0.1:1"}))
+        first.until(lambda c: c.statistics)
+        # The document is partly valid, and the configuration names another coordinator: neither takes effect.
+        export(second, "table 1")
+        configuration.write_text(json.dumps(original | {"coordinator": "127.0.0.1:1"}))
         process.send_signal(signal.SIGHUP)
         assert "flows > table 1" in logged("configuration-unusable")[0]["why"]
-        told = one.collected.statistics[1, "a"]["exportedMessageTotalCount"]
-        one.until(lambda c: c.statistics[1, "a"]["exportedMessageTotalCount"] > told)
-        assert two.connected == 0
-        export(two)
-        configuration.write_text(json.dumps(settled))
+        exported = first.collected.statistics[1, "a"]["exportedMessageTotalCount"]
+        first.until(lambda c: c.statistics[1, "a"]["exportedMessageTotalCount"] > exported)
+        assert second.connected == 0
+        export(second)
+        configuration.write_text(json.dumps(original))
         process.send_signal(signal.SIGHUP)
         logged("configuration-taken")
-        two.until(lambda c: c.statistics)
+        second.until(lambda c: c.statistics)
         document.write_text("")
         process.send_signal(signal.SIGHUP)
         logged("configuration-unusable", words="restart")
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -217,7 +217,7 @@
 
 def take(decider, n, age, **fields):
     ticket = PendingQuery(Clock().now() - age, **READER.read(statement(n=n, **fields).encode()))
-    decider.exchange.take(ticket)
+    decider.exchange.submit(ticket)
     return ticket
 
 
@@ -229,15 +229,15 @@
     tickets = [*first, take(decider, 2, 300, verb="load", item="k", unique="u")]
     decider.round(decider.gather(woken))
     # Where reading takes 70 ms, what came 1 ms ago is not let in yet: one before it may be unread still.
-    assert [ticket.count for ticket in tickets] == [0, 1, 0] and tickets[0].q == -1
+    assert [ticket.attempt_count for ticket in tickets] == [0, 1, 0] and tickets[0].index == -1
     late = take(decider, 3, 500, verb="load", item="k", unique="u")
     decider.round(decider.exchange.inbox.take(0))
     for ticket in (*tickets, late):
-        ticket.arrived -= 1000
+        ticket.arrived_at -= 1000
     decider.round([])
     order = [tickets[1], tickets[2], late, tickets[0]]
     assert [query.index for query in next(iter(decider.scheduler.keys.queues.values()))] == [
-        ticket.q for ticket in order
+        ticket.index for ticket in order
     ]
 
 
@@ -250,7 +250,7 @@
     links = link.Links(exchange, limits, 8, clock, clock, Counts(), threads=threads)
     keeper = link.Link(EngineQueue("e", ("127.0.0.1", 0), 0), links)
     ticket = PendingQuery(clock.now(), **READER.read(statement().encode()))
-    submission = Attempt(ticket, 0, 0, keeper.queue, clock.now(), ticket.limit)
+    submission = Attempt(ticket, 0, 0, keeper.queue, clock.now(), ticket.deadline)
     keeper.ask(submission)
     return keeper, submission, exchange.inbox
 
@@ -276,9 +276,9 @@
     keeper.connections[0].drop(submission, Ending.FINISHED)
     idle = SETTINGS["limits"]["conn_idle_ms"] * 10
     keeper.links.round([])
-    keeper.links.look(int(submission.at + idle * 0.5))
+    keeper.links.look(int(submission.started_at + idle * 0.5))
     assert keeper.connections
-    keeper.links.look(int(submission.at + idle * 0.9))
+    keeper.links.look(int(submission.started_at + idle * 0.9))
     assert not keeper.connections and keeper.log.last[1]["reason"] == "idle"
 
 
@@ -308,21 +308,23 @@
     keeper, submission, inbox = line_of_one(monkeypatch)
     place, theirs = on_a_pair(keeper)
     theirs.close()
-    ticket = PendingQuery(submission.at, **READER.read(statement(n=2).encode()))
-    other = Attempt(ticket, 0, 0, keeper.queue, submission.at, ticket.limit)
-    assert not place.put("ask", other) and not other.over
+    ticket = PendingQuery(submission.started_at, **READER.read(statement(n=2).encode()))
+    other = Attempt(ticket, 0, 0, keeper.queue, submission.started_at, ticket.deadline)
+    assert not place.put("ask", other) and not other.has_ended
     assert [item[:3] for item in inbox.take(0)] == [("ended", submission, Ending.NOT_SENT)]
     keeper.ask(other)
-    assert keeper.connections[0] is not place and not other.over
+    assert keeper.connections[0] is not place and not other.has_ended
 
 
 def test_long_limits_of_queries_that_have_ended_do_not_pile_up(monkeypatch):
     keeper, submission, _ = line_of_one(monkeypatch)
     for _ in range(5000):
-        ended = Attempt(submission.pending, 0, 0, keeper.queue, submission.at, submission.until + 1)
-        keeper.links.later(ended.until, ended)
-        ended.over = True
-        keeper.links.look(submission.at)
+        ended = Attempt(
+            submission.pending, 0, 0, keeper.queue, submission.started_at, submission.deadline + 1
+        )
+        keeper.links.later(ended.deadline, ended)
+        ended.has_ended = True
+        keeper.links.look(submission.started_at)
     assert len(keeper.links.waits) < 1000 and keeper.links.waits[0][2] is submission
 
 
@@ -331,7 +333,7 @@
     bad, good = take(decider, 1, 10), take(decider, 2, 10)
     bad.cost = "none"
     decider.round(decider.exchange.inbox.take(0))
-    assert good.count == 1 and bad.count == 0 and decider.log.last[0] == "fault"
+    assert good.attempt_count == 1 and bad.attempt_count == 0 and decider.log.last[0] == "fault"
 
 
 def test_many_threads_share_one_arena_of_the_allocator():
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -228,11 +228,11 @@
         (SMALL.format(more='clients "c" { group "nobody"; rate 1 }'), '"nobody": expected lookup or load'),
         (SMALL.format(more='clients "c" { group "load" }'), "either rate or closed"),
         (SMALL.format(more='engines "e" count=1'), "each engines by a name of its own"),
-        (SMALL.format(more="gateways 0"), "expected it once only"),
+        (SMALL.format(more="gateways 0"), "expected at most one such node"),
     ],
 )
 def test_what_is_wrong_with_a_script_is_named(text, words):
-    with pytest.raises(parts.Unusable) as wrong:
+    with pytest.raises(parts.InvalidDocumentError) as wrong:
         scripts.read_text(text)
     assert words in str(wrong.value)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of other deployments, and ones that cannot be used: served, or refused by name."""
+"""Valid settings of any deployment are accepted; an error names the setting that is invalid."""
 
 import copy
 import json
@@ -41,11 +41,29 @@
 }
 FULL["limits"] |= {"retry_after": True, "max_retry_after_ms": 1000.0}
 MISSING = object()
-ODD = [MISSING, None, 0, -1, math.nan, math.inf, 1e300, "", "x", "é", [], {}, True, [None], ["x"], [0], [-1]]
-
-
-def paths(values, path=()):
-    """Each place in the settings."""
+UNUSUAL_VALUES = [
+    MISSING,
+    None,
+    0,
+    -1,
+    math.nan,
+    math.inf,
+    1e300,
+    "",
+    "x",
+    "é",
+    [],
+    {},
+    True,
+    [None],
+    ["x"],
+    [0],
+    [-1],
+]
+
+
+def value_paths(values, path=()):
+    """The path of each value in the settings."""
     items = ()
     if isinstance(values, dict):
         items = values.items()
@@ -53,7 +71,7 @@
         items = enumerate(values)
     for key, value in items:
         yield (*path, key)
-        yield from paths(value, (*path, key))
+        yield from value_paths(value, (*path, key))
 
 
 def changed(path, value):
@@ -68,11 +86,11 @@
     return settings
 
 
-def play(deployment):
-    """Queries of each class through cold and warm engines, and each kind of ending."""
-    gateways = Gateways(deployment)
+def run_queries(deployment):
+    """Runs queries of each resource group on engines in and after slow start, with each kind of ending."""
+    dispatchers = Gateways(deployment)
     for e in range(3):
-        gateways.engine(e, started=0 if e else gateways.now - 10)
+        dispatchers.engine(e, started=0 if e else dispatchers.now - 10)
     endings = (
         Ending.FINISHED,
         Ending.REJECTED,
@@ -83,29 +101,29 @@
     )
     for resource_group in range(len(deployment.groups)):
         for n, ending in enumerate(endings):
-            q = gateways.take(
+            q = dispatchers.take(
                 resource_group=resource_group,
                 cost=1000 * (n % 2),
                 key=n if deployment.groups[resource_group].ordered else None,
                 left=50_000,
             )
-            if q in gateways.out:
-                gateways.end(q, ending, elapsed=900, work=900, after=900)
+            if q in dispatchers.out:
+                dispatchers.end(q, ending, elapsed=900, work=900, after=900)
     for _ in range(20):
-        gateways.round(TimerFired(1), after=600)
+        dispatchers.round(TimerFired(1), after=600)
 
 
-@pytest.mark.parametrize("path", list(paths(FULL)), ids=lambda path: ".".join(map(str, path)))
-def test_each_setting_with_each_odd_value_is_served_or_refused_by_name(path):
-    for value in ODD:
+@pytest.mark.parametrize("path", list(value_paths(FULL)), ids=lambda path: ".".join(map(str, path)))
+def test_each_unusual_value_is_accepted_or_rejected_with_the_name_of_its_setting(path):
+    for value in UNUSUAL_VALUES:
         settings = changed(path, value)
         try:
             deployment = IdRegistry(settings).deployment
         except SettingsError as error:
-            # The name of the setting, or of the object or list that it stands in.
+            # The name of the setting, or of the object or list that contains it.
             assert str(path[0]) in error.path and error.expected
             continue
-        play(deployment)
+        run_queries(deployment)
 
 
 @pytest.mark.parametrize(
@@ -115,7 +133,7 @@
         (
             ("classes", 1, "name"),
             "lookup",
-            "settings.classes[1].name is 'lookup', where a name that stands once",
+            "settings.classes[1].name is 'lookup', where a unique name",
         ),
         (("classes", 1, "worth"), -3, "settings.classes[1].worth is -3, where a number from 0"),
         (("family_info", "class_threads", 1), "two", "settings.family_info.class_threads[1] is 'two'"),
@@ -129,49 +147,51 @@
         (("classes",), MISSING, "settings.classes is None"),
     ],
 )
-def test_what_cannot_be_served_ends_the_start_with_its_name(tmp_path, path, value, named):
-    told = found([], type("Nobody", (), {"address": "127.0.0.1:1"})) | {"settings": changed(path, value)}
-    (tmp_path / "config.json").write_bytes(orjson.dumps(told))
-    done = subprocess.run(
+def test_start_fails_with_the_name_of_an_invalid_setting(tmp_path, path, value, named):
+    configuration = found([], type("NoCoordinator", (), {"address": "127.0.0.1:1"})) | {
+        "settings": changed(path, value)
+    }
+    (tmp_path / "config.json").write_bytes(orjson.dumps(configuration))
+    result = subprocess.run(
         [sys.executable, "-m", "wickvane", "check"],
         capture_output=True,
         text=True,
         env=os.environ | {"LB_CONFIG": str(tmp_path / "config.json")},
     )
-    assert done.returncode == 2 and done.stderr.count("\n") == 1 and named in done.stderr
+    assert result.returncode == 2 and result.stderr.count("\n") == 1 and named in result.stderr
 
 
-def test_lists_shorter_than_the_classes_and_zeroes_stand_for_the_usual():
+def test_missing_list_entries_and_zeroes_have_defaults():
     settings = changed(("family_info", "class_threads"), [0, 4])
     assert [group.threads for group in IdRegistry(settings).deployment.groups] == [1, 4, 1]
     assert IdRegistry(changed(("family_info", "size_cores"), [0])).deployment.cores == [1]
     assert IdRegistry(changed(("accounts",), [])).deployment.tenants == []
 
 
-def test_classes_and_tenants_may_have_names_in_any_script():
+def test_resource_groups_and_tenants_may_have_names_in_any_script():
     registry = IdRegistry(
         changed(("classes", 0, "name"), "запрос") | {"accounts": [{"name": "Ærø", "share": 1.0}]}
     )
     assert list(registry.groups.index)[0] == "запрос" and list(registry.tenants.index) == ["Ærø"]
 
 
-def test_the_configuration_in_the_readme_can_be_served(started, tmp_path):
-    """As written there, but for its ports, which may be in use."""
+def test_the_configuration_in_the_readme_is_valid(started, tmp_path):
+    """Uses all of it except its ports, which may be in use."""
     with open(os.path.join(ROOT, "README.md")) as readme:
         text = readme.read()
     begin = text.index('    {"name": "n3"')
-    told = json.loads(text[begin : text.index("\n\n", begin)])
+    configuration = json.loads(text[begin : text.index("\n\n", begin)])
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(configuration))
     command = [sys.executable, "-m", "wickvane", "check", f"--config={path}"]
     checked = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
     assert checked.stdout == f"wickvane: {path} can be served\n" and checked.returncode == 0
-    process = started(**{name: value for name, value in told.items() if name != "listen"})
+    process = started(**{name: value for name, value in configuration.items() if name != "listen"})
     assert next(line for line in process.stdout if b'"event":"ready"' in line)
 
 
 def test_every_package_of_the_program_is_installed():
-    """One that is not listed is missed by `pip install .` alone: its command fails there with a traceback."""
+    """`pip install .` leaves out a package that is not listed, and importing it fails with a traceback."""
     with open(os.path.join(ROOT, "pyproject.toml"), "rb") as file:
         listed = tomllib.load(file)["tool"]["setuptools"]["packages"]
     found = [
--- a/tests/xds_service/test_extension.py
+++ b/tests/xds_service/test_extension.py
@@ -19,5 +19,5 @@
 )
 def test_unusable_document_is_an_error_that_says_why(text, words):
     assert parts.read(os.path.join(ROOT, "deploy", "control.kdl"))["control"].table_groups == 100
-    with pytest.raises(parts.Unusable, match=words):
+    with pytest.raises(parts.InvalidDocumentError, match=words):
         parts.read_text(text)
--- a/wickvane/__init__.py
+++ b/wickvane/__init__.py
@@ -1,3 +1,3 @@
-"""wickvane: a workload manager that stands before analytic engines."""
+"""wickvane: a workload manager for analytic engines."""
 
 __version__ = "0.2.0"
--- a/wickvane/__main__.py
+++ b/wickvane/__main__.py
@@ -1,4 +1,4 @@
-"""wickvane: a workload manager that stands before analytic engines.
+"""wickvane: a workload manager for analytic engines.
 
 Usage:
   wickvane serve [--config=FILE] [--parts=FILE]
@@ -30,47 +30,47 @@
   wickvane -h | --help
 
 Commands:
-  serve    Start one dispatcher in the foreground. SIGHUP takes in the changed configuration,
-           SIGTERM ends it in order, SIGUSR1 prints its counters.
-  check    Tell whether the configuration could be served, and start nothing.
-  explain  Read a statement on standard input, and print what a dispatcher would read in it.
-  flows    Sum up exported flows: spool files or folders of them, or what comes in on a port.
-  rehearse  Check a script of a rehearsal, play it in virtual time, or serve and load by it on sockets;
-           experiment plays a grid of cases, variants and seeds, and goes on where it was ended.
+  serve    Start one dispatcher in the foreground. SIGHUP reloads the configuration, SIGTERM shuts the
+           dispatcher down gracefully, SIGUSR1 prints its counters.
+  check    Check whether a dispatcher could start with the configuration, and start nothing.
+  explain  Read a statement from standard input, and print the fields that a dispatcher reads in it.
+  flows    Sum up exported flows: spool files, folders of them, or flows that are received on a port.
+  rehearse  Check a rehearsal script, run it in virtual time, or run its engines or its clients on sockets;
+           experiment: run all cases, variants and seeds of an experiment, or resume an interrupted one.
   demo     Start engines, clients and one dispatcher on loopback, and show them on one screen.
-  control  Hand placement decisions to proxies over xDS; status: what each of them holds.
-  members  What watched files list: what one would do, what was done, the list at work; confirm a held change,
-           stop steps or turn them back; agree: which of several dispatchers are behind.
-  peers    What a dispatcher believes of the others: how it stands, members, events; leave: say so and serve
-           alone; forget: a member that failed has left for good.
-  policy   What a policy would change of the settings, and whether it could be taken.
-  shares   What a dispatcher holds together with others: parts of budgets, counts and their age, opinions.
+  control  Send placement decisions to proxies over xDS; status: show the state of each proxy.
+  members  Show endpoint lists of watched files: the effect of a file, past changes, the active list; confirm
+           a held change, stop a rollout or roll it back; agree: show which of several dispatchers are behind.
+  peers    Show a dispatcher's view of the others: its status, members, events; leave: leave the cluster and
+           serve alone; forget: remove a failed member for good.
+  policy   Show what a policy would change in the settings, and whether it would be accepted.
+  shares   Show what a dispatcher shares with others: quotas of budgets, counters and their age, verdicts.
   version  Print the version.
 
 Options:
   --config=FILE  The configuration, as JSON [default: $LB_CONFIG].
-  --parts=FILE   The parts document, as KDL, which turns on more [default: $WICKVANE_PARTS].
-  --by=WORDS     Sums by side, group, tenant, engine, reason, client; several with commas between.
-  --step=TIME    Also the course over time, in steps such as 10s.
-  --enterprise=N  The enterprise number that the exporter works with.
-  --listen=ADDRESS  Take in what comes on this address and port, instead of files.
-  --udp          By UDP, IPFIX or NetFlow v9; else IPFIX over TCP.
-  --for=TIME     For so long [default: 24h].
-  --json         As JSON instead of tables.
-  --to=ADDRESS   The dispatcher that is asked.
-  --seed=N       The seed that everything drawn comes from.
-  --log=PATH     Write what happened, one JSON line an event.
-  --until-broken  Try seeds from this on in parallel, until what is expected does not hold.
-  --tries=N      So many seeds at most.
-  --out=PATH     The folder of an experiment's cells, summary and plots.
-  --script=FILE  A script of a rehearsal, in place of the demo's own.
-  --tds          By TDS instead of PostgreSQL.
-  --jobs=N       So many processes at once.
-  --fleet=N      So many dispatchers, up to 9, that know each other where there are several.
-  --plots        Draw them too.
-  --tls=FILES    Authority, certificate and key, with commas between.
-  --state=DIR    The folder of a journal of members, or of what peers show.
-  -h --help      Show this.
+  --parts=FILE   The extensions document, as KDL [default: $WICKVANE_PARTS].
+  --by=WORDS     Sum by side, group, tenant, engine, reason, client; several are separated by commas.
+  --step=TIME    Also show sums over time, in steps such as 10s.
+  --enterprise=N  The enterprise number that the exporter uses.
+  --listen=ADDRESS  Receive flows on this address and port, instead of reading files.
+  --udp          Receive IPFIX or NetFlow v9 over UDP, instead of IPFIX over TCP.
+  --for=TIME     How long to run [default: 24h].
+  --json         Print JSON instead of tables.
+  --to=ADDRESS   The address of the dispatcher.
+  --seed=N       The seed of all random numbers.
+  --log=PATH     Write each event to this file, as one line of JSON.
+  --until-broken  Try successive seeds in parallel, until an expectation fails.
+  --tries=N      The maximum number of seeds.
+  --out=PATH     The folder for an experiment's cells, summary and plots.
+  --script=FILE  A rehearsal script, instead of the demo's own.
+  --tds          Use TDS instead of PostgreSQL.
+  --jobs=N       The number of parallel processes.
+  --fleet=N      The number of dispatchers, up to 9; several form a cluster.
+  --plots        Also draw plots.
+  --tls=FILES    Authority, certificate and key, separated by commas.
+  --state=DIR    The state folder: the endpoint journal (members) or the state of peers.
+  -h --help      Show this help.
 """
 
 import importlib
@@ -82,7 +82,7 @@
 from wickvane import __version__
 from wickvane.errors import ConfigError, RequestRejected
 
-# Commands that stand alone, and the modules whose main() takes docopt's words; imported only where asked for.
+# Commands with a main() of their own, which takes docopt's arguments; imported only if the command is used.
 COMMANDS = {
     "peers": "wickvane.cluster.command",
     "policy": "wickvane.config_log.command",
@@ -94,86 +94,93 @@
 }
 
 
-def main(words=None):
-    """The command; words: its arguments. The exit status."""
+def main(arguments=None):
+    """Runs a command and returns its exit status; arguments: those of the command line if None."""
     try:
-        asked = docopt(__doc__, argv=words)
-    except DocoptExit as wrong:
-        print(f"wickvane: this cannot be understood\n{wrong.usage.strip()}", file=sys.stderr)
+        options = docopt(__doc__, argv=arguments)
+    except DocoptExit as error:
+        print(f"wickvane: the arguments are not valid\n{error.usage.strip()}", file=sys.stderr)
         return 2
-    if asked["version"]:
+    if options["version"]:
         print(f"wickvane {__version__}")
         return 0
-    for word, module in COMMANDS.items():
-        if asked[word]:
-            return importlib.import_module(module).main(asked)
-    if asked["status"]:
+    for command, module in COMMANDS.items():
+        if options[command]:
+            return importlib.import_module(module).main(options)
+    if options["status"]:
         from wickvane.xds.command import status
 
-        return status(asked["--to"], asked["--tls"], asked["--json"])
-    path = os.environ.get("LB_CONFIG") if asked["--config"] == "$LB_CONFIG" else asked["--config"]
-    document = os.environ.get("WICKVANE_PARTS") if asked["--parts"] == "$WICKVANE_PARTS" else asked["--parts"]
+        return status(options["--to"], options["--tls"], options["--json"])
+    path = os.environ.get("LB_CONFIG") if options["--config"] == "$LB_CONFIG" else options["--config"]
+    document = (
+        os.environ.get("WICKVANE_PARTS") if options["--parts"] == "$WICKVANE_PARTS" else options["--parts"]
+    )
     try:
-        return configured(asked, path, document)
+        return run_configured(options, path, document)
     except ConfigError as error:
         print(f"wickvane: {error}", file=sys.stderr)
         return error.exit_code
 
 
-def configured(asked, path, document):
-    """serve, check, explain and control: the commands that need a configuration."""
-    found = parts_of(document) if document and not asked["explain"] else None
-    if asked["check"] and document and not path:
+def run_configured(options, path, document):
+    """Runs serve, check, explain or control, the commands that need a configuration."""
+    extensions = read_extensions(document) if document and not options["explain"] else None
+    if options["check"] and document and not path:
         print(f"wickvane: {document} can be used")
         return 0
     if not path:
         raise ConfigError("no configuration: name one with --config or in LB_CONFIG", 2)
-    if asked["control"]:
-        return control(path, document, found)
-    service = service_of(asked, path, found)
-    if asked["serve"]:
+    if options["control"]:
+        return run_control(path, document, extensions)
+    service = create_service(options, path, extensions)
+    if options["serve"]:
         return service.run(path, document)
-    if asked["explain"]:
+    if options["explain"]:
         return explain(service.reader, sys.stdin.buffer.read())
     print(f"wickvane: {path} can be served" + (f", {document} can be used" if document else ""))
     return 0
 
 
-def service_of(asked, path, found):
-    """A dispatcher that is not started yet."""
+def create_service(options, path, extensions):
+    """Creates a dispatcher, without starting it."""
     from wickvane.net.service import Service, configuration
 
-    config, members = configuration(path), (found or {}).get("members")
+    config, members = configuration(path), (extensions or {}).get("members")
     if (
-        not asked["serve"]
+        not options["serve"]
         and members
         and not members.policy.overrides_coordinator
         and isinstance(config, dict)
     ):
-        config.setdefault("coordinator", "127.0.0.1:1")  # files stand in its place
-    return Service(config, parts=found if asked["serve"] else None)
+        config.setdefault("coordinator", "127.0.0.1:1")  # not used: files replace the coordinator
+    return Service(config, parts=extensions if options["serve"] else None)
 
 
-def parts_of(path):
+def read_extensions(path):
+    """The extensions document; raises ConfigError if it cannot be used."""
     from wickvane import parts
 
     try:
         return parts.read(path)
-    except parts.Unusable as error:
+    except parts.InvalidDocumentError as error:
         raise ConfigError(str(error), 2) from None
 
 
-def control(path, more, found):
+def run_control(path, document, extensions):
+    """Runs the control service; returns its exit status."""
     from wickvane.net.service import configuration
 
-    if "control" not in (found or {}):
-        raise ConfigError(f"the parts document {more} has no node control", 2)
+    if "control" not in (extensions or {}):
+        raise ConfigError(f"the extensions document {document} has no node control", 2)
     from wickvane.xds.server import Server
 
-    return Server(configuration(path), found["control"], members=found.get("members")).run(path, more)
+    return Server(configuration(path), extensions["control"], members=extensions.get("members")).run(
+        path, document
+    )
 
 
 def explain(reader, text):
+    """Prints the fields that a dispatcher reads in a statement; returns the exit status."""
     try:
         for name, value in reader.read(text).items():
             print(f"{name}: {value.decode('utf-8', 'replace') if isinstance(value, bytes) else value}")
--- a/wickvane/cluster/command.py
+++ b/wickvane/cluster/command.py
@@ -65,7 +65,7 @@
         raise CommandError(text, EXIT_USAGE)
     try:
         config = parts.read(path).get("peers")
-    except parts.Unusable as error:
+    except parts.InvalidDocumentError as error:
         raise CommandError(str(error), EXIT_USAGE) from None
     if config is None or config.state_folder is None:
         text = f"the parts document {path} has no node peers with a node state"
--- a/wickvane/cluster/extension.py
+++ b/wickvane/cluster/extension.py
@@ -45,20 +45,20 @@
 
 
 def read(node: parts.Node) -> ClusterConfig:
-    """The configuration of a node. Raises parts.Unusable."""
-    listen = node.value("listen", parts.address, needed=True)
+    """The configuration of a node. Raises parts.InvalidDocumentError."""
+    listen = node.value("listen", parts.address, required=True)
     advertise = node.value("advertise", parts.address, listen)
     if advertise[0] in UNSPECIFIED_HOSTS:
-        raise node.wrong("an address that the others can send to", advertise[0], "advertise")
+        raise node.error("an address that the others can send to", advertise[0], "advertise")
     return ClusterConfig(
         cluster=node.value("cluster", parts.name, DEFAULT_CLUSTER),
         listen=listen,
         advertise=advertise,
-        key_file=node.value("key-file", parts.path, needed=True),
+        key_file=node.value("key-file", parts.path, required=True),
         seeds=_read_seeds(node),
         seeds_file=node.value("seeds-file", parts.path),
         probe_period=node.value("period", parts.duration("100ms", "10s"), DEFAULT_PROBE_PERIOD),
-        capacity=node.value("members", parts.whole(2, 16_384), DEFAULT_CAPACITY),
+        capacity=node.value("members", parts.integer(2, 16_384), DEFAULT_CAPACITY),
         tombstone_after=node.value("remember", parts.duration("1m", "168h"), DEFAULT_TOMBSTONE_AFTER),
         state_folder=node.value("state", parts.path),
     )
@@ -68,9 +68,9 @@
     seeds = []
     for child in node.children("seed"):
         seeds.append(child.argument(parts.address))
-        child.done()
+        child.reject_unknown()
     if len(seeds) > MAX_SEED_NODES:
-        raise node.wrong(f"{MAX_SEED_NODES} seeds at most")
+        raise node.error(f"{MAX_SEED_NODES} seeds at most")
     return tuple(seeds)
 
 
@@ -102,17 +102,17 @@
         service.threads.needed(self.cluster.run, "peers")
 
     def check(self, terms: ClusterConfig) -> list[bytes]:
-        """The keys of a new configuration. Raises parts.Unusable where it needs a restart."""
+        """The keys of a new configuration. Raises parts.InvalidDocumentError where it needs a restart."""
         for field, logged_name in RESTART_FIELDS.items():
             if getattr(terms, field) != getattr(self.terms, field):
-                raise parts.Unusable(f"peers: {logged_name}: another value needs a restart")
+                raise parts.InvalidDocumentError(f"peers: {logged_name}: another value needs a restart")
         from wickvane.cluster.wire import read_keys
         from wickvane.files import FileError
 
         try:
             return read_keys(terms.key_file)
         except FileError as error:
-            raise parts.Unusable(f"peers: key-file: {error}") from None
+            raise parts.InvalidDocumentError(f"peers: key-file: {error}") from None
 
     def change(self, terms: ClusterConfig, ready: list[bytes]) -> None:
         """Takes a new configuration with its keys."""
--- a/wickvane/config_log/command.py
+++ b/wickvane/config_log/command.py
@@ -35,7 +35,7 @@
         registry = IdRegistry(configuration(config_path)["settings"])
         text = _read_document(arguments["FILE"][0])
         changes = _changes(text, registry)
-    except (ConfigError, parts.Unusable) as error:
+    except (ConfigError, parts.InvalidDocumentError) as error:
         print(f"wickvane: {error}", file=sys.stderr)
         return EXIT_INVALID
     except (KeyError, TypeError, ValueError) as error:
@@ -62,9 +62,9 @@
         with Path(path).open("rb") as file:
             return file.read(MAX_DOCUMENT_CHARACTERS * MAX_BYTES_PER_CHARACTER + 1).decode()
     except OSError as error:
-        raise parts.Unusable(f"the policy {path} cannot be read: {error.strerror}") from None
+        raise parts.InvalidDocumentError(f"the policy {path} cannot be read: {error.strerror}") from None
     except UnicodeDecodeError:
-        raise parts.Unusable(f"the policy {path} is no UTF-8") from None
+        raise parts.InvalidDocumentError(f"the policy {path} is no UTF-8") from None
 
 
 def _print_json(text: str, changes: list[SettingChange]) -> None:
--- a/wickvane/config_log/policy_document.py
+++ b/wickvane/config_log/policy_document.py
@@ -20,18 +20,18 @@
 
 from wickvane import parts
 from wickvane.events import Deployment, ResourceGroup
-from wickvane.parts import Node, Unusable
+from wickvane.parts import InvalidDocumentError, Node
 from wickvane.units import to_milliseconds
 
 MAX_DOCUMENT_CHARACTERS = 65_536
 MAX_SHARE_SUM = 1.0001  # 1 with room for rounding
 
 _DURATION = parts.duration("1ms", "1h")
-_PRIORITY_WEIGHT = parts.share(0.001, 1e6)
-_FRACTION = parts.share(0.0, 1.0)
-_TENANT_SHARE = parts.share(0.0001, 1.0)
-_RETRY_BUDGET_MINIMUM = parts.share(0, 1e6)
-_COLLAPSE_MULTIPLE = parts.share(0.01, 1e6)
+_PRIORITY_WEIGHT = parts.number(0.001, 1e6)
+_FRACTION = parts.number(0.0, 1.0)
+_TENANT_SHARE = parts.number(0.0001, 1.0)
+_RETRY_BUDGET_MINIMUM = parts.number(0, 1e6)
+_COLLAPSE_MULTIPLE = parts.number(0.01, 1e6)
 
 # The document's name of each setting that a policy can override.
 GROUP_NODES = {
@@ -77,46 +77,46 @@
 ) -> Policy:
     """Reads a document and checks it against the deployment that it is to override.
 
-    group_names, tenant_names: names in the deployment's order. Raises Unusable, which names the place in the
-    document and what was expected there.
+    group_names, tenant_names: names in the deployment's order. Raises InvalidDocumentError, which names
+    the place in the document and what was expected there.
     """
     if len(text) > MAX_DOCUMENT_CHARACTERS:
-        raise Unusable(f"it is longer than {MAX_DOCUMENT_CHARACTERS} characters")
+        raise InvalidDocumentError(f"it is longer than {MAX_DOCUMENT_CHARACTERS} characters")
     import ckdl
 
     try:
         document = ckdl.parse(text, version=2)
     except (ValueError, RecursionError) as error:
-        raise Unusable(f"no KDL 2: {error}") from None
+        raise InvalidDocumentError(f"no KDL 2: {error}") from None
     if [node.name for node in document.nodes] != ["policy"]:
-        raise Unusable("expected one node policy")
+        raise InvalidDocumentError("expected one node policy")
     node = Node(document.nodes[0], "policy", text)
     if document.nodes[0].args:
-        raise node.wrong("no value of its own")
+        raise node.error("no value of its own")
     policy = Policy(
         groups=_read_groups(node, group_names, deployment),
         tenant_shares=_read_tenants(node, tenant_names),
         retry_budget=_read_retry_budget(node, deployment),
         collapse_multiple=_read_collapse_multiple(node, deployment),
     )
-    node.done()
+    node.reject_unknown()
     return policy
 
 
 def _read_name(node: Node, known_names: Sequence[str], description: str) -> str:
     """The node's argument, which must be one of the settings' names."""
     return node.argument(
-        parts.Kind(
+        parts.ValueType(
             f"{description} of the settings: {', '.join(known_names) or 'none'}",
-            lambda value: value if value in known_names else parts.refuse(),
+            lambda value: value if value in known_names else parts.reject_value(),
         )
     )
 
 
 def _require_first(read: dict, name: str, node: Node) -> None:
-    """Raises Unusable where an earlier node had the same name."""
+    """Raises InvalidDocumentError where an earlier node had the same name."""
     if name in read:
-        raise node.wrong("each by one node", name)
+        raise node.error("each by one node", name)
 
 
 def _read_groups(
@@ -134,7 +134,7 @@
             late_priority_weight=node.value(GROUP_NODES["late_priority_weight"], _FRACTION),
         )
         _check_group_bounds(node, overrides, settings)
-        node.done()
+        node.reject_unknown()
         groups[name] = overrides
     return groups
 
@@ -143,12 +143,12 @@
     timeout = settings.timeout if overrides.timeout is None else overrides.timeout
     if timeout > settings.timeout:
         limit = f"at most the settings' {to_milliseconds(settings.timeout):g}ms (rule 1)"
-        raise node.wrong(limit, name=GROUP_NODES["timeout"])
+        raise node.error(limit, name=GROUP_NODES["timeout"])
     objective = overrides.latency_objective
     if objective is None:
         objective = settings.latency_objective
     if objective > timeout:
-        raise node.wrong("a target within the timeout", name=GROUP_NODES["latency_objective"])
+        raise node.error("a target within the timeout", name=GROUP_NODES["latency_objective"])
 
 
 def _read_tenants(policy_node: Node, tenant_names: Sequence[str]) -> dict[str, float]:
@@ -158,11 +158,11 @@
         _require_first(shares, name, node)
         share = node.property("share", _TENANT_SHARE)
         if share is None:
-            raise node.wrong("a property share")
-        node.done()
+            raise node.error("a property share")
+        node.reject_unknown()
         shares[name] = share
     if sum(shares.values()) > MAX_SHARE_SUM:
-        raise policy_node.wrong("shares of at most 1 together", name="tenant")
+        raise policy_node.error("shares of at most 1 together", name="tenant")
     return shares
 
 
@@ -174,9 +174,9 @@
         return RetryBudgetOverrides()
     minimum = node.property(minimum_name, _RETRY_BUDGET_MINIMUM)
     ratio = node.property(ratio_name, _FRACTION)
-    node.done()
+    node.reject_unknown()
     if not deployment.retry_budget_window:
-        raise node.wrong("settings with a window of further submissions")
+        raise node.error("settings with a window of further submissions")
     _check_limit(node, minimum_name, minimum, deployment.retry_budget_minimum, rule=7)
     _check_limit(node, ratio_name, ratio, deployment.retry_budget_ratio, rule=7)
     return RetryBudgetOverrides(minimum, ratio)
@@ -188,12 +188,12 @@
     if node is None:
         return None
     multiple = node.property(multiple_name, _COLLAPSE_MULTIPLE)
-    node.done()
+    node.reject_unknown()
     _check_limit(node, multiple_name, multiple, deployment.collapse_multiple, rule=4)
     return multiple
 
 
 def _check_limit(node: Node, name: str, value: float | None, limit: float, rule: int) -> None:
-    """Raises Unusable where a policy would be less strict than the settings."""
+    """Raises InvalidDocumentError where a policy would be less strict than the settings."""
     if value is not None and value > limit:
-        raise node.wrong(f"at most the settings' {limit:g} (rule {rule})", value, name)
+        raise node.error(f"at most the settings' {limit:g} (rule {rule})", value, name)
--- a/wickvane/endpoints/command.py
+++ b/wickvane/endpoints/command.py
@@ -80,7 +80,7 @@
 
     try:
         return parts.read(path).get("members")
-    except parts.Unusable as error:
+    except parts.InvalidDocumentError as error:
         raise CommandError(str(error)) from None
 
 
--- a/wickvane/endpoints/config.py
+++ b/wickvane/endpoints/config.py
@@ -51,37 +51,37 @@
     name: str
     severity_field: str
     value_field: str | None = None
-    kind: parts.Kind | None = None
+    kind: parts.ValueType | None = None
 
 
 _LIMIT_NODES = (
-    _LimitNode("share-removed", "removed_fraction_severity", "removed_fraction", parts.share(0.001, 1)),
-    _LimitNode("capacity-left", "load_fraction_severity", "load_fraction", parts.share(0.01, 100)),
-    _LimitNode("weight-jump", "weight_factor_severity", "weight_factor", parts.share(1.01, 1000)),
+    _LimitNode("share-removed", "removed_fraction_severity", "removed_fraction", parts.number(0.001, 1)),
+    _LimitNode("capacity-left", "load_fraction_severity", "load_fraction", parts.number(0.01, 100)),
+    _LimitNode("weight-jump", "weight_factor_severity", "weight_factor", parts.number(1.01, 1000)),
     _LimitNode("group-without-engine", "last_of_group_severity"),
     _LimitNode("empty", "empty_severity"),
 )
-_SEVERITY_WORD = parts.word(*SEVERITY_WORDS)
+_SEVERITY_WORD = parts.choice(*SEVERITY_WORDS)
 
 
 def read_config(node: parts.Node) -> EndpointsConfig:
-    """The configuration in a node. Raises parts.Unusable."""
+    """The configuration in a node. Raises parts.InvalidDocumentError."""
     file = node.value("file", parts.path)
     directory = node.value("directory", parts.path)
     if (file is None) == (directory is None):
-        raise node.wrong("either a node file or a node directory, with a path")
+        raise node.error("either a node file or a node directory, with a path")
     policy = _read_policy(node)
     return EndpointsConfig(
         path=directory or file,
         is_directory=directory is not None,
         state_folder=node.value("state", parts.path),
         is_seal_required=node.value("sealed", parts.flag, False),
-        watch=node.value("watch", parts.word(WATCH_EVENTS, WATCH_POLL), WATCH_EVENTS),
+        watch=node.value("watch", parts.choice(WATCH_EVENTS, WATCH_POLL), WATCH_EVENTS),
         poll_interval=node.value("poll", parts.duration("50ms", "10s"), DEFAULT_POLL_INTERVAL),
         settle_time=node.value("still", parts.duration("10ms", "10s"), DEFAULT_SETTLE_TIME),
         max_file_size=node.value("most", parts.size("1KiB", "64MiB"), DEFAULT_MAX_FILE_SIZE),
-        max_engines=node.value("engines", parts.whole(1, 100_000), DEFAULT_MAX_ENGINES),
-        max_files=node.value("parts", parts.whole(1, 10_000), DEFAULT_MAX_FILES),
+        max_engines=node.value("engines", parts.integer(1, 100_000), DEFAULT_MAX_ENGINES),
+        max_files=node.value("parts", parts.integer(1, 10_000), DEFAULT_MAX_FILES),
         policy=policy,
     )
 
@@ -111,6 +111,6 @@
         word = child.property("past", _SEVERITY_WORD)
         if word is not None:
             limits = limits._replace(**{limit.severity_field: SEVERITY_WORDS[word]})
-        child.done()
-    limits_node.done()
+        child.reject_unknown()
+    limits_node.reject_unknown()
     return limits
--- a/wickvane/endpoints/extension.py
+++ b/wickvane/endpoints/extension.py
@@ -11,7 +11,7 @@
 
 
 def read(node: parts.Node) -> EndpointsConfig:
-    """The configuration in a node of the extensions document. Raises parts.Unusable."""
+    """The configuration in a node of the extensions document. Raises parts.InvalidDocumentError."""
     return read_config(node)
 
 
@@ -31,7 +31,7 @@
         from wickvane.endpoints.topology import topology_of
 
         scheduler = service.decider.scheduler
-        attempts_in_flight = service.registry.sent
+        attempts_in_flight = service.registry.attempts_in_flight
         self.source = FileSource(
             self.terms,
             topology_of(service.registry),
--- a/wickvane/errors.py
+++ b/wickvane/errors.py
@@ -2,11 +2,11 @@
 
 
 class WickvaneError(Exception):
-    """The base of all errors that this program raises, each with a sentence that says what was wrong."""
+    """The base of all errors that this program raises; the message says what is wrong."""
 
 
 class ConfigError(WickvaneError):
-    """The configuration cannot be used; exit_code: the exit status of the program."""
+    """A configuration that cannot be used; exit_code: the exit status of the program."""
 
     def __init__(self, text: str, exit_code: int) -> None:
         super().__init__(text)
@@ -14,11 +14,11 @@
 
 
 class ProtocolError(WickvaneError):
-    """Bytes that are not of the protocol, or exceed a limit; codecs raise nothing else for any bytes."""
+    """Bytes that violate the protocol or exceed a limit; codecs raise no other error, whatever they read."""
 
 
 class RequestRejected(WickvaneError):
-    """A query that is not admitted; sqlstate and text are the error that its client gets."""
+    """A query that is not admitted; sqlstate and text are the error that is sent to its client."""
 
     def __init__(self, sqlstate: str, text: str) -> None:
         super().__init__(text)
--- a/wickvane/events.py
+++ b/wickvane/events.py
@@ -1,10 +1,10 @@
-"""The border of the decision modules: typed events in, typed commands out.
+"""The interface of the decision modules: typed events in, typed commands out.
 
 A protocol adapter turns its own messages into events, calls ``Scheduler.round(now, events, writer)`` once for
-all that have arrived, and carries out the commands that the scheduler gives the writer. Times are ticks (see
-wickvane.units); work is the time of one thread, in ticks. Queries and engines go by small indices; the caller
-may reuse one after the query has its final answer and every attempt has ended, or after the engine has left
-the endpoint list and no attempt is in flight there.
+all events that have arrived, and carries out the commands that the scheduler gives the writer. Times are in
+ticks (see wickvane.units); work is the time of one thread, in ticks. Queries and engines are identified by
+small indices. The caller may reuse a query's index once the query has its final answer and all its attempts
+have ended, and an engine's index once the engine has left the endpoint list and has no attempt in flight.
 """
 
 from enum import IntEnum
@@ -12,11 +12,11 @@
 
 from wickvane.units import TICKS_PER_SECOND
 
-FOREVER = 1 << 62  # a time that never comes
+FOREVER = 1 << 62  # a time that is never reached
 
 
 class Ending(IntEnum):
-    """How an attempt ended. From REJECTED on it is proven that nothing ran."""
+    """How an attempt ended. With REJECTED and all later values it is certain that nothing ran."""
 
     FINISHED = 0
     ERROR = 1
@@ -37,11 +37,11 @@
 
 
 class Effect(IntEnum):
-    """What running a query of a resource group twice would do."""
+    """What happens if a query of a resource group runs twice."""
 
-    READ_ONLY = 0  # nothing: idempotent
-    IDEMPOTENCY_KEY = 1  # nothing at engines that know its idempotency key
-    MUTATING = 2  # its effect twice: not idempotent
+    READ_ONLY = 0  # no effect: the query is idempotent
+    IDEMPOTENCY_KEY = 1  # no second effect on engines that know its idempotency key
+    MUTATING = 2  # its effect happens twice: the query is not idempotent
 
 
 class KeyScope(IntEnum):
@@ -53,14 +53,14 @@
 
 
 class Budget(IntEnum):
-    """Limits of the whole fleet, quotas of which dispatchers lease to each other."""
+    """Limits of the whole fleet, of which dispatchers lease quotas to each other."""
 
     CONCURRENCY = 0  # threads in flight on engines
-    SLOW_START = 1  # work sent to engines that warm up
+    SLOW_START = 1  # work sent to engines in slow start
 
 
 class Progress(IntEnum):
-    """What an engine reports of a running attempt."""
+    """What an engine reports about a running attempt."""
 
     FRACTION_DONE = 1
     SPILLS = 2
@@ -77,8 +77,8 @@
     memory: float  # in MB; 0: unknown
     table_group: int
     key: int | None
-    time_left: int  # until the client times out
-    is_retry: bool = False  # of a query that was rejected here lately, where this is tracked
+    time_left: int  # until the client's timeout
+    is_retry: bool = False  # of a query that this dispatcher rejected lately; False if that is not tracked
 
 
 class AttemptEnded(NamedTuple):
@@ -89,7 +89,7 @@
     engine: int
     ending: Ending
     elapsed: int
-    complete: bool  # the client has its whole answer
+    complete: bool  # the client has its complete answer
     work: int  # 0: not reported
     memory: float  # in MB; 0: not reported
     report: dict[str, float] | None  # the engine's load report
@@ -113,20 +113,20 @@
     query: int
     attempt: int
     engine: int
-    what: Progress
+    metric: Progress
     amount: float
 
 
 class EngineUpdated(NamedTuple):
-    """An engine is new in the endpoint list, or its entry has changed."""
+    """An engine was added to the endpoint list, or its entry has changed."""
 
     engine: int
-    rank: bytes  # its id on the wire, the same at every dispatcher: the input of the shared hash order
+    wire_id: bytes  # the same at every dispatcher: the key of the shared hash order
     state: EngineState
     zone: int
     kind: int
     cell: int
-    started: int  # when its process started; 0: before the dispatcher
+    started: int  # when its process started; 0: before the dispatcher started
     weight: float
 
 
@@ -135,13 +135,13 @@
 
 
 class ShutdownStarted(NamedTuple):
-    """The process may be killed in `time_left`, and with it every query without an answer."""
+    """The process may be killed after `time_left`, with all queries that have no answer by then."""
 
     time_left: int
 
 
 class InFlightElsewhere(NamedTuple):
-    """Threads in flight on an engine from all other dispatchers, as last heard, `age` ago in the mean."""
+    """Threads in flight on an engine from all other dispatchers, by reports that are `age` old on average."""
 
     engine: int
     threads: int
@@ -149,34 +149,34 @@
 
 
 class LeaseChanged(NamedTuple):
-    """A new lease: `part` of the configured budget may be used until `until`, `then` of it afterwards."""
+    """A new lease on a fraction of a budget; `fraction_after` may be used once it has expired."""
 
     budget: Budget
-    part: float
-    until: int
-    then: float
+    fraction: float
+    expires_at: int
+    fraction_after: float
 
 
 class TenantsCharged(NamedTuple):
-    """Work that other dispatchers gave each tenant since the last such event."""
+    """Work that other dispatchers did for each tenant since the last such event."""
 
-    works: list[int]
+    work_by_tenant: list[int]
 
 
 class EngineJudged(NamedTuple):
-    """What several other dispatchers agree on about an engine, `age` ago."""
+    """What several other dispatchers agreed on about an engine `age` ago."""
 
     engine: int
-    bad: bool  # attempts fail there
-    slow: float  # its latency over the usual engine's; 0: unknown
+    is_faulty: bool  # attempts fail there
+    slowdown: float  # its latency divided by that of a typical engine; 0: unknown
     age: int
 
 
 class ResourceGroup(NamedTuple):
-    """The settings of one class of queries; times are ticks."""
+    """The settings of one resource group; times are ticks."""
 
     effect: int
-    key_scope: int  # the engines that share idempotency keys
+    key_scope: int  # which engines share idempotency keys
     idempotency_window: int
     latency_objective: int
     objective_stretch: float
@@ -195,12 +195,12 @@
     """The settings of the whole deployment, for one dispatcher; times are ticks."""
 
     groups: list[ResourceGroup]
-    tenants: list[tuple[float, float]]  # share, queries a second within it over all dispatchers
+    tenants: list[tuple[float, float]]  # share, and the queries per second within it over all dispatchers
     cores: list[int]  # by kind
     memory: list[float]
     dispatcher_count: int
     zone: int
-    cross_zone_cost: float  # the price of an attempt in another zone
+    cross_zone_cost: float  # of an attempt in another zone
     max_attempts: int
     can_cancel: bool
     memory_grants: bool
@@ -217,39 +217,39 @@
     slow_start_duration: int
     collapse_multiple: float
     collapse_window: int
-    max_retry_after: int  # 0: clients get no Retry-After
+    max_retry_after: int  # 0: clients get no retry-after time
     reports: list[str]
     idle_connection_timeout: int = 24 * TICKS_PER_SECOND  # of connections to engines
-    uses_engine_weights: bool = False  # an engine's weight is the part of its capacity that may be used
+    uses_engine_weights: bool = False  # an engine's weight is the fraction of its capacity that may be used
 
 
 class Writer(Protocol):
-    """Takes the scheduler's decisions; queries and engines by their indices."""
+    """Carries out the scheduler's decisions; queries and engines are given by their indices."""
 
     def start_attempt(self, query: int, engine: int, max_wait: int, start_by: int) -> None:
         """Sends an attempt to an engine.
 
-        max_wait: ticks after which it is abandoned, 0 for the client's own timeout. It must not begin at
-        the time start_by or later, whatever delays it.
+        max_wait: ticks after which it is abandoned; 0: the client's own timeout. start_by: the attempt must
+        not start at this time or later, whatever delays it.
         """
 
     def reject(self, query: int, retry_after: int) -> None:
-        """A final answer: rejected, a retry is harmless; the client is told to wait for retry_after ticks."""
+        """A final answer: the query is rejected and a retry is harmless, after retry_after ticks."""
 
     def fail(self, query: int) -> None:
-        """A final answer: failed."""
+        """A final answer: the query has failed."""
 
     def cancel_attempt(self, query: int, attempt: int) -> None:
         """Cancels an attempt; its ending is still reported."""
 
     def set_terms(self, query: int, priority: int, memory_grant: float) -> None:
-        """A query's priority and its memory grant in MB (0: none), also for an attempt in flight."""
+        """Sets a query's priority and its memory grant in MB (0: none), also for an attempt in flight."""
 
     def set_timer(self, token: int, at: int) -> None:
-        """Asks for a round at a time; TimerFired carries the token."""
+        """Requests a round at the time `at`, with a TimerFired event that has the token."""
 
     def watch_endpoints(self, enabled: bool) -> None:
         """Subscribes to changes of the endpoint list, or ends the subscription."""
 
     def log_note(self, text: str) -> None:
-        """A line for the log."""
+        """Writes a line to the log."""
--- a/wickvane/flows/part.py
+++ b/wickvane/flows/part.py
@@ -64,53 +64,53 @@
 
 def read_tls(node):
     credentials = Credentials(
-        node.value("authority", parts.path, needed=True),
+        node.value("authority", parts.path, required=True),
         node.value("certificate", parts.path),
         node.value("key", parts.path),
         node.value("name", parts.name),
     )
-    node.done()
+    node.reject_unknown()
     if credentials.key and not credentials.certificate:
-        raise node.wrong("a certificate beside the key")
+        raise node.error("a certificate beside the key")
     return credentials
 
 
 def read_collector(node):
     name = node.argument(parts.name)
-    addresses = [node.value("address", parts.address, needed=True)]
+    addresses = [node.value("address", parts.address, required=True)]
     for standby in node.children("standby"):
         addresses.append(standby.argument(parts.address))
-        standby.done()
-    transport = node.value("transport", parts.word(TCP, UDP, TLS), TCP)
-    format = node.value("format", parts.word(IPFIX, PLAIN, NETFLOW9), IPFIX)
+        standby.reject_unknown()
+    transport = node.value("transport", parts.choice(TCP, UDP, TLS), TCP)
+    format = node.value("format", parts.choice(IPFIX, PLAIN, NETFLOW9), IPFIX)
     if format == NETFLOW9 and transport != UDP:
-        raise node.wrong('transport "udp" with format "netflow9"', transport, "transport")
-    mtu = node.value("mtu", parts.whole(1280, 9216), 1500)
+        raise node.error('transport "udp" with format "netflow9"', transport, "transport")
+    mtu = node.value("mtu", parts.integer(1280, 9216), 1500)
     stall = node.value("stall", parts.duration("100ms", "5m"), 50_000)
     home = node.value("home-after", parts.duration("100ms", "24h"), 300_000)
     secret = node.child("tls")
     if (secret is not None) != (transport == TLS):
-        raise node.wrong('a node tls with transport "tls", and only there', transport, "transport")
+        raise node.error('a node tls with transport "tls", and only there', transport, "transport")
     tls = read_tls(secret) if secret else None
-    node.done()
+    node.reject_unknown()
     most = mtu - UDP_HEADS if transport == UDP else TCP_MESSAGE
     return Collector(name, tuple(addresses), transport, format, most, stall, home, tls)
 
 
 def read(node):
-    """An Export from the node; parts.Unusable where it cannot be used."""
+    """An Export from the node; parts.InvalidDocumentError where it cannot be used."""
     collectors, names = [], set()
     for child in node.children("collector"):
         collector = read_collector(child)
         if collector.name in names:
-            raise child.wrong("names that differ", collector.name)
+            raise child.error("names that differ", collector.name)
         names.add(collector.name)
         collectors.append(collector)
     if not collectors:
-        raise node.wrong("a node collector")
+        raise node.error("a node collector")
     if len(collectors) > 8:
-        raise node.wrong("8 collectors at most")
-    policy = node.value("when-full", parts.word("oldest", "newest"), "oldest")
+        raise node.error("8 collectors at most")
+    policy = node.value("when-full", parts.choice("oldest", "newest"), "oldest")
     queue = node.value("queue", parts.size("64KiB", "256MiB"), 1 << 20)
     spool = node.child("spool")
     directory, spool_most, segment = None, 0, queue // 8
@@ -118,15 +118,15 @@
         directory = spool.argument(parts.path)
         spool_most = spool.property("size", parts.size("256KiB", "1024GiB"), 64 << 20)
         segment = spool.property("segment", parts.size("16KiB", "64MiB"), 1 << 20)
-        spool.done()
+        spool.reject_unknown()
         if segment > spool_most // 4:
-            raise spool.wrong("a segment of a quarter of the size at most")
+            raise spool.error("a segment of a quarter of the size at most")
     return Export(
-        enterprise=node.value("enterprise", parts.whole(1, 0xFFFFFFFE), ENTERPRISE),
-        domain=node.value("domain", parts.whole(1, 0xFFFFFFFF), 1),
+        enterprise=node.value("enterprise", parts.integer(1, 0xFFFFFFFE), ENTERPRISE),
+        domain=node.value("domain", parts.integer(1, 0xFFFFFFFF), 1),
         active=node.value("active-timeout", parts.duration("100ms", "24h"), 600_000),
         idle=node.value("idle-timeout", parts.duration("100ms", "24h"), 150_000),
-        table=node.value("table", parts.whole(16, 1_000_000), 4096),
+        table=node.value("table", parts.integer(16, 1_000_000), 4096),
         every=node.value("collect-every", parts.duration("10ms", "1m"), 2_500),
         statistics=node.value("statistics-every", parts.duration("100ms", "1h"), 100_000),
         refresh=node.value("template-refresh", parts.duration("1s", "24h"), 600_000),
@@ -134,8 +134,8 @@
         policy=policy,
         window=node.value("again", parts.size("1KiB", "64MiB"), 256 << 10),
         pace=node.value("catch-up", parts.size("1KiB", "1GiB"), 1 << 20),
-        fixed=node.value("names", parts.word("variable", "fixed"), "variable") == "fixed",
-        width=node.value("name-width", parts.whole(16, 128), 32),
+        fixed=node.value("names", parts.choice("variable", "fixed"), "variable") == "fixed",
+        width=node.value("name-width", parts.integer(16, 128), 32),
         spool=directory,
         spool_most=spool_most,
         segment=segment,
--- a/wickvane/flows/tool.py
+++ b/wickvane/flows/tool.py
@@ -14,7 +14,7 @@
 from wickvane.flows import ipfix, netflow9
 from wickvane.flows.collected import SUMMED, Collected, Table
 from wickvane.flows.part import ENTERPRISE
-from wickvane.parts import DURATION, MS_OF, read_address
+from wickvane.parts import DURATION_PATTERN, MILLISECONDS_BY_UNIT, read_address
 
 BY = ("side", "group", "tenant", "engine", "reason")
 CONNECTIONS_MOST, CHUNK = 64, 65_536
@@ -42,10 +42,10 @@
 
 
 def span(text):
-    found = DURATION.match(text)
+    found = DURATION_PATTERN.match(text)
     if not found or float(found[1]) <= 0:
         raise Unusable(f'{text}: expected a time such as "10s"')
-    return max(1, round(float(found[1]) * MS_OF[found[2]]))
+    return max(1, round(float(found[1]) * MILLISECONDS_BY_UNIT[found[2]]))
 
 
 def files_of(paths):
--- a/wickvane/id_registry.py
+++ b/wickvane/id_registry.py
@@ -1,4 +1,4 @@
-"""Maps ids of the wire to small indices, for queries and engines, and decides when an index may be reused."""
+"""Maps ids of queries and engines to small indices, and decides when an index may be reused."""
 
 from collections.abc import Hashable, Iterable, Iterator
 from typing import Any, NamedTuple
@@ -8,7 +8,7 @@
 
 
 class Names:
-    """Names to small indices, in the order in which the wire first gave them."""
+    """Maps names to small indices, in the order in which the names were first seen."""
 
     def __init__(self, names: Iterable[str] = ()) -> None:
         self.index: dict[str, int] = {}
@@ -21,35 +21,35 @@
 
 
 class Indices:
-    """Ids to small indices that are reused, the last freed first."""
+    """Maps ids to small indices, which are reused; the last freed index is used first."""
 
     def __init__(self) -> None:
-        self.of: dict[Hashable, int] = {}
+        self.index_of: dict[Hashable, int] = {}
         self.names: list[Hashable | None] = []
         self.free: list[int] = []
 
     def add(self, name: Hashable) -> int:
         """The index of an id; a new id gets a free one."""
-        if name in self.of:
-            return self.of[name]
+        if name in self.index_of:
+            return self.index_of[name]
         if self.free:
             index = self.free.pop()
             self.names[index] = name
         else:
             index = len(self.names)
             self.names.append(name)
-        self.of[name] = index
+        self.index_of[name] = index
         return index
 
-    def drop(self, name: Hashable) -> None:
+    def remove(self, name: Hashable) -> None:
         """Frees an id's index."""
-        index = self.of.pop(name)
+        index = self.index_of.pop(name)
         self.names[index] = None
         self.free.append(index)
 
 
 class ListedEngine(NamedTuple):
-    """An engine's entry in the endpoint list, but for its state."""
+    """An engine's entry in the endpoint list, without its state."""
 
     zone: str | None
     kind: str | None
@@ -59,14 +59,14 @@
 
 
 class IdRegistry:
-    """Which query and which engine an index stands for, and when it may stand for another."""
+    """Knows the query or engine of each index, and when the index may be reused."""
 
-    def __init__(self, params: Any, fronts: Iterable[Iterable[str]] = ()) -> None:
-        """params: the settings. fronts: for each client protocol, the kinds of engines that its queries may
-        go to, by name; none: all kinds for all.
+    def __init__(self, params: Any, protocol_kinds: Iterable[Iterable[str]] = ()) -> None:
+        """params: the settings. protocol_kinds: for each client protocol, the names of the kinds of engines
+        that may run its queries; empty: every kind may run all queries.
 
-        With fronts each resource group is repeated for each client protocol: which engines may run a query
-        depends on the protocol by which it arrived, and placement by resource group covers that.
+        With protocol_kinds, each resource group is repeated for each client protocol: which engines may run a
+        query depends on the protocol of its client, and placement decides by resource group.
         """
         settings = root_section(params)
         settings.required("classes")
@@ -76,14 +76,14 @@
         self.tenants = Names(tenant.text("name") for tenant in settings.sections("accounts"))
         self.deployment = deployment(settings, self.zones, self.kinds)
         self.group_names = list(self.groups.index)
-        if fronts:
-            self._repeat_groups([frozenset(map(self.kinds, front)) for front in fronts])
+        if protocol_kinds:
+            self._repeat_groups([frozenset(map(self.kinds, kinds)) for kinds in protocol_kinds])
         self.queries = Indices()
         self.engines = Indices()
-        self.open: dict[int, int] = {}  # by query: attempts that have not ended
-        self.over: set[int] = set()  # queries that have their final answer
-        self.sent: dict[str, int] = {}  # by engine: attempts that have not ended
-        self.listed: dict[str, ListedEngine] = {}
+        self.open_attempts: dict[int, int] = {}  # by query: the number of attempts that have not ended
+        self.answered_queries: set[int] = set()  # that have their final answer
+        self.attempts_in_flight: dict[str, int] = {}  # by engine
+        self.listed_engines: dict[str, ListedEngine] = {}
 
     def _repeat_groups(self, allowed_kinds: list[frozenset[int]]) -> None:
         self.group_names *= len(allowed_kinds)
@@ -98,18 +98,18 @@
     def add_query(self, name: Hashable) -> int:
         """The index of a new query."""
         query = self.queries.add(name)
-        self.open[query] = 0
+        self.open_attempts[query] = 0
         return query
 
     def attempt_started(self, query: int, engine_name: str) -> None:
-        """An attempt of a query is in flight on an engine."""
-        self.open[query] += 1
-        self.sent[engine_name] += 1
+        """Counts an attempt of a query that was sent to an engine."""
+        self.open_attempts[query] += 1
+        self.attempts_in_flight[engine_name] += 1
 
     def attempt_ended(self, query: int, engine_name: str) -> None:
-        """An attempt of a query has ended."""
-        self.open[query] -= 1
-        self.sent[engine_name] -= 1
+        """Counts an attempt of a query that has ended."""
+        self.open_attempts[query] -= 1
+        self.attempts_in_flight[engine_name] -= 1
 
     def update_engine(
         self,
@@ -121,15 +121,15 @@
         started: float | None,
         weight: float | None,
     ) -> EngineUpdated | None:
-        """The event for an entry of the endpoint list; None for an unknown engine that has gone."""
-        if state == EngineState.GONE and name not in self.engines.of:
+        """The event for an entry of the endpoint list; None if an engine that was not known has gone."""
+        if state == EngineState.GONE and name not in self.engines.index_of:
             return None
         engine = self.engines.add(name)
-        self.sent.setdefault(name, 0)
+        self.attempts_in_flight.setdefault(name, 0)
         if state == EngineState.GONE:
-            self.listed.pop(name, None)
+            self.listed_engines.pop(name, None)
         else:
-            self.listed[name] = ListedEngine(zone, kind, cell, started, weight)
+            self.listed_engines[name] = ListedEngine(zone, kind, cell, started, weight)
         return EngineUpdated(
             engine,
             name.encode(),
@@ -142,19 +142,23 @@
         )
 
     def remove_missing(self, names: set[str]) -> Iterator[EngineUpdated]:
-        """The events for engines that a full endpoint list no longer has."""
-        for name in [name for name in self.listed if name not in names]:
-            yield self.update_engine(name, EngineState.GONE, *self.listed[name])
+        """The events for engines that are missing from a full endpoint list; names: those in the list."""
+        for name in [name for name in self.listed_engines if name not in names]:
+            yield self.update_engine(name, EngineState.GONE, *self.listed_engines[name])
 
     def release(self) -> list[str]:
-        """Frees indices that are no longer needed; the names of engines that were freed."""
-        for query in sorted(self.over):
-            if not self.open[query]:
-                self.over.discard(query)
-                del self.open[query]
-                self.queries.drop(self.queries.names[query])
-        gone = [name for name, count in self.sent.items() if not count and name not in self.listed]
+        """Frees indices that are no longer needed. Returns the names of engines whose indices were freed."""
+        for query in sorted(self.answered_queries):
+            if not self.open_attempts[query]:
+                self.answered_queries.discard(query)
+                del self.open_attempts[query]
+                self.queries.remove(self.queries.names[query])
+        gone = [
+            name
+            for name, count in self.attempts_in_flight.items()
+            if not count and name not in self.listed_engines
+        ]
         for name in gone:
-            del self.sent[name]
-            self.engines.drop(name)
+            del self.attempts_in_flight[name]
+            self.engines.remove(name)
         return gone
--- a/wickvane/net/decider.py
+++ b/wickvane/net/decider.py
@@ -13,7 +13,7 @@
     ShutdownStarted,
     TimerFired,
 )
-from wickvane.net.exchange import DEFERRED, KILLED, Attempt
+from wickvane.net.exchange import FAILED, REJECTED, Attempt
 from wickvane.net.queues import EngineQueue
 from wickvane.scheduling.scheduler import Scheduler
 
@@ -62,7 +62,7 @@
         """After a standstill of the whole process, what came meanwhile is read by threads that wake in any
         order: without them all, a key's order could be turned, and engines judged whose answers are in."""
         now = self.clock.now()
-        late = max((now - item[1].arrived for item in items if item[0] == "taken"), default=0)
+        late = max((now - item[1].arrived_at for item in items if item[0] == "taken"), default=0)
         if self.alarms:
             late = max(late, now - self.alarms[0][0])
         for _ in range(SETTLES if late > LATE else 0):
@@ -77,7 +77,9 @@
         # The module is told a time at which all that it hears of had happened.
         began = self.now = max(self.now, self.clock.now())
         # Which thread woke first says nothing of which query came first: the sockets' own stamps do.
-        taken = sorted((item[1] for item in items if item[0] == "taken"), key=lambda pending: pending.arrived)
+        taken = sorted(
+            (item[1] for item in items if item[0] == "taken"), key=lambda pending: pending.arrived_at
+        )
         for pending in self.in_turn(taken, began):
             self.taken(pending)
         for kind, *rest in items:
@@ -89,11 +91,15 @@
         if not events:
             return
         self.decide(iter(events))
-        over = [self.registry.queries.names[q] for q in self.registry.over if not self.registry.open[q]]
+        over = [
+            self.registry.queries.names[q]
+            for q in self.registry.answered_queries
+            if not self.registry.open_attempts[q]
+        ]
         for name in self.registry.release():
             self.close(name)
         for pending in over:
-            self.exchange.forget(pending)
+            self.exchange.release_id(pending)
         self.counters.add("rounds")
         self.longest = max(self.longest, self.clock.now() - began)
 
@@ -121,37 +127,37 @@
         """Holds back what has a key for as long as queries lately took to be read: under more load than the
         core bears, one that came before it may not have been."""
         faded = self.lag - (now - self.lag_at) // LAG_FADES
-        self.lag = max([faded] + [now - pending.arrived for pending in taken])
+        self.lag = max([faded] + [now - pending.arrived_at for pending in taken])
         self.lag_at = now
         for pending in taken:
             if pending.key is None or self.lag <= KEY_APART and not self.held:
                 yield pending
             else:
                 self.held.append(pending)
-        self.held.sort(key=lambda pending: pending.arrived)
-        while self.held and now >= self.held[0].arrived + self.lag - KEY_APART:
+        self.held.sort(key=lambda pending: pending.arrived_at)
+        while self.held and now >= self.held[0].arrived_at + self.lag - KEY_APART:
             pending = self.held.pop(0)
             if pending.answer is None:
                 yield pending
             else:
-                self.exchange.forget(pending)
+                self.exchange.release_id(pending)
         if self.held:
-            self.set_timer(0, max(now + 1, self.held[0].arrived + self.lag - KEY_APART))
+            self.set_timer(0, max(now + 1, self.held[0].arrived_at + self.lag - KEY_APART))
 
     def taken(self, pending, again=False):
         """A query of a client."""
-        pending.q = self.registry.add_query(pending)
-        pending.stages["taken"] = self.now
+        pending.index = self.registry.add_query(pending)
+        pending.stage_times["taken"] = self.now
         self.events.append(
             QueryArrived(
-                pending.q,
+                pending.index,
                 pending.resource_group,
                 pending.tenant,
                 pending.cost,
                 pending.memory,
                 pending.table_group,
                 pending.key,
-                max(0, pending.limit - self.now),
+                max(0, pending.deadline - self.now),
                 again,
             )
         )
@@ -161,10 +167,10 @@
     def ended(self, attempt, ending, elapsed, complete):
         """The ending of an attempt."""
         pending = attempt.pending
-        self.registry.attempt_ended(pending.q, attempt.queue.name)
+        self.registry.attempt_ended(pending.index, attempt.queue.name)
         self.events.append(
             AttemptEnded(
-                pending.q,
+                pending.index,
                 attempt.number,
                 attempt.engine,
                 ending,
@@ -176,17 +182,17 @@
             )
         )
         if complete:
-            self.registry.over.add(pending.q)
+            self.registry.answered_queries.add(pending.index)
         self.counters.add(f"ending-{ENDINGS[ending]}")
         if self.observer is not None:
             self.observer.attempt_ended(attempt, ending, elapsed)
 
     def left(self, pending):
         """A client that has gone."""
-        registry, q = self.registry, pending.q
-        if q >= 0 and q in registry.open and registry.queries.names[q] is pending:
+        registry, q = self.registry, pending.index
+        if q >= 0 and q in registry.open_attempts and registry.queries.names[q] is pending:
             self.events.append(ClientGone(q))
-            registry.over.add(q)
+            registry.answered_queries.add(q)
 
     def listed(self, whole, entries):
         """A change of the engine list, or all of it."""
@@ -194,7 +200,7 @@
             gone = list(self.registry.remove_missing({entry[0] for entry in entries}))
             self.events.extend(gone)
             for event in gone:
-                self.change_queue(event.rank.decode(), EngineState.GONE, None, 0)
+                self.change_queue(event.wire_id.decode(), EngineState.GONE, None, 0)
         for name, address, state, zone, kind, cell, started, weight in entries:
             event = self.registry.update_engine(name, state, zone, kind, cell, started, weight)
             if event:
@@ -215,7 +221,7 @@
             # address: where its machine has vanished, they stay open and silent.
             if queue:
                 queue.put(("close",), always=True)
-            self.queues[name] = EngineQueue(name, address, started, speaks, self.exchange.calls)
+            self.queues[name] = EngineQueue(name, address, started, speaks, self.exchange.ready_queue)
         elif started and queue.started != started:
             queue.started = started
             queue.put(("restarted", started), always=True)
@@ -244,45 +250,45 @@
         pending, name = self.registry.queries.names[q], self.registry.engines.names[engine]
         if self.observer is not None:
             self.observer.attempt_started(name)
-        until = min(pending.limit, self.now + max_wait) if max_wait else pending.limit
+        until = min(pending.deadline, self.now + max_wait) if max_wait else pending.deadline
         queue = self.queues.get(name)
-        pending.attempt = Attempt(pending, pending.count, engine, queue, self.now, until, start_by)
-        pending.count += 1
+        pending.attempt = Attempt(pending, pending.attempt_count, engine, queue, self.now, until, start_by)
+        pending.attempt_count += 1
         self.registry.attempt_started(q, name)
-        pending.stages.setdefault("submitted", self.now)
+        pending.stage_times.setdefault("submitted", self.now)
         self.counters.add("submissions")
         if queue is None or not queue.put(("ask", pending.attempt)):
-            self.exchange.end(pending.attempt, Ending.NOT_SENT)
+            self.exchange.end_attempt(pending.attempt, Ending.NOT_SENT)
 
     def reject(self, q, retry_after):
         """Writer: a query is refused, and may be sent again."""
         pending = self.registry.queries.names[q]
         if self.observer is not None:
             self.observer.query_rejected(pending)
-        pending.away = retry_after  # ahead of the answer, which its session may send at once
-        self.exchange.settle(pending, DEFERRED)
-        self.registry.over.add(q)
+        pending.retry_after = retry_after  # ahead of the answer, which its session may send at once
+        self.exchange.set_answer(pending, REJECTED)
+        self.registry.answered_queries.add(q)
 
     def fail(self, q):
         """Writer: a query has failed."""
         pending = self.registry.queries.names[q]
         if self.observer is not None:
             self.observer.query_failed(pending)
-        self.exchange.settle(pending, KILLED)
-        self.registry.over.add(q)
+        self.exchange.set_answer(pending, FAILED)
+        self.registry.answered_queries.add(q)
 
     def cancel_attempt(self, q, number):
         """Writer: an attempt is given up, if it is the one that is out."""
         attempt = self.registry.queries.names[q].attempt
-        if attempt is not None and attempt.number == number and not attempt.over and attempt.queue:
+        if attempt is not None and attempt.number == number and not attempt.has_ended and attempt.queue:
             attempt.queue.put(("quit", attempt), always=True)
 
     def set_terms(self, q, priority, grant):
         """Writer: a query's priority, which an attempt that is out is told too."""
         pending = self.registry.queries.names[q]
-        pending.urgency = priority
+        pending.priority = priority
         attempt = pending.attempt
-        if attempt is not None and not attempt.over and attempt.queue:
+        if attempt is not None and not attempt.has_ended and attempt.queue:
             attempt.queue.put(("terms", attempt))
 
     def set_timer(self, token, at):
--- a/wickvane/net/exchange.py
+++ b/wickvane/net/exchange.py
@@ -1,8 +1,8 @@
-"""Where the client side and the engine side meet, and the only place. Neither knows of the other.
+"""The only connection between the client side and the engine side, which are independent of each other.
 
-A session puts a PendingQuery in and waits on it. The decider takes what came in from the inbox and writes
-orders into queues, one an engine; the engines' thread takes orders from them and brings endings back. Nothing
-in here waits on a peer, and every queue in it has its bound.
+A session submits a PendingQuery and waits for its answer. The decider takes messages from the inbox and
+writes orders into one queue per engine; the engines' thread takes the orders and reports how each attempt
+ended. Nothing in this module waits for a peer, and every queue is bounded.
 """
 
 from threading import Lock
@@ -11,19 +11,26 @@
 from wickvane.events import Ending
 from wickvane.net.queues import BoundedQueue, ReadyQueue
 
-FINISHED, DEFERRED, KILLED, LEFT = "finished", "deferred", "killed", "left"
-INBOX_MOST = 20_000
-STOPS = "57P03"  # the SQLSTATE of what a dispatcher that ends does not take
+FINISHED, REJECTED, FAILED, CLIENT_GONE = "finished", "deferred", "killed", "left"
+MAX_INBOX_SIZE = 20_000
+SHUTDOWN_SQLSTATE = "57P03"  # of queries that a dispatcher rejects while it shuts down
 
 
 class PendingQuery:
-    """A query between its session and its engines."""
+    """A query between its session and its engines.
+
+    Fields besides those that the statement reader gives: arrived_at, deadline: in ticks; index: in the
+    IdRegistry, -1 until the decider has taken the query; priority: sent to engines, -1 for none; attempt: the
+    last one; tried_connections: those on which an attempt was sent; result: the pages or the stream of the
+    answer; stage_times: when each stage in the log line was reached, in ticks; error_text: of the engine's
+    error; retry_after: sent to the client, in ticks; answer_ready: held until the query has its answer.
+    """
 
     __slots__ = (
         "id",
         "resource_group",
         "verb",
-        "limit",
+        "deadline",
         "tenant",
         "token",
         "key",
@@ -32,174 +39,197 @@
         "table_group",
         "body",
         "tag",
-        "arrived",
-        "q",
-        "count",
-        "urgency",
+        "arrived_at",
+        "index",
+        "attempt_count",
+        "priority",
         "attempt",
-        "asked_on",
+        "tried_connections",
         "answer",
-        "pages",
-        "ready",
-        "stages",
-        "why",
-        "away",
-        "source",
-        "client",
+        "result",
+        "answer_ready",
+        "stage_times",
+        "error_text",
+        "retry_after",
+        "client_address",
+        "session",
     )
 
-    def __init__(self, arrived, limit, **read):
-        for name, value in read.items():
+    def __init__(self, arrived_at, limit, **fields):
+        for name, value in fields.items():
             setattr(self, name, value)
-        self.arrived, self.limit = arrived, arrived + limit
-        self.q, self.count, self.urgency, self.attempt, self.asked_on = -1, 0, -1, None, []
-        self.answer, self.pages, self.stages, self.why = None, None, {}, ""
-        self.away, self.source = 0, None
-        self.client = None  # its session, which tells whether the client is still connected
-        self.ready = Lock()
-        self.ready.acquire()
+        self.arrived_at, self.deadline = arrived_at, arrived_at + limit
+        self.index, self.attempt_count, self.priority, self.attempt, self.tried_connections = (
+            -1,
+            0,
+            -1,
+            None,
+            [],
+        )
+        self.answer, self.result, self.stage_times, self.error_text = None, None, {}, ""
+        self.retry_after, self.client_address = 0, None
+        self.session = None  # knows whether the client is still connected
+        self.answer_ready = Lock()
+        self.answer_ready.acquire()
 
 
 class Attempt:
-    """One attempt. start_by: when its first byte has to be on its way, or it is not sent any more."""
+    """One attempt of a query on one engine; times are ticks.
+
+    deadline: when the attempt is abandoned; start_by: it is not sent if its first byte has not been written
+    by then; written: whether its first byte has been written; pages: of a result in pages, None before the
+    first part of the answer; answered_at: when that part was received, 0 before; work, memory: as the engine
+    reports them.
+    """
 
     __slots__ = (
         "pending",
         "number",
         "engine",
         "queue",
-        "at",
-        "until",
+        "started_at",
+        "deadline",
         "start_by",
-        "over",
+        "has_ended",
         "written",
         "pages",
-        "told",
+        "answered_at",
         "work",
         "memory",
     )
 
-    def __init__(self, pending, number, engine, queue, at, until, start_by=None):
+    def __init__(self, pending, number, engine, queue, started_at, deadline, start_by=None):
         self.pending, self.number, self.engine, self.queue = pending, number, engine, queue
-        self.at, self.until, self.over, self.written = at, until, False, False
-        self.start_by = until if start_by is None else min(until, start_by)
-        self.pages, self.told, self.work, self.memory = None, 0, 0, 0
+        self.started_at, self.deadline, self.has_ended, self.written = started_at, deadline, False, False
+        self.start_by = deadline if start_by is None else min(deadline, start_by)
+        self.pages, self.answered_at, self.work, self.memory = None, 0, 0, 0
 
 
 class Exchange:
-    """Queries and attempts between sessions, the decider and the engines' thread."""
+    """Passes queries and attempts between sessions, the decider and the engines' thread."""
 
     def __init__(self, clock, counters):
         self.clock, self.counters, self.lock = clock, counters, Lock()
-        self.inbox, self.calls = BoundedQueue(INBOX_MOST), ReadyQueue()
-        self.cancels, self.open, self.next_pid, self.groups = {}, set(), 0, []
-        self.storm = 0  # the number of the retry storm that lasts, 0 for none
+        self.inbox, self.ready_queue = BoundedQueue(MAX_INBOX_SIZE), ReadyQueue()
+        self.cancel_keys, self.open_ids, self.next_pid, self.resource_groups = {}, set(), 0, []
+        self.storm_number = 0  # of the current retry storm; 0: there is none
         self.closed = False
 
     # Clients
 
-    def take(self, pending):
-        """A session's query, for the decider; RequestRejected where it is not taken."""
+    def submit(self, pending):
+        """Passes a session's query to the decider; raises RequestRejected if it is not accepted."""
         with self.lock:
             if self.closed:
-                raise RequestRejected(STOPS, "the dispatcher stops; it may be sent again")
-            if pending.id in self.open:
-                # Not of class 53: that would tell that trying again is harmless, and the open one may run.
+                raise RequestRejected(SHUTDOWN_SQLSTATE, "the dispatcher stops; it may be sent again")
+            if pending.id in self.open_ids:
+                # Not of class 53, which says that a retry is harmless: the open query may be running.
                 raise RequestRejected("55000", "a query with this txn is open")
-            self.open.add(pending.id)
+            self.open_ids.add(pending.id)
         if not self.inbox.put(("taken", pending)):
             with self.lock:
-                self.open.discard(pending.id)
+                self.open_ids.discard(pending.id)
             raise RequestRejected("53000", "too much is waiting to be decided on")
         self.counters.add("taken")
 
     def close(self):
-        """Takes no query from here on: each is told that it may be sent again."""
+        """Rejects all further queries, with an error which says that they may be sent again."""
         with self.lock:
             self.closed = True
 
     def may_start(self, attempt):
-        """Whether an attempt may still begin, asked right before its first byte is written. What was true
-        when it was decided may not be any more: it waited for a connection, or its client has gone."""
+        """Whether an attempt may still start; called right before its first byte is written.
+
+        Since it was decided on, it may have waited too long for a connection, or its client may have
+        disconnected.
+        """
         pending = attempt.pending
         if pending.answer is not None or self.clock.now() >= attempt.start_by:
             return False
-        if pending.client is not None and pending.client.has_gone():
+        if pending.session is not None and pending.session.has_gone():
             self.counters.add("clients-gone-before-an-attempt")
-            self.leave(pending)
+            self.abandon(pending)
             return False
         return True
 
-    def leave(self, pending, answer=LEFT):
-        """The client has gone: nothing is owed, and the decider hears of it."""
-        if self.settle(pending, answer):
+    def abandon(self, pending, answer=CLIENT_GONE):
+        """Ends a query without an engine's answer and notifies the decider, unless it already has an answer.
+
+        answer: CLIENT_GONE if the client has gone, FAILED if the query is overdue.
+        """
+        if self.set_answer(pending, answer):
             self.inbox.put(("left", pending), always=True)
 
-    def cancel_key(self, session, secret):
-        """A new process id under which a session's query can be cancelled with this secret."""
+    def add_cancel_key(self, session, secret):
+        """Registers a secret; returns the process id with which it cancels the session's query."""
         with self.lock:
             self.next_pid += 1
             pid = self.next_pid & 0x7FFFFFFF
-            self.cancels[pid] = (secret, session)
+            self.cancel_keys[pid] = (secret, session)
         return pid
 
-    def drop_key(self, pid):
-        """The session of this process id has ended."""
+    def remove_cancel_key(self, pid):
+        """Removes the cancel key of a session that has ended."""
         with self.lock:
-            self.cancels.pop(pid, None)
+            self.cancel_keys.pop(pid, None)
 
     def cancel(self, pid, secret):
-        """Takes back the query of a session, by its key; whether there was one."""
+        """Cancels the query of the session with this cancel key. Returns whether there was one."""
         with self.lock:
-            known, session = self.cancels.get(pid, (None, None))
-            pending = session.pending if known == secret and session else None
+            known_secret, session = self.cancel_keys.get(pid, (None, None))
+            pending = session.pending if known_secret == secret and session else None
         if pending is not None:
-            self.leave(pending)
+            self.abandon(pending)
         return pending is not None
 
-    # Answers: the first one stands.
+    # Answers: a query keeps its first one.
 
-    def settle(self, pending, answer, pages=None):
-        """Gives a query its answer; False where it has one already."""
+    def set_answer(self, pending, answer, result=None):
+        """Gives a query its answer and wakes its session. Returns False if it already has one."""
         with self.lock:
             if pending.answer is not None:
                 return False
-            pending.answer, pending.pages = answer, pages
-        pending.ready.release()
+            pending.answer, pending.result = answer, result
+        pending.answer_ready.release()
         return True
 
-    def forget(self, pending):
-        """The query's id may be used again."""
+    def release_id(self, pending):
+        """Lets clients use the query's id again."""
         with self.lock:
-            self.open.discard(pending.id)
+            self.open_ids.discard(pending.id)
 
     # Engines
 
-    def begin(self, attempt, pipe):
-        """The result is too long to be gathered: from here on it is the client's, and there is no other
-        try."""
+    def start_streaming(self, attempt, stream):
+        """Answers with a result that is too long to be buffered, as it comes; no further attempt is possible.
+
+        Returns False if the attempt has ended or the query already has its answer.
+        """
         pending = attempt.pending
         with self.lock:
-            if attempt.over or pending.answer is not None:
+            if attempt.has_ended or pending.answer is not None:
                 return False
-            pending.answer, pending.pages = FINISHED, pipe
-        pending.ready.release()
+            pending.answer, pending.result = FINISHED, stream
+        pending.answer_ready.release()
         return True
 
-    def end(self, attempt, ending, elapsed=None, pages=None):
-        """An attempt's one ending; a whole result goes to the client if none has gone there."""
+    def end_attempt(self, attempt, ending, elapsed=None, result=None):
+        """Records how an attempt ended, once; a complete result becomes the answer if the query has none.
+
+        elapsed: ticks since the start of the attempt; None: up to now.
+        """
         pending = attempt.pending
         with self.lock:
-            if attempt.over:
+            if attempt.has_ended:
                 return
-            attempt.over, attempt.pages = True, None
+            attempt.has_ended, attempt.pages = True, None
             complete = pending.answer is not None
             if ending == Ending.FINISHED and not complete:
-                pending.answer, pending.pages, complete = FINISHED, pages, True
+                pending.answer, pending.result, complete = FINISHED, result, True
             else:
-                pages = None
+                result = None
         if elapsed is None:
-            elapsed = self.clock.now() - attempt.at
+            elapsed = self.clock.now() - attempt.started_at
         self.inbox.put(("ended", attempt, ending, elapsed, complete), always=True)
-        if pages is not None:
-            pending.ready.release()
+        if result is not None:
+            pending.answer_ready.release()
--- a/wickvane/net/front.py
+++ b/wickvane/net/front.py
@@ -77,7 +77,7 @@
         if self.pending:
             self.leave()
         if self.pid:
-            self.exchange.drop_key(self.pid)
+            self.exchange.remove_cancel_key(self.pid)
         if last:
             self.farewell(last)
         self.sock.close()
@@ -215,10 +215,10 @@
         try:
             self.queries += 1
             pending = ex.PendingQuery(arrived, **self.reader.read(text, **marks))
-            pending.source, pending.client = self.peer, self
+            pending.client_address, pending.session = self.peer, self
             self.claim((pending.resource_group, pending.tenant))
             self.pending = pending
-            self.exchange.take(pending)
+            self.exchange.submit(pending)
         except RequestRejected as rejected:
             self.pending = None
             self.counters.add("statements-unusable")
@@ -240,14 +240,16 @@
 
     def wait(self, pending):
         """Until the query has an answer, its client has gone, or its time is long over."""
-        due = pending.limit + OVERDUE
+        due = pending.deadline + OVERDUE
         look_s = self.peek_s or PEEK_S
-        while not pending.ready.acquire(timeout=max(0.001, min(look_s, (due - self.clock.now()) / 10_000))):
+        while not pending.answer_ready.acquire(
+            timeout=max(0.001, min(look_s, (due - self.clock.now()) / 10_000))
+        ):
             if self.vanished():
-                self.exchange.leave(pending)
+                self.exchange.abandon(pending)
             elif self.clock.now() >= due:
                 self.counters.add("overdue")
-                self.exchange.leave(pending, ex.KILLED)
+                self.exchange.abandon(pending, ex.FAILED)
 
     def has_gone(self):
         """Whether the client has closed or reset its connection, also behind what it sent before. From any
@@ -261,24 +263,24 @@
 
     def answer(self, pending):
         """Writes the answer in the protocol's words."""
-        kind, storm = pending.answer, self.exchange.storm
+        kind, storm = pending.answer, self.exchange.storm_number
         if storm and storm != self.warned:
             # Once a storm and connection, and with an answer: nobody reads before one.
             self.warned = storm
             self.warn()
             self.counters.add("storm-notices")
-        if isinstance(pending.pages, ResultStream):
-            self.stream(pending, pending.pages)
+        if isinstance(pending.result, ResultStream):
+            self.stream(pending, pending.result)
             return
         try:
             kind, data, messages = self.answered(pending, kind)
         finally:
-            pending.pages = None
+            pending.result = None
         try:
             self.sock.settimeout(WRITE_S)
             self.put(data, (pending.resource_group, pending.tenant), messages, ANSWERS[kind])
         except OSError:
-            kind = ex.LEFT
+            kind = ex.CLIENT_GONE
             self.count_left(pending)
             raise
         finally:
@@ -289,7 +291,7 @@
         """A long result as it comes; where it breaks off, the client is told so, and that is its final
         answer."""
         kind, size, key, form = (
-            ex.KILLED,
+            ex.FAILED,
             0,
             (pending.resource_group, pending.tenant),
             self.streaming(pending),
@@ -310,20 +312,20 @@
                 kind = ex.FINISHED
             self.put(form.broken() if pipe.broken else form.end(), key, 1, ANSWERS[kind])
         except (OSError, Ended, ValueError):
-            kind = ex.LEFT
+            kind = ex.CLIENT_GONE
             self.count_left(pending)
             raise
         finally:
             pipe.close()
-            pending.pages, self.pending = None, None
+            pending.result, self.pending = None, None
             self.done(pending, kind, size)
 
     def leave(self):
         """The connection ended with a query open."""
         pending, self.pending = self.pending, None
-        self.exchange.leave(pending)
+        self.exchange.abandon(pending)
         self.count_left(pending)
-        self.done(pending, ex.LEFT, 0)
+        self.done(pending, ex.CLIENT_GONE, 0)
 
     def count_left(self, pending):
         """Tells the flow accounts of a query whose client left."""
@@ -335,34 +337,34 @@
                 REVERSE,
                 0,
                 0,
-                ANSWERS[ex.LEFT],
+                ANSWERS[ex.CLIENT_GONE],
             )
 
     @staticmethod
     def advice(pending):
         """How long a client whose query is deferred is told to stay away, in milliseconds; 0: not told."""
-        return -(-pending.away // 10)
+        return -(-pending.retry_after // 10)
 
     def done(self, pending, kind, size):
         """Counts a query that has its final answer, and logs it."""
         self.counters.add(kind)
-        if kind == ex.DEFERRED and pending.away:
+        if kind == ex.REJECTED and pending.retry_after:
             self.counters.add("advised")
             self.counters.add("advised-ms", self.advice(pending))
         self.counters.add("bytes-answered", size)
-        now, begin, last = self.clock.now(), pending.arrived, pending.attempt
+        now, begin, last = self.clock.now(), pending.arrived_at, pending.attempt
         self.log.line(
             "query",
             txn=pending.id,
             resource_group=pending.verb,
             answer=kind,
-            submissions=pending.count,
+            submissions=pending.attempt_count,
             engine=last.queue.name if last and last.queue else None,
             table_group=pending.table_group,
             cost=pending.cost / 10,
             took=(now - begin) / 10,
-            limit=(pending.limit - begin) / 10,
-            **{stage: (at - begin) / 10 for stage, at in pending.stages.items()},
+            limit=(pending.deadline - begin) / 10,
+            **{stage: (at - begin) / 10 for stage, at in pending.stage_times.items()},
         )
 
     # What a protocol says
--- a/wickvane/net/lines/connection.py
+++ b/wickvane/net/lines/connection.py
@@ -169,7 +169,7 @@
                 and len(self.open) < self.link.streams
                 and attempt.pending.id not in self.open
                 and attempt.pending.id not in self.past
-                and self not in attempt.pending.asked_on
+                and self not in attempt.pending.tried_connections
                 and (self.open or now - self.used < self.link.idle_time)
             )
 
@@ -181,7 +181,7 @@
                 return False
             if order[0] == "ask":
                 self.open[order[1].pending.id] = order[1]
-                order[1].pending.asked_on.append(self)
+                order[1].pending.tried_connections.append(self)
                 self.used = self.link.clock.now()
             self.outbox.append(order)
             failure, dropped = self.flush() if self.up and not self.rest else (None, ())
@@ -273,13 +273,18 @@
     def fields(self, attempt):
         """What an engine is told of a query beside its id and statement, as it leaves; None for one that does
         not any more."""
-        if attempt.over or self.open.get(attempt.pending.id) is not attempt:
+        if attempt.has_ended or self.open.get(attempt.pending.id) is not attempt:
             return None
         pending, now = attempt.pending, self.link.clock.now()
-        pending.stages.setdefault("asked", now)
+        pending.stage_times.setdefault("asked", now)
         token = b",uniq=" + pending.token if pending.token else b""
-        urgency = b",urgency=%d" % pending.urgency if pending.urgency >= 0 else b""
-        return b"queue=%b,budget=%d%b%b" % (pending.verb, max(1, (attempt.until - now) // 10), token, urgency)
+        urgency = b",urgency=%d" % pending.priority if pending.priority >= 0 else b""
+        return b"queue=%b,budget=%d%b%b" % (
+            pending.verb,
+            max(1, (attempt.deadline - now) // 10),
+            token,
+            urgency,
+        )
 
     def ask(self, attempt):
         """The bytes of an attempt; None where it does not leave any more."""
@@ -289,15 +294,15 @@
 
     def quit(self, attempt, ending):
         """The bytes that give an attempt up."""
-        if attempt.over or self.open.get(attempt.pending.id) is not attempt:
+        if attempt.has_ended or self.open.get(attempt.pending.id) is not attempt:
             return None
         return (b"FREE %b\r\n" if attempt.pages else b"QUIT %b\r\n") % attempt.pending.id
 
     def terms(self, attempt):
         """The bytes of a new priority."""
-        if attempt.over or not attempt.written or self.open.get(attempt.pending.id) is not attempt:
+        if attempt.has_ended or not attempt.written or self.open.get(attempt.pending.id) is not attempt:
             return None
-        return b"PRIO %b %d\r\n" % (attempt.pending.id, attempt.pending.urgency)
+        return b"PRIO %b %d\r\n" % (attempt.pending.id, attempt.pending.priority)
 
     def line(self, data, pending):
         """Bytes that are ready as they are."""
@@ -314,7 +319,7 @@
             if unwritten:
                 del self.open[attempt.pending.id]
         if unwritten:
-            self.link.exchange.end(attempt, Ending.NOT_SENT)
+            self.link.exchange.end_attempt(attempt, Ending.NOT_SENT)
         else:
             self.call_off(attempt, ending, at_once)
 
@@ -339,8 +344,8 @@
             if len(self.past) > PAST_MOST:
                 del self.past[next(iter(self.past))]
             self.used, idles = self.link.clock.now(), not self.open
-        elapsed = attempt.told - attempt.at if attempt.told else None
-        self.link.exchange.end(attempt, ending, elapsed, pages)
+        elapsed = attempt.answered_at - attempt.started_at if attempt.answered_at else None
+        self.link.exchange.end_attempt(attempt, ending, elapsed, pages)
         if idles:
             self.link.links.call(self)
 
@@ -473,11 +478,11 @@
         sheets = page_number(fields.get(b"sheets", b"1"))
         if not sheets or not is_page(body):
             raise ProtocolError("a result has no page that can be read")
-        attempt.told = self.link.clock.now()
+        attempt.answered_at = self.link.clock.now()
         attempt.work = int(figure(fields.get(b"toil", b"0"), 1e9) * 10)
         attempt.memory = figure(fields.get(b"room", b"0"), 1e9)
         attempt.pages = [body] + [None] * (sheets - 1)
-        attempt.pending.stages["hit"] = attempt.told
+        attempt.pending.stage_times["hit"] = attempt.answered_at
         if sheets > 1:
             self.put(
                 "line", b"".join(b"NEXT %b %d\r\n" % (txn, n) for n in range(1, sheets)), attempt.pending
@@ -532,7 +537,10 @@
             return "connect-timeout", "timed out"
         if self.midway and now - self.midway > STALL_TIME:
             return "malformed", "an answer stopped midway"
-        if any(attempt.told and now - attempt.told > PAGE_TIME for attempt in list(self.open.values())):
+        if any(
+            attempt.answered_at and now - attempt.answered_at > PAGE_TIME
+            for attempt in list(self.open.values())
+        ):
             return "page-missing", None
         return None
 
@@ -544,7 +552,7 @@
             # TDS has a thread that reads; both have the keeper write.
             self.link.links.watch(self, self.READS | WRITES)
             return now + LOOK
-        if self.midway or any(attempt.told for attempt in list(self.open.values())):
+        if self.midway or any(attempt.answered_at for attempt in list(self.open.values())):
             return now + LOOK
         return now + self.link.idle_time
 
@@ -571,7 +579,7 @@
             Ending.NOT_SENT if self.up or reason in OUR_DOING else Ending.NO_CONNECTION,
         )
         for attempt in subs:
-            link.exchange.end(
+            link.exchange.end_attempt(
                 attempt, lost if attempt is half else Ending.RESET if attempt.written else unwritten
             )
         link.ended(self)
--- a/wickvane/net/lines/links.py
+++ b/wickvane/net/lines/links.py
@@ -38,16 +38,20 @@
     def ask(self, attempt):
         """Sends an attempt over the best connection that takes it."""
         now = self.clock.now()
-        if attempt.over:
+        if attempt.has_ended:
             return
         # Decided before a standstill, what it counted on may be another's by now: links.stale.
-        if now >= attempt.until or attempt.pending.answer is not None or now - attempt.at >= self.links.stale:
-            self.exchange.end(attempt, Ending.NOT_SENT)
+        if (
+            now >= attempt.deadline
+            or attempt.pending.answer is not None
+            or now - attempt.started_at >= self.links.stale
+        ):
+            self.exchange.end_attempt(attempt, Ending.NOT_SENT)
             return
         # One that died meanwhile proves that nothing ran.
         place = next((c for c in self.candidates(attempt, now) if c.put("ask", attempt)), None)
         if place is None:
-            self.exchange.end(attempt, Ending.NOT_SENT)
+            self.exchange.end_attempt(attempt, Ending.NOT_SENT)
             return
         self.links.in_use(place)
         if not place.started:
@@ -55,7 +59,7 @@
             # Not before the order is in: one refused at once would end it as never sent, and the module would
             # not hear that the engine is down.
             place.start()
-        self.links.later(attempt.until, attempt)
+        self.links.later(attempt.deadline, attempt)
 
     def candidates(self, attempt, now):
         """The connections that may carry an attempt, best first. What one that is spoilt or reset takes along
@@ -156,7 +160,7 @@
         self.waits, self.count, self.most_waits = [], 0, WAITS_HELD
         # The connections that a descriptor's events are for; those that nothing is open on, longest first.
         self.watched, self.idle = {}, OrderedDict()
-        self.calls, self.bell = exchange.calls, exchange.calls.bell
+        self.calls, self.bell = exchange.ready_queue, exchange.ready_queue.bell
         self.poll = select.epoll()
         self.poll.register(self.bell.heard, select.EPOLLIN)
 
@@ -213,7 +217,7 @@
                 self.log.line("fault", error=f"{type(error).__name__}: {error}", where=f"link {kind}")
                 self.counters.add("faults")
                 if kind == "ask":
-                    self.exchange.end(rest[0], Ending.RESET if rest[0].written else Ending.NOT_SENT)
+                    self.exchange.end_attempt(rest[0], Ending.RESET if rest[0].written else Ending.NOT_SENT)
 
     # Times
 
@@ -229,9 +233,9 @@
             if not isinstance(what, Attempt):
                 what.look_at = None
                 self.look_at(what, now)
-            elif not what.over:
+            elif not what.has_ended:
                 # At the client's own limit nothing can follow, and the answer is due now.
-                what.queue.link.quit(what, Ending.NO_ANSWER, what.until >= what.pending.limit)
+                what.queue.link.quit(what, Ending.NO_ANSWER, what.deadline >= what.pending.deadline)
         if len(self.waits) > self.most_waits:
             # Long limits of queries that ended long ago would pile up behind one that is still out.
             self.waits = [wait for wait in self.waits if not over(wait[2])]
@@ -332,4 +336,4 @@
 
 def over(what):
     """Whether an attempt has ended, or a connection is dead."""
-    return what.over if isinstance(what, Attempt) else what.dead
+    return what.has_ended if isinstance(what, Attempt) else what.dead
--- a/wickvane/net/postgres/session.py
+++ b/wickvane/net/postgres/session.py
@@ -117,7 +117,7 @@
             names = b"".join(name + b"\0" for name in unknown)
             greeting = message(b"v", pack("!II", 0, len(unknown)) + names)
         secret = secrets.randbits(32)
-        self.pid = self.exchange.cancel_key(self, secret)
+        self.pid = self.exchange.add_cancel_key(self, secret)
         self.put(
             greeting
             + message(b"R", pack("!I", 0))
@@ -201,13 +201,13 @@
         """As Front."""
         if kind == ex.FINISHED:
             try:
-                if not pending.pages or not isinstance(pending.pages[0], bytes):
+                if not pending.result or not isinstance(pending.result[0], bytes):
                     return kind, *self.of_tokens(pending)
-                data, messages = result(pending.pages, pending.tag)
+                data, messages = result(pending.result, pending.tag)
                 return kind, data + READY, messages + 1
             except ValueError:
-                kind, data = ex.KILLED, error("XX000", "the engine's result cannot be read") + READY
-        elif kind == ex.DEFERRED:
+                kind, data = ex.FAILED, error("XX000", "the engine's result cannot be read") + READY
+        elif kind == ex.REJECTED:
             if self.stopping.is_set():
                 data = error("57P03", "deferred: the dispatcher stops; it may be sent again") + READY
             else:
@@ -219,7 +219,7 @@
                     )
                     + READY
                 )
-        elif kind == ex.KILLED:
+        elif kind == ex.FAILED:
             data = error("58000", "killed: it could not be finished, and may have run") + READY
         else:
             data = error("57014", "canceling statement due to user request") + READY
@@ -230,7 +230,7 @@
         from wickvane.net.tds.results import PostgresRows
 
         rows = PostgresRows()
-        return rows.encode(pending.pages) + rows.end(pending.tag) + READY, rows.count + 3
+        return rows.encode(pending.result) + rows.end(pending.tag) + READY, rows.count + 3
 
     def streaming(self, pending):
         """As Front."""
--- a/wickvane/net/service.py
+++ b/wickvane/net/service.py
@@ -119,11 +119,11 @@
     """The parts of a document in the order in which each is asked; nothing of another is imported."""
     if not documented:
         return []
-    from wickvane.parts import PARTS
+    from wickvane.parts import EXTENSION_MODULES
 
     made = (
-        (getattr(importlib.import_module(PARTS[name]), "At", None), documented[name])
-        for name in PARTS
+        (getattr(importlib.import_module(EXTENSION_MODULES[name]), "At", None), documented[name])
+        for name in EXTENSION_MODULES
         if name in documented
     )
     return [at(terms) for at, terms in made if at is not None]
@@ -151,7 +151,7 @@
         self.name, self.seed, self.fixed = found.get("name") or "", found.get("seed", 0), fixed(found)
         self.reader = Reader(self.registry)
         self.exchange = Exchange(self.clock, self.counters)
-        self.exchange.groups = self.registry.deployment.groups
+        self.exchange.resource_groups = self.registry.deployment.groups
         for part in self.parts:
             part.build(self, found)
         try:
@@ -315,12 +315,14 @@
         document = parts.read(parts_path)
         of = {part.name: part for part in self.parts}
         for name in set(document) ^ set(of):
-            if getattr(importlib.import_module(parts.PARTS[name]), "At", None) is not None:
-                raise parts.Unusable(f"{parts_path}: {name}: turning it on or off needs a restart")
+            if getattr(importlib.import_module(parts.EXTENSION_MODULES[name]), "At", None) is not None:
+                raise parts.InvalidDocumentError(
+                    f"{parts_path}: {name}: turning it on or off needs a restart"
+                )
         try:
             return [(part, document[name], part.check(document[name])) for name, part in of.items()]
-        except parts.Unusable as error:
-            raise parts.Unusable(f"{parts_path}: {error}") from None
+        except parts.InvalidDocumentError as error:
+            raise parts.InvalidDocumentError(f"{parts_path}: {error}") from None
 
     def show_counters(self, why):
         """A log line of all counters and of what the process holds."""
--- a/wickvane/net/shape.py
+++ b/wickvane/net/shape.py
@@ -2,8 +2,8 @@
 
 Below the service and all parts, so that either may import it. A part's module has read(node), which makes
 plain figures of the document, and the class At, which puts them to work in a dispatcher; a node that is no
-dispatcher's (control) has none. The service goes through its parts in the order of wickvane.parts.PARTS and
-knows none of them by name.
+dispatcher's (control) has none. The service goes through its parts in the order of
+wickvane.parts.EXTENSION_MODULES and knows none of them by name.
 """
 
 
@@ -37,12 +37,12 @@
         """All else runs."""
 
     def check(self, terms):
-        """At SIGHUP, before anything acts: parts.Unusable where `terms` need a restart. What it returns is
-        handed to change()."""
+        """At SIGHUP, before anything acts: parts.InvalidDocumentError where `terms` need a restart. What it
+        returns is handed to change()."""
         if terms != self.terms:
             from wickvane import parts  # only with a document: a dispatcher without one has nothing of it
 
-            raise parts.Unusable(f"{self.name}: a change of it needs a restart")
+            raise parts.InvalidDocumentError(f"{self.name}: a change of it needs a restart")
 
     def change(self, terms, ready):
         """All parts were checked: takes effect, and cannot fail."""
--- a/wickvane/net/storms.py
+++ b/wickvane/net/storms.py
@@ -96,9 +96,9 @@
             self.log.line(f"storm-{event}", **fields)
             self.counters.add(f"storm-{event}-{fields['kind']}")
             if fields["kind"] == StormState.STORM and event == "begins":
-                self.exchange.storm = self.storm.counts[StormState.STORM]
+                self.exchange.storm_number = self.storm.counts[StormState.STORM]
         if self.storm.state != StormState.STORM:
-            self.exchange.storm = 0
+            self.exchange.storm_number = 0
         if self.gate is None:
             return
         self.slowest = max(self.slowest, self.lag)
@@ -117,7 +117,7 @@
     def taken(self, pending, again=False):
         """As Decider; counts it, and tells the module where it is a repeat."""
         mark = self.mark(pending)
-        again = self.storm.record_arrival(self.now, mark, pending.source, pending.cost)
+        again = self.storm.record_arrival(self.now, mark, pending.client_address, pending.cost)
         super().taken(pending, again)
         if again:
             self.counters.add("repeats")
@@ -132,7 +132,7 @@
             pending = attempt.pending
             group = self.registry.deployment.groups[pending.resource_group]
             target = (
-                pending.arrived
+                pending.arrived_at
                 + group.latency_objective
                 + group.objective_stretch * pending.cost / group.threads
             )
--- a/wickvane/net/tds/connection.py
+++ b/wickvane/net/tds/connection.py
@@ -146,8 +146,8 @@
                 return
             del self.open[attempt.pending.id]
             self.used = self.link.clock.now()
-        elapsed = attempt.told - attempt.at if attempt.told else None
-        self.link.exchange.end(attempt, ending, elapsed, pages)
+        elapsed = attempt.answered_at - attempt.started_at if attempt.answered_at else None
+        self.link.exchange.end_attempt(attempt, ending, elapsed, pages)
         self.link.links.call(self)
 
     def idles(self) -> bool:
@@ -294,7 +294,7 @@
         answer.result = GatheredTokens()
         with self.lock:
             is_open = self.open.get(attempt.pending.id) is attempt
-            begins = is_open and self.link.exchange.begin(attempt, stream)
+            begins = is_open and self.link.exchange.start_streaming(attempt, stream)
             if begins:
                 self.stream = stream
                 self._change_state(BatchEvent.STREAM_BEGUN)
@@ -310,7 +310,7 @@
         # An attention that crossed the end of the answer is still to be acknowledged.
         awaits_acknowledgement = self.attention_sent and not acknowledged
         ending = self._ending(attempt, answer, acknowledged)
-        attempt.told = self.link.clock.now()
+        attempt.answered_at = self.link.clock.now()
         result = answer.result
         with self.lock:
             if awaits_acknowledgement:
@@ -326,7 +326,7 @@
         is_gathered = ending == Ending.FINISHED and stream is None
         self.drop(attempt, ending, result if is_gathered else None)
         if answer.error is not None and answer.error.severity >= errors.FATAL:
-            self.fail("engine-error", attempt.pending.why)
+            self.fail("engine-error", attempt.pending.error_text)
 
     def _ending(self, attempt, answer: BatchAnswer, acknowledged: bool) -> Ending:
         if acknowledged:
@@ -334,7 +334,7 @@
         if answer.error is None:
             return Ending.FINISHED
         number, _, severity, text = answer.error
-        attempt.pending.why = f"{number}: {text[:MAX_LOGGED_ERROR_CHARACTERS]}"
+        attempt.pending.error_text = f"{number}: {text[:MAX_LOGGED_ERROR_CHARACTERS]}"
         return errors.ending_of(number, severity)
 
     def fail(self, reason: str, detail: str | None = None) -> None:
--- a/wickvane/net/tds/extension.py
+++ b/wickvane/net/tds/extension.py
@@ -62,30 +62,30 @@
     acknowledge: int
 
 
-PATTERN_TEXT = parts.Kind(
+PATTERN_TEXT = parts.ValueType(
     "a text with * for any characters",
     lambda value: (
-        value if isinstance(value, str) and 0 < len(value) <= MAX_PATTERN_CHARACTERS else parts.refuse()
+        value if isinstance(value, str) and 0 < len(value) <= MAX_PATTERN_CHARACTERS else parts.reject_value()
     ),
 )
 
 
 def read(node: parts.Node) -> Tds:
-    """Reads the node; raises parts.Unusable where a value cannot be used."""
+    """Reads the node; raises parts.InvalidDocumentError where a value cannot be used."""
     listen = node.value("listen", parts.address)
-    encryption = node.value("encrypt", parts.word("off", "on", "required"), "off")
+    encryption = node.value("encrypt", parts.choice("off", "on", "required"), "off")
     certificate = node.value("certificate", parts.path)
     key = node.value("key", parts.path)
     if encryption != "off" and not certificate:
-        raise node.wrong("a certificate where TLS is on")
+        raise node.error("a certificate where TLS is on")
     users = _read_users(node, listen)
     rules = tuple(_read_rule(child) for child in node.children("rule"))
     engines = tuple(_read_engines(child) for child in node.children("engines"))
     if len({each.kind for each in engines}) < len(engines):
-        raise node.wrong("each kind of engines once")
+        raise node.error("each kind of engines once")
     return Tds(
         listen=listen,
-        connections=node.value("connections", parts.whole(1, MAX_CONNECTIONS), DEFAULT_CONNECTIONS),
+        connections=node.value("connections", parts.integer(1, MAX_CONNECTIONS), DEFAULT_CONNECTIONS),
         idle=node.value("idle", parts.duration("1s", "24h"), DEFAULT_IDLE),
         encryption=encryption,
         certificate=certificate,
@@ -104,9 +104,9 @@
         try:
             return authentication.read_password_file(path)
         except FileError as error:
-            raise node.wrong(str(error), path, "logins") from None
+            raise node.error(str(error), path, "logins") from None
     if listen and not ipaddress.ip_address(listen[0]).is_loopback:
-        raise node.wrong("a file of logins where others than this machine can connect")
+        raise node.error("a file of logins where others than this machine can connect")
     return None
 
 
@@ -115,11 +115,11 @@
         application=_read_pattern(node, "application"),
         database=_read_pattern(node, "database"),
         user=node.property("user", parts.name),
-        group=node.value("group", parts.name, needed=True),
+        group=node.value("group", parts.name, required=True),
         tenant=node.value("tenant", parts.name),
-        limit=str(node.value("limit", LIMIT, needed=True) // TICKS_PER_LIMIT_UNIT),
+        limit=str(node.value("limit", LIMIT, required=True) // TICKS_PER_LIMIT_UNIT),
     )
-    node.done()
+    node.reject_unknown()
     return rule
 
 
@@ -137,7 +137,7 @@
         database=node.value("database", parts.name, ""),
         postgres=node.value("takes-postgres", parts.flag, False),
     )
-    node.done()
+    node.reject_unknown()
     return engines
 
 
@@ -149,7 +149,7 @@
         with open(path) as file:
             return file.read(MAX_PASSWORD_SIZE).strip("\r\n")
     except (OSError, UnicodeDecodeError) as error:
-        raise node.wrong(f"a file that can be read ({error})", path, "password-file") from None
+        raise node.error(f"a file that can be read ({error})", path, "password-file") from None
 
 
 class At(shape.Part):
@@ -198,11 +198,11 @@
 
         for name in NEEDS_RESTART:
             if getattr(self.terms, name) != getattr(terms, name):
-                raise parts.Unusable(f"tds: {name}: another value needs a restart")
+                raise parts.InvalidDocumentError(f"tds: {name}: another value needs a restart")
         try:
             return load_tls_context(terms)
         except (OSError, ValueError) as error:
-            raise parts.Unusable(f"tds: certificate: its files cannot be used: {error}") from None
+            raise parts.InvalidDocumentError(f"tds: certificate: its files cannot be used: {error}") from None
 
     def change(self, terms: Tds, ready) -> None:
         """As shape.Part: new rules, logins and certificates."""
--- a/wickvane/net/tds/session.py
+++ b/wickvane/net/tds/session.py
@@ -294,8 +294,8 @@
 
     def answered(self, pending, kind: str) -> tuple[str, bytes, int]:
         """As Front."""
-        effect = self.exchange.groups[pending.resource_group].effect
-        if effect != Effect.READ_ONLY and kind in (ex.FINISHED, ex.KILLED):
+        effect = self.exchange.resource_groups[pending.resource_group].effect
+        if effect != Effect.READ_ONLY and kind in (ex.FINISHED, ex.FAILED):
             self.transaction.has_effects = True
         if self._is_cancelled:
             self._change_state(SessionEvent.ATTENTION_ACKNOWLEDGED)
@@ -304,7 +304,7 @@
             try:
                 return self._result_answer(pending)
             except ValueError:
-                kind = ex.KILLED
+                kind = ex.FAILED
                 data = error_answer(errors.KILLED, "the engine's result cannot be read")
         else:
             data = self._failure_answer(pending, kind)
@@ -312,21 +312,21 @@
 
     def _result_answer(self, pending) -> tuple[str, bytes, int]:
         """Raises ValueError where the result cannot be read."""
-        if isinstance(pending.pages, results.GatheredTokens):
-            data = b"".join(token.raw for token in pending.pages)
-            rows = pending.pages.rows
+        if isinstance(pending.result, results.GatheredTokens):
+            data = b"".join(token.raw for token in pending.result)
+            rows = pending.result.rows
         else:
-            data, rows = results.encode_pages(pending.pages)
+            data, rows = results.encode_pages(pending.result)
         return ex.FINISHED, self._answer_packets(data + self.answer_end(rows)), rows + 2
 
     def _failure_answer(self, pending, kind: str) -> bytes:
-        if kind == ex.DEFERRED:
+        if kind == ex.REJECTED:
             if self.stopping.is_set():
                 text = "deferred: the dispatcher stops; it may be sent again"
                 return error_answer(errors.STOPPING, text)
             return deferral_answer(self.advice(pending))
-        if kind == ex.KILLED:
-            reason = f" ({pending.why})" if pending.why else ""
+        if kind == ex.FAILED:
+            reason = f" ({pending.error_text})" if pending.error_text else ""
             text = f"killed: it could not be finished, and may have run{reason}"
             return error_answer(errors.KILLED, text)
         return encode_done(tokens.DONE_ERROR)
@@ -337,7 +337,7 @@
 
     def rejected(self, rejected: RequestRejected) -> bytes:
         """As Front."""
-        number = errors.STOPPING if rejected.sqlstate == ex.STOPS else errors.UNUSABLE
+        number = errors.STOPPING if rejected.sqlstate == ex.SHUTDOWN_SQLSTATE else errors.UNUSABLE
         return self._answer_packets(error_answer(number, f"{rejected.sqlstate}: {rejected.text}"))
 
     @staticmethod
--- a/wickvane/parts.py
+++ b/wickvane/parts.py
@@ -1,17 +1,17 @@
-"""The parts document: what an installation turns on beyond the platform, in KDL 2, checked as a whole.
+"""Reads the extensions document (--parts), which enables and configures extensions, in KDL 2.
 
-One node a part, each with its children; units stand in the value ("250ms", "64MiB"). A document is read into
-plain figures before anything acts on it, so that it is taken whole or not at all. Imported only where one is
-named: `serve` without it must not pay for the reader.
+Each extension has one node with children; values include their units ("250ms", "64MiB"). A document is read
+into plain values before any of them takes effect, so that it is applied completely or not at all. This module
+is imported only if a document is named: `serve` without one must not spend time and memory on the reader.
 """
 
 import importlib
 import math
 import re
 
-PART_MOST = 1 << 20  # bytes; a document longer than that is somebody's mistake
-# node: the module whose read() understands it, in the order in which a dispatcher puts them to work
-PARTS = {
+MAX_DOCUMENT_SIZE = 1 << 20  # bytes; a longer document is a mistake
+# By node: the module whose read() reads it, in the order in which a dispatcher starts the extensions.
+EXTENSION_MODULES = {
     "flows": "wickvane.flows.part",
     "tds": "wickvane.net.tds.extension",
     "storms": "wickvane.net.storms",
@@ -21,33 +21,36 @@
     "shares": "wickvane.quotas.extension",
 }
 
-DURATION = re.compile(r"(\d{1,12}(?:\.\d{1,6})?)(ms|s|m|h)\Z", re.A)
-SIZE = re.compile(r"(\d{1,12})(B|KiB|MiB|GiB)\Z", re.A)
-MS_OF = {"ms": 1, "s": 1000, "m": 60_000, "h": 3_600_000}
-BYTES_OF = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
+DURATION_PATTERN = re.compile(r"(\d{1,12}(?:\.\d{1,6})?)(ms|s|m|h)\Z", re.A)
+SIZE_PATTERN = re.compile(r"(\d{1,12})(B|KiB|MiB|GiB)\Z", re.A)
+MILLISECONDS_BY_UNIT = {"ms": 1, "s": 1000, "m": 60_000, "h": 3_600_000}
+BYTES_BY_UNIT = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
 
 
-class Unusable(Exception):
-    """A document that cannot be used: says node, value, what was expected, and the line where it is known."""
+class InvalidDocumentError(Exception):
+    """A document that cannot be used; names the node, the value, what was expected, and the line if known."""
 
 
 class Node:
-    """One node under reading: each child is asked for by name, and done() refuses what nobody asked for."""
+    """A node whose children and properties are read by name; reject_unknown() rejects those not read."""
 
     def __init__(self, node, path, text):
         self.node, self.path, self.text = node, path, text
-        self.asked, self.asked_properties = set(), set()
+        self.known_children, self.known_properties = set(), set()
 
-    def wrong(self, expected, value=None, name=None):
-        """What is wrong, with its line and path in the document, to be raised."""
+    def error(self, expected, value=None, name=None):
+        """The error to raise, with the line and the path in the document.
+
+        expected: what a correct document has here; name: the wrong child or property, if not the node itself.
+        """
         path = f"{self.path} > {name}" if name else self.path
-        said = "" if value is None else f" {shown(value)}"
-        line = line_of(self.text, name or self.node.name, value)
-        return Unusable(f"{line}{path}{said}: expected {expected}")
+        value_text = "" if value is None else f" {format_value(value)}"
+        line = find_line(self.text, name or self.node.name, value)
+        return InvalidDocumentError(f"{line}{path}{value_text}: expected {expected}")
 
     def children(self, name):
         """All children of this name."""
-        self.asked.add(name)
+        self.known_children.add(name)
         return [
             Node(child, f"{self.path} > {name}", self.text)
             for child in self.node.children
@@ -58,114 +61,118 @@
         """The one child of this name, or None."""
         found = self.children(name)
         if len(found) > 1:
-            raise self.wrong("it once only", name=name)
+            raise self.error("at most one such node", name=name)
         return found[0] if found else None
 
-    def argument(self, kind, name=None):
-        """The one argument of this node itself, as `kind` reads it."""
+    def argument(self, value_type, name=None):
+        """The one argument of this node itself, of the type `value_type`."""
         if len(self.node.args) != 1:
-            raise self.wrong(f"one value, {kind.expected}" if kind.expected else "one value")
-        return self.read(kind, self.node.args[0], name)
+            raise self.error(f"one value, {value_type.expected}" if value_type.expected else "one value")
+        return self.read(value_type, self.node.args[0], name)
+
+    def read(self, value_type, value, name=None):
+        """A value as this type reads it.
 
-    def read(self, kind, value, name=None):
-        """A value as this kind reads it; Unusable says what was expected."""
-        value = getattr(value, "value", value)  # a value that bears a type annotation
+        Raises:
+            InvalidDocumentError: it is not of the type.
+        """
+        value = getattr(value, "value", value)  # ckdl wraps a value that has a type annotation
         try:
-            return kind(value)
+            return value_type(value)
         except (TypeError, ValueError):
-            raise self.wrong(kind.expected, value, name) from None
+            raise self.error(value_type.expected, value, name) from None
 
-    def value(self, name, kind, default=None, needed=False):
-        """The one argument of a child; `default` where there is no such child."""
+    def value(self, name, value_type, default=None, required=False):
+        """The one argument of a child; `default` if there is no such child and it is not required."""
         child = self.child(name)
         if child is None:
-            if needed:
-                raise self.wrong(f"a node {name} with {kind.expected}")
+            if required:
+                raise self.error(f"a node {name} with {value_type.expected}")
             return default
-        found = child.argument(kind)
-        child.done()
+        found = child.argument(value_type)
+        child.reject_unknown()
         return found
 
-    def property(self, name, kind, default=None):
+    def property(self, name, value_type, default=None):
         """A property of the node, or the default."""
-        self.asked_properties.add(name)
+        self.known_properties.add(name)
         if name not in self.node.properties:
             return default
-        return self.read(kind, self.node.properties[name], name)
+        return self.read(value_type, self.node.properties[name], name)
 
-    def done(self):
-        """Refuses whatever was not asked for."""
+    def reject_unknown(self):
+        """Raises InvalidDocumentError for a child or property that has not been read."""
         for child in self.node.children:
-            if child.name not in self.asked:
-                known = ", ".join(sorted(self.asked)) or "no node in it"
-                raise self.wrong(known, name=child.name)
+            if child.name not in self.known_children:
+                known = ", ".join(sorted(self.known_children)) or "no node in it"
+                raise self.error(known, name=child.name)
         for name in self.node.properties:
-            if name not in self.asked_properties:
-                known = ", ".join(sorted(self.asked_properties)) or "no property"
-                raise self.wrong(f"{known} instead of the property {name}")
+            if name not in self.known_properties:
+                known = ", ".join(sorted(self.known_properties)) or "no property"
+                raise self.error(f"{known} instead of the property {name}")
 
 
-class Kind:
-    """How a value is read, and the words for what it should have been."""
+class ValueType:
+    """Reads one type of value; expected: a description of it for error messages."""
 
     def __init__(self, expected, read):
         self.expected, self.read = expected, read
 
     def __call__(self, value):
-        """The value as it is read; ValueError or TypeError where it is not of this kind."""
+        """The value as it is read; raises ValueError or TypeError if it is not of this type."""
         return self.read(value)
 
 
-def refuse():
-    """How a Kind says that a value is not of it."""
+def reject_value():
+    """Raises the ValueError by which a ValueType rejects a value."""
     raise ValueError
 
 
-def whole(low, high):
+def integer(low, high):
     """A whole number from `low` to `high`."""
 
     def read(value):
-        good = isinstance(value, int) and not isinstance(value, bool) and low <= value <= high
-        return value if good else refuse()
+        is_valid = isinstance(value, int) and not isinstance(value, bool) and low <= value <= high
+        return value if is_valid else reject_value()
 
-    return Kind(f"a whole number from {low} to {high}", read)
+    return ValueType(f"a whole number from {low} to {high}", read)
 
 
 def duration(low, high):
-    """Tenths of a millisecond, from a text such as "250ms"; bounds likewise as texts."""
+    """A time in ticks from a text such as "250ms"; low, high: the bounds, as such texts."""
 
     def read(value):
-        found = DURATION.match(value)
+        found = DURATION_PATTERN.match(value)
         if not found:
             raise ValueError
-        return round(float(found[1]) * MS_OF[found[2]] * 10)
+        return round(float(found[1]) * MILLISECONDS_BY_UNIT[found[2]] * 10)
 
-    least, most = read(low), read(high)
-    return Kind(
+    minimum, maximum = read(low), read(high)
+    return ValueType(
         f'a time from "{low}" to "{high}"',
-        lambda value: t if least <= (t := read(value)) <= most else refuse(),
+        lambda value: t if minimum <= (t := read(value)) <= maximum else reject_value(),
     )
 
 
 def size(low, high):
-    """Bytes, from a text such as "64MiB"."""
+    """A size in bytes from a text such as "64MiB"; low, high: the bounds, as such texts."""
 
     def read(value):
-        found = SIZE.match(value)
+        found = SIZE_PATTERN.match(value)
         if not found:
             raise ValueError
-        return int(found[1]) * BYTES_OF[found[2]]
+        return int(found[1]) * BYTES_BY_UNIT[found[2]]
 
-    least, most = read(low), read(high)
-    return Kind(
+    minimum, maximum = read(low), read(high)
+    return ValueType(
         f'a size from "{low}" to "{high}"',
-        lambda value: n if least <= (n := read(value)) <= most else refuse(),
+        lambda value: n if minimum <= (n := read(value)) <= maximum else reject_value(),
     )
 
 
-def share(low, high):
+def number(low, high):
     """A number from `low` to `high`."""
-    return Kind(
+    return ValueType(
         f"a number from {low} to {high}",
         lambda value: (
             float(value)
@@ -173,65 +180,69 @@
             and not isinstance(value, bool)
             and math.isfinite(value)
             and low <= value <= high
-            else refuse()
+            else reject_value()
         ),
     )
 
 
-def word(*choices):
-    """One of these words."""
-    return Kind(
-        " or ".join(f'"{choice}"' for choice in choices),
-        lambda value: value if value in choices else refuse(),
+def choice(*words):
+    """One of several words."""
+    return ValueType(
+        " or ".join(f'"{word}"' for word in words),
+        lambda value: value if value in words else reject_value(),
     )
 
 
 def read_flag(value):
     """Reads #true or #false."""
-    return value if isinstance(value, bool) else refuse()
+    return value if isinstance(value, bool) else reject_value()
 
 
 def read_name(value):
     """Reads a name of up to 64 characters."""
-    return value if isinstance(value, str) and re.fullmatch(r"[\w.:-]{1,64}", value) else refuse()
+    return value if isinstance(value, str) and re.fullmatch(r"[\w.:-]{1,64}", value) else reject_value()
 
 
 def read_path(value):
-    """Reads a path."""
-    return value if isinstance(value, str) and 0 < len(value) <= 4096 and "\0" not in value else refuse()
+    """Reads a path of up to 4096 characters."""
+    return (
+        value if isinstance(value, str) and 0 < len(value) <= 4096 and "\0" not in value else reject_value()
+    )
 
 
 def read_address(value):
-    """(host, port) of "127.0.0.1:4739" or "[::1]:4739": an address, since names are not looked up."""
+    """(host, port) of "127.0.0.1:4739" or "[::1]:4739"; only IP addresses, as names are not resolved."""
     import ipaddress
 
     host, colon, port = value.rpartition(":")
     if not colon or not port.isdigit() or not port.isascii() or not 0 < int(port) < 65_536:
         raise ValueError
-    bare = host[1:-1] if host.startswith("[") and host.endswith("]") else host
-    ip = ipaddress.ip_address(bare)
-    if (ip.version == 6) != (bare != host):
+    unbracketed = host[1:-1] if host.startswith("[") and host.endswith("]") else host
+    ip = ipaddress.ip_address(unbracketed)
+    if (ip.version == 6) != (unbracketed != host):
         raise ValueError
-    return bare, int(port)
+    return unbracketed, int(port)
 
 
-flag = Kind("#true or #false", read_flag)
-name = Kind("a name of letters, digits and .:_- (64 at most)", read_name)
-path = Kind("a path", read_path)
-address = Kind("an IP address and port", read_address)
+flag = ValueType("#true or #false", read_flag)
+name = ValueType("a name of letters, digits and .:_- (64 at most)", read_name)
+path = ValueType("a path", read_path)
+address = ValueType("an IP address and port", read_address)
 
 
-def shown(value):
-    """A value as it would stand in the document, cut where it is long."""
+def format_value(value):
+    """A value as the document writes it, cut to 80 characters."""
     if value is True or value is False or value is None:
         return {True: "#true", False: "#false", None: "#null"}[value]
     text = f'"{value}"' if isinstance(value, str) else str(value)
     return text if len(text) <= 80 else text[:77] + "..."
 
 
-def line_of(text, name, value):
-    """ "line N: " where just one line of the text has the node's name, and the value with it; else nothing.
-    The reader tells no lines, and a wrong one would be worse than none."""
+def find_line(text, name, value):
+    """Finds the line of an error: "line N: ", or "" unless just one line has the node's name and the value.
+
+    The KDL parser reports no line numbers, and a wrong line would be worse than none.
+    """
     name = re.compile(rf"(?<![\w.-]){re.escape(str(name))}(?![\w.-])")
     lines = [
         n
@@ -242,40 +253,50 @@
 
 
 def read_text(text):
-    """{part: what its module made of it}; Unusable where any of it cannot be used."""
+    """{extension: its settings as its module reads them}.
+
+    Raises:
+        InvalidDocumentError: any part of the document cannot be used.
+    """
     try:
         import ckdl
     except ImportError:
-        raise Unusable("a parts document needs the package ckdl (requirements-parts.txt)") from None
+        raise InvalidDocumentError(
+            "an extensions document needs the package ckdl (requirements-parts.txt)"
+        ) from None
     try:
         document = ckdl.parse(text, version=2)
     except (ValueError, RecursionError) as error:
-        raise Unusable(f"no KDL 2: {error}") from None
+        raise InvalidDocumentError(f"not a KDL 2 document: {error}") from None
     found = {}
     for node in document.nodes:
-        if node.name not in PARTS:
-            raise Unusable(f"{line_of(text, node.name, None)}{node.name}: expected {', '.join(PARTS)}")
+        if node.name not in EXTENSION_MODULES:
+            raise InvalidDocumentError(
+                f"{find_line(text, node.name, None)}{node.name}: expected {', '.join(EXTENSION_MODULES)}"
+            )
         if node.name in found:
-            raise Unusable(f"{node.name}: expected it once only")
+            raise InvalidDocumentError(f"{node.name}: expected at most one such node")
         reader = Node(node, node.name, text)
-        found[node.name] = importlib.import_module(PARTS[node.name]).read(reader)
+        found[node.name] = importlib.import_module(EXTENSION_MODULES[node.name]).read(reader)
         if node.args:
-            raise reader.wrong("no value of its own")
-        reader.done()
+            raise reader.error("no value of its own")
+        reader.reject_unknown()
     return found
 
 
 def read(path):
-    """The parts of the document at `path`; Unusable names the file."""
+    """The extensions of the document at `path`, as read_text() gives them; errors name the file."""
     try:
         with open(path, "rb") as file:
-            data = file.read(PART_MOST + 1)
-        if len(data) > PART_MOST:
-            raise Unusable(f"it is longer than {PART_MOST} bytes")
+            data = file.read(MAX_DOCUMENT_SIZE + 1)
+        if len(data) > MAX_DOCUMENT_SIZE:
+            raise InvalidDocumentError(f"it is longer than {MAX_DOCUMENT_SIZE} bytes")
         return read_text(data.decode())
     except OSError as error:
-        raise Unusable(f"the parts document {path} cannot be read: {error.strerror}") from None
+        raise InvalidDocumentError(
+            f"the extensions document {path} cannot be read: {error.strerror}"
+        ) from None
     except UnicodeDecodeError:
-        raise Unusable(f"the parts document {path} is no UTF-8") from None
-    except Unusable as error:
-        raise Unusable(f"the parts document {path}: {error}") from None
+        raise InvalidDocumentError(f"the extensions document {path} is not valid UTF-8") from None
+    except InvalidDocumentError as error:
+        raise InvalidDocumentError(f"the extensions document {path}: {error}") from None
--- a/wickvane/quotas/decision_observer.py
+++ b/wickvane/quotas/decision_observer.py
@@ -168,8 +168,8 @@
                 return self._verdict_events(verdicts, max(0, now - reported_at))
 
     def _in_flight_events(self, threads_by_engine: dict[str, int], age: int) -> Iterator[InFlightElsewhere]:
-        for name, engine in self.registry.engines.of.items():
-            if name in self.registry.listed:
+        for name, engine in self.registry.engines.index_of.items():
+            if name in self.registry.listed_engines:
                 yield InFlightElsewhere(engine, threads_by_engine.get(name, 0), age)
 
     def _lease_events(self, quotas: Sequence[Quota]) -> Iterator[LeaseChanged]:
@@ -185,5 +185,5 @@
 
     def _verdict_events(self, verdicts: dict[str, EngineVerdict], delay: int) -> Iterator[EngineJudged]:
         for name, (faulty, slowdown, age) in verdicts.items():
-            if name in self.registry.listed:
-                yield EngineJudged(self.registry.engines.of[name], faulty, slowdown, age + delay)
+            if name in self.registry.listed_engines:
+                yield EngineJudged(self.registry.engines.index_of[name], faulty, slowdown, age + delay)
--- a/wickvane/quotas/extension.py
+++ b/wickvane/quotas/extension.py
@@ -32,7 +32,7 @@
 
 
 def read(node: parts.Node) -> QuotaSettings:
-    """The settings of a node; parts.Unusable where a value cannot be used."""
+    """The settings of a node; parts.InvalidDocumentError where a value cannot be used."""
     uses = frozenset(use for setting, use in USES_BY_SETTING.items() if node.value(setting, parts.flag, True))
     return QuotaSettings(
         node.value("every", parts.duration("20ms", "10s"), 1_000),
--- a/wickvane/quotas/fleet_decisions.py
+++ b/wickvane/quotas/fleet_decisions.py
@@ -28,15 +28,15 @@
 
 
 class Lease(NamedTuple):
-    """A quota of one budget, in parts of what is configured: `part` until `until`, `then` from there on."""
+    """A quota of one budget, as a fraction: `fraction` until `expires_at`, then `fraction_after`."""
 
-    part: float
-    until: int
-    then: float
+    fraction: float
+    expires_at: int
+    fraction_after: float
 
     def quota(self, now: int) -> float:
-        """The part that is valid at the time `now`."""
-        return self.part if now < self.until else self.then
+        """The fraction that is valid at the time `now`."""
+        return self.fraction if now < self.expires_at else self.fraction_after
 
 
 FULL_QUOTA = Lease(1.0, FOREVER, 1.0)
@@ -103,7 +103,7 @@
 
     def replace_lease(self, event: LeaseChanged) -> None:
         """A new lease on one budget."""
-        self.leases[event.budget] = Lease(event.part, event.until, event.then)
+        self.leases[event.budget] = Lease(event.fraction, event.expires_at, event.fraction_after)
 
     def needs(self) -> tuple[Need, Need]:
         """The need of each budget, in the order of Budget."""
@@ -124,7 +124,7 @@
     def _charge_tenants(self, event: TenantsCharged, now: int) -> None:
         """Work that others gave each tenant: else each of many schedulers grants a quantum of its own."""
         queue = self._fair_queue
-        works = event.works
+        works = event.work_by_tenant
         served = {t: works[t] / queue.weights[t] for t in queue.active if t < len(works)}
         least = min(served.values(), default=0.0)
         for tenant, work in served.items():
@@ -137,10 +137,10 @@
         """What several found of an engine counts where this dispatcher has found nothing later itself."""
         table = self._engines
         found_at = now - event.age
-        if event.bad and table.last_contact_at[event.engine] < found_at:
+        if event.is_faulty and table.last_contact_at[event.engine] < found_at:
             self._ejection.eject_until(event.engine, now + JUDGEMENT_TICKS)
-        if event.slow and table.load_factor_at[event.engine] < found_at:
-            load_factor = event.slow * self._load.usual_load_factor
+        if event.slowdown and table.load_factor_at[event.engine] < found_at:
+            load_factor = event.slowdown * self._load.usual_load_factor
             table.load_factor[event.engine] += (load_factor - table.load_factor[event.engine]) / 2
             table.load_factor_at[event.engine] = found_at
 
--- a/wickvane/rehearsal/cells.py
+++ b/wickvane/rehearsal/cells.py
@@ -50,7 +50,7 @@
     try:
         return earlier_modules.load(variant.removeprefix(REVISION))
     except earlier_modules.UnknownRevisionError as error:
-        raise parts.Unusable(f"variant {variant}: {error}") from None
+        raise parts.InvalidDocumentError(f"variant {variant}: {error}") from None
 
 
 @lru_cache
@@ -107,8 +107,8 @@
 def read(path):
     try:
         return experiment.read_text(scripts.source(path), os.path.dirname(os.path.abspath(path)), source_of)
-    except parts.Unusable as error:
-        raise parts.Unusable(f"the experiment {path}: {error}") from None
+    except parts.InvalidDocumentError as error:
+        raise parts.InvalidDocumentError(f"the experiment {path}: {error}") from None
 
 
 def run(path, folder, jobs=None, out=sys.stdout):
--- a/wickvane/rehearsal/command.py
+++ b/wickvane/rehearsal/command.py
@@ -72,7 +72,9 @@
         with open(document, "w") as file:
             file.write(tds.document(script, "127.0.0.1:1433", 128))
     elif any(fleet.speaks == "tds" for fleet in script.fleet):
-        raise parts.Unusable("engines speak TDS: name a file for the dispatcher's part with --parts")
+        raise parts.InvalidDocumentError(
+            "engines speak TDS: name a file for the dispatcher's part with --parts"
+        )
     serving = Serving(script, seed)
     print(orjson.dumps(serving.configuration("127.0.0.1:6565")).decode(), flush=True)
     try:
@@ -86,7 +88,7 @@
     try:
         address = parts.read_address(to)
     except ValueError:
-        raise parts.Unusable(f"--to {to}: expected an IP address and port") from None
+        raise parts.InvalidDocumentError(f"--to {to}: expected an IP address and port") from None
     try:
         from wickvane.rehearsal import load as loads
 
@@ -95,7 +97,9 @@
         speaks = tds.Client if by_tds else loads.Postgres
         return loads.main(scripts.read(path), seed, address, sys.stdout, speaks)
     except ImportError:
-        raise parts.Unusable("load needs the package hdrhistogram (requirements-parts.txt)") from None
+        raise parts.InvalidDocumentError(
+            "load needs the package hdrhistogram (requirements-parts.txt)"
+        ) from None
 
 
 def demo(path, seed, words, fleet):
@@ -103,7 +107,7 @@
     try:
         from wickvane.rehearsal.demo import main as show
     except ImportError as error:
-        raise parts.Unusable(f"demo needs {error.name} (requirements-parts.txt)") from None
+        raise parts.InvalidDocumentError(f"demo needs {error.name} (requirements-parts.txt)") from None
     return show(path, seed, None if words == "24h" else seconds_of(words), sys.stdout, fleet)
 
 
@@ -111,7 +115,7 @@
     try:
         return parts.duration("1s", "8760h")(words) / 10_000
     except ValueError:
-        raise parts.Unusable(f'--for {words}: expected a time such as "10s"') from None
+        raise parts.InvalidDocumentError(f'--for {words}: expected a time such as "10s"') from None
 
 
 def experiment(path, folder, jobs, plots):
@@ -123,7 +127,9 @@
         print("wickvane: ended; what is finished is kept", file=sys.stderr)
         return 130
     except ImportError as error:
-        raise parts.Unusable(f"an experiment needs {error.name} (requirements-plots.txt)") from None
+        raise parts.InvalidDocumentError(
+            f"an experiment needs {error.name} (requirements-plots.txt)"
+        ) from None
     if plots:
         from wickvane.rehearsal.plots import drawn
 
@@ -137,10 +143,10 @@
     path, seed = asked["--script"] if asked["demo"] else asked["FILE"][0], asked["--seed"] or "1"
     try:
         if not all((asked[word] or "1").isdigit() for word in ("--seed", "--tries", "--jobs")):
-            raise parts.Unusable("--seed, --tries and --jobs: expected whole numbers")
+            raise parts.InvalidDocumentError("--seed, --tries and --jobs: expected whole numbers")
         if asked["demo"]:
             if asked["--fleet"] not in (None, *"123456789"):
-                raise parts.Unusable("--fleet: expected a whole number from 1 to 9")
+                raise parts.InvalidDocumentError("--fleet: expected a whole number from 1 to 9")
             return demo(path, int(seed), asked["--for"], int(asked["--fleet"] or 1))
         if asked["experiment"]:
             return experiment(path, asked["--out"], int(asked["--jobs"] or 0), asked["--plots"])
@@ -164,6 +170,6 @@
         if asked["--until-broken"]:
             return until_broken(path, int(seed), int(asked["--tries"] or 64))
         return run(path, int(seed), asked["--log"])
-    except (parts.Unusable, OSError) as error:
+    except (parts.InvalidDocumentError, OSError) as error:
         print(f"wickvane: {error}", file=sys.stderr)
         return 2
--- a/wickvane/rehearsal/experiment.py
+++ b/wickvane/rehearsal/experiment.py
@@ -103,28 +103,28 @@
     with, such as the module's text."""
     document = scripts.parsed(text)
     if len(document.nodes) != 1 or document.nodes[0].name != "experiment":
-        raise parts.Unusable("expected one node experiment")
+        raise parts.InvalidDocumentError("expected one node experiment")
     node = Node(document.nodes[0], "experiment", text)
     paths = [child.argument(parts.path) for child in node.children("script")]
     variants = tuple(child.argument(variant_kind) for child in node.children("variant")) or ("here",)
-    seeds = node.value("seeds", parts.whole(1, 1000), 10)
-    first = node.value("first-seed", parts.whole(0, 1 << 30), 1)
+    seeds = node.value("seeds", parts.integer(1, 1000), 10)
+    first = node.value("first-seed", parts.integer(0, 1 << 30), 1)
     confidence = node.value("confidence", scripts.figure(0.5, 0.999), 0.95)
     factors = []
     for child in node.children("factor"):
         cases = [(case.argument(case_kind), n, case.node) for n, case in enumerate(child.children("case"))]
         if not cases:
-            raise child.wrong("nodes case")
-        child.done()
+            raise child.error("nodes case")
+        child.reject_unknown()
         factors.append(cases)
     name = node.value("name", parts.name, "experiment")
-    node.done()
+    node.reject_unknown()
     if not paths:
-        raise node.wrong("a node script")
+        raise node.error("a node script")
     if len(set(variants)) < len(variants):
-        raise node.wrong("each variant once")
+        raise node.error("each variant once")
     if len(paths) * len(variants) * seeds * prod(map(len, factors)) > CELLS_MOST:
-        raise node.wrong(f"{CELLS_MOST} cells at most")
+        raise node.error(f"{CELLS_MOST} cells at most")
     cells = []
     for path in paths:
         base = scripts.source(os.path.join(folder, path))
@@ -134,8 +134,8 @@
             bodies = [body for _, _, body in combined]
             try:
                 merged(base, bodies)
-            except parts.Unusable as error:
-                raise parts.Unusable(f"{path}, case {case or '-'}: {error}") from None
+            except parts.InvalidDocumentError as error:
+                raise parts.InvalidDocumentError(f"{path}, case {case or '-'}: {error}") from None
             # By what the cases say, not by their names.
             said = orjson.dumps([plain(body)[2:] for body in bodies]).decode()
             for variant, seed in product(variants, range(first, first + seeds)):
@@ -157,8 +157,8 @@
     raise ValueError(value)
 
 
-case_kind = parts.Kind("a text of 64 characters at most", read_case)
-variant_kind = parts.Kind("one of " + ", ".join(VARIANTS) + ", or commit:REVISION", read_variant)
+case_kind = parts.ValueType("a text of 64 characters at most", read_case)
+variant_kind = parts.ValueType("one of " + ", ".join(VARIANTS) + ", or commit:REVISION", read_variant)
 
 
 # Outcomes
--- a/wickvane/rehearsal/plots.py
+++ b/wickvane/rehearsal/plots.py
@@ -29,7 +29,9 @@
     try:
         import matplotlib
     except ImportError:
-        raise parts.Unusable("plots need the package matplotlib (requirements-plots.txt)") from None
+        raise parts.InvalidDocumentError(
+            "plots need the package matplotlib (requirements-plots.txt)"
+        ) from None
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
--- a/wickvane/rehearsal/script.py
+++ b/wickvane/rehearsal/script.py
@@ -8,7 +8,7 @@
 
 from wickvane import parts
 from wickvane.events import Deployment, Effect, KeyScope, ResourceGroup
-from wickvane.parts import Kind, Node, refuse
+from wickvane.parts import Node, ValueType, reject_value
 
 TIMES = parts.duration("0ms", "24h")
 TROUBLES = (
@@ -33,9 +33,9 @@
 def figure(low, high):
     def read(value):
         good = isinstance(value, (int, float)) and not isinstance(value, bool) and low <= value <= high
-        return float(value) if good else refuse()
+        return float(value) if good else reject_value()
 
-    return Kind(f"a number from {low} to {high}", read)
+    return ValueType(f"a number from {low} to {high}", read)
 
 
 class Fleet(NamedTuple):
@@ -43,7 +43,7 @@
 
     kind: str
     count: int
-    figures: dict  # of model.Kind
+    figures: dict  # of model.ValueType
     speaks: str  # on sockets: lines or tds
 
 
@@ -133,37 +133,37 @@
     "knee": figure(0.5, 16),
     "thrash": figure(0, 8),
     "spill": figure(0, 16),
-    "warm-sets": parts.whole(0, 1000),
+    "warm-sets": parts.integer(0, 1000),
     "warm-gain": figure(0, 0.99),
     "cold-from": figure(0.01, 1),
     "cold": TIMES,
     "fall-multiple": figure(1, 100),
     "fall": TIMES,
-    "sessions": parts.whole(1, 1000),
+    "sessions": parts.integer(1, 1000),
 }
 NAMES = {"cold": "cold_ms", "fall": "fall_ms", "sessions": "sessions"}
 
 
 def read_fleet(node):
-    name, count = node.argument(parts.name), node.property("count", parts.whole(1, 1000), 1)
+    name, count = node.argument(parts.name), node.property("count", parts.integer(1, 1000), 1)
     figures = {}
     for word, kind in KIND.items():
         value = node.property(word, kind)
         if value is not None:
             value = value / 10 if word in ("cold", "fall") else value
             figures[NAMES.get(word, word.replace("-", "_"))] = value
-    speaks = node.property("speaks", parts.word("lines", "tds"), "lines")
-    node.done()
+    speaks = node.property("speaks", parts.choice("lines", "tds"), "lines")
+    node.reject_unknown()
     return Fleet(name, count, figures, speaks)
 
 
 def read_group(node):
     group = Group(
         node.argument(parts.name),
-        node.value("effect", parts.word(*EFFECTS), "read-only"),
+        node.value("effect", parts.choice(*EFFECTS), "read-only"),
         node.value("work", TIMES, 1000) / 10,
         node.value("spread", figure(0, 10), 0.8),
-        node.value("threads", parts.whole(1, 64), 1),
+        node.value("threads", parts.integer(1, 64), 1),
         node.value("reading", figure(0, 0.99), 0.3),
         node.value("memory", figure(1, 1e6), 96.0),
         node.value("promise", TIMES, 15_000),
@@ -174,55 +174,57 @@
         node.value("ordered", parts.flag, False),
         node.value("loads", parts.flag, False),
     )
-    node.done()
+    node.reject_unknown()
     return group
 
 
 def read_clients(node, groups, tenants, length):
     def named(table, word):
-        return Kind(" or ".join(table), lambda value: table.index(value) if value in table else refuse())
+        return ValueType(
+            " or ".join(table), lambda value: table.index(value) if value in table else reject_value()
+        )
 
     clients = Clients(
         node.argument(parts.name),
-        node.value("group", named(groups, "group"), needed=True),
+        node.value("group", named(groups, "group"), required=True),
         node.value("tenant", named(tenants, "tenant"), 0),
         node.value("rate", figure(0.001, 1e5), 0.0),
-        node.value("arrivals", parts.word("poisson", "even"), "poisson") == "even",
-        node.value("closed", parts.whole(1, 10_000), 0),
+        node.value("arrivals", parts.choice("poisson", "even"), "poisson") == "even",
+        node.value("closed", parts.integer(1, 10_000), 0),
         node.value("think", TIMES, 10_000),
-        node.value("retries", parts.whole(0, 20), 0),
+        node.value("retries", parts.integer(0, 20), 0),
         node.value("back-off", TIMES, 1000),
-        node.value("tables", parts.whole(1, 10_000), 20),
-        node.value("keys", parts.whole(1, 10_000), 10),
+        node.value("tables", parts.integer(1, 10_000), 20),
+        node.value("keys", parts.integer(1, 10_000), 10),
         node.value("since", TIMES, 0),
         node.value("until", TIMES, length),
         node.value("heeds", parts.flag, False),
     )
     if bool(clients.rate) == bool(clients.closed):
-        raise node.wrong("either rate or closed")
-    node.done()
+        raise node.error("either rate or closed")
+    node.reject_unknown()
     return clients
 
 
 def read_trouble(node):
     trouble = Trouble(
-        node.argument(parts.word(*TROUBLES)),
+        node.argument(parts.choice(*TROUBLES)),
         node.property("at", TIMES, 0),
         node.property("for", TIMES, 50_000),
         node.property("part", figure(0, 1), 1.0),
         node.property("size", figure(0, 100), 2.0),
     )
-    node.done()
+    node.reject_unknown()
     return trouble
 
 
 def read_expectation(node):
-    what = node.argument(parts.word("service", "no-rule-broken", "recovery"))
+    what = node.argument(parts.choice("service", "no-rule-broken", "recovery"))
     above, within = node.property("above", figure(0, 1)), node.property("within", TIMES)
     after = node.property("after", TIMES, 0)
     if (what == "service") != (above is not None) or (what == "recovery") != (within is not None):
-        raise node.wrong("above with service, within with recovery")
-    node.done()
+        raise node.error("above with service, within with recovery")
+    node.reject_unknown()
     return Expectation(what, above if above is not None else within or 0, after)
 
 
@@ -230,11 +232,11 @@
     try:
         import ckdl
     except ImportError:
-        raise parts.Unusable("a script needs the package ckdl (requirements-parts.txt)") from None
+        raise parts.InvalidDocumentError("a script needs the package ckdl (requirements-parts.txt)") from None
     try:
         return ckdl.parse(text, version=2)
     except (ValueError, RecursionError) as error:
-        raise parts.Unusable(f"no KDL 2: {error}") from None
+        raise parts.InvalidDocumentError(f"no KDL 2: {error}") from None
 
 
 def read_text(text):
@@ -243,7 +245,7 @@
 
 def read_document(document, text):
     if len(document.nodes) != 1 or document.nodes[0].name != "rehearsal":
-        raise parts.Unusable("expected one node rehearsal")
+        raise parts.InvalidDocumentError("expected one node rehearsal")
     node = Node(document.nodes[0], "rehearsal", text)
     length = node.value("length", parts.duration("1s", "24h"), 600_000)
     fleet = tuple(read_fleet(child) for child in node.children("engines"))
@@ -251,23 +253,23 @@
     tenants = []
     for child in node.children("tenant"):
         tenants.append((child.argument(parts.name), child.property("share", figure(0.001, 1), 1.0)))
-        child.done()
+        child.reject_unknown()
     tenants = tenants or [("all", 1.0)]
     if not fleet or not groups:
-        raise node.wrong("nodes engines and group")
+        raise node.error("nodes engines and group")
     for names, word in (
         ([f.kind for f in fleet], "engines"),
         ([g.name for g in groups], "group"),
         ([name for name, _ in tenants], "tenant"),
     ):
         if len(set(names)) < len(names):
-            raise node.wrong(f"each {word} by a name of its own")
+            raise node.error(f"each {word} by a name of its own")
     clients = tuple(
         read_clients(child, [g.name for g in groups], [name for name, _ in tenants], length)
         for child in node.children("clients")
     )
     if not clients:
-        raise node.wrong("a node clients")
+        raise node.error("a node clients")
     budget = node.child("budget")
     extra = None
     if budget:
@@ -276,11 +278,11 @@
             budget.property("share", figure(0, 1), 0.1),
             budget.property("window", TIMES, 50_000),
         )
-        budget.done()
+        budget.reject_unknown()
     script = Script(
         node.value("name", parts.name, "rehearsal"),
         length,
-        node.value("gateways", parts.whole(1, 1000), 1),
+        node.value("gateways", parts.integer(1, 1000), 1),
         fleet,
         groups,
         tuple(tenants),
@@ -295,9 +297,9 @@
         node.value("repeats-dropped-for", TIMES, 120_000),
         node.value("longest-advice", TIMES, 0),
         node.value("watch-storms", parts.flag, False),
-        node.value("lists", parts.word("stream", "file"), "stream"),
+        node.value("lists", parts.choice("stream", "file"), "stream"),
     )
-    node.done()
+    node.reject_unknown()
     return script
 
 
@@ -306,9 +308,9 @@
         with open(path, "rb") as file:
             return file.read(1 << 20).decode()
     except OSError as error:
-        raise parts.Unusable(f"the script {path} cannot be read: {error.strerror}") from None
+        raise parts.InvalidDocumentError(f"the script {path} cannot be read: {error.strerror}") from None
     except UnicodeDecodeError:
-        raise parts.Unusable(f"the script {path} is no UTF-8") from None
+        raise parts.InvalidDocumentError(f"the script {path} is no UTF-8") from None
 
 
 def is_experiment(path):
@@ -319,8 +321,8 @@
     text = source(path)
     try:
         return read_text(text)
-    except parts.Unusable as error:
-        raise parts.Unusable(f"the script {path}: {error}") from None
+    except parts.InvalidDocumentError as error:
+        raise parts.InvalidDocumentError(f"the script {path}: {error}") from None
 
 
 def deployment(script):
--- a/wickvane/scheduling/engine_table.py
+++ b/wickvane/scheduling/engine_table.py
@@ -98,7 +98,7 @@
         engine = event.engine
         self.grow(engine + 1)
         change = EngineChange.ENTRY
-        if self.rank[engine] != event.rank:
+        if self.rank[engine] != event.wire_id:
             change = EngineChange.IDENTITY
             self.reset(engine, Lifetime.PROCESS)
         elif self.started_at[engine] != event.started:
@@ -107,7 +107,7 @@
             self.reset(engine, Lifetime.RUN)
             self.load_factor_at[engine] = now
             self.last_contact_at[engine] = now
-        self.rank[engine] = event.rank
+        self.rank[engine] = event.wire_id
         self.state[engine] = event.state
         self.zone[engine] = event.zone
         self.kind[engine] = event.kind
--- a/wickvane/scheduling/scheduler.py
+++ b/wickvane/scheduling/scheduler.py
@@ -216,7 +216,7 @@
         if query is None or not query.in_flight or query.answered:
             return
         self.engines.last_contact_at[event.engine] = self._now
-        if event.what == Progress.FRACTION_DONE:
+        if event.metric == Progress.FRACTION_DONE:
             query.fraction_done = event.amount
             if self.retries.is_runaway(query, self._now):
                 self._replan([query])
--- a/wickvane/settings.py
+++ b/wickvane/settings.py
@@ -1,8 +1,8 @@
 """Reads the settings of a deployment into the typed values of wickvane.events.
 
-The names of the settings' keys end here: this module maps them to the standard names. A missing or null
-setting has its default, and so has a zero where a zero makes no sense. Any other unusable value raises
-SettingsError with the setting's path, the value and what was expected; unknown keys are skipped.
+The settings' keys are used in this module only, which maps them to the standard names. A setting that is
+missing or null has its default, as does a zero where zero is not a valid value. Any other invalid value
+raises SettingsError with the setting's path, the value and what was expected; unknown keys are ignored.
 """
 
 import math
@@ -14,16 +14,17 @@
 from wickvane.events import Deployment, Effect, KeyScope, ResourceGroup
 from wickvane.units import TICKS_PER_MILLISECOND
 
-# Connections are closed ahead of the engine's own idle timeout: no request may cross the engine's close.
+# Connections are closed before the engine's own idle timeout ends, so that no request is sent while the
+# engine closes the connection.
 IDLE_TIMEOUT_FRACTION = 0.8
 DEFAULT_IDLE_TIMEOUT_MS = 30_000
 EFFECTS = {"safe": Effect.READ_ONLY, "keyed": Effect.IDEMPOTENCY_KEY, "unsafe": Effect.MUTATING}
 KEY_SCOPES = {"all": KeyScope.ANY_ENGINE, "zone": KeyScope.SAME_ZONE, "cell": KeyScope.SAME_CELL}
 MAX_MILLISECONDS = 1e9
-MAX_FIGURE = 1e9
+MAX_NUMBER = 1e9
 MAX_COUNT = 1e6
 MAX_QUOTED_CHARACTERS = 60
-ROUNDING_ERROR = 1e-6  # of a time in ticks, from decimal milliseconds
+ROUNDING_ERROR = 1e-6  # of a time in ticks that is computed from decimal milliseconds
 
 
 class SettingsError(WickvaneError, ValueError):
@@ -46,7 +47,7 @@
 def ticks_at_least(milliseconds: float | None) -> int:
     """Milliseconds as whole ticks, rounded up, for a wait that must not end early; 0 for none.
 
-    One tick more, since both ends of a wait are rounded down by the clock.
+    One tick is added, since the clock rounds both the start and the end of a wait down.
     """
     return math.ceil(milliseconds * TICKS_PER_MILLISECOND - ROUNDING_ERROR) + 1 if milliseconds else 0
 
@@ -74,22 +75,22 @@
             raise SettingsError(self.path_of(name), self.values.get(name), "a value")
         return self.values[name]
 
-    def number_or_zero(self, name: str, default: float, maximum: float = MAX_FIGURE) -> float:
+    def number_or_zero(self, name: str, default: float, maximum: float = MAX_NUMBER) -> float:
         """A number from 0 to `maximum`; the default where it is absent."""
         if not self.has(name):
             return default
         return checked_number(self.values[name], self.path_of(name), maximum)
 
-    def number(self, name: str, default: float = 0.0, maximum: float = MAX_FIGURE) -> float:
+    def number(self, name: str, default: float = 0.0, maximum: float = MAX_NUMBER) -> float:
         """A number up to `maximum`; the default where it is 0 or absent."""
         return self.number_or_zero(name, default, maximum) or default
 
     def milliseconds(self, name: str, default: float = 0.0) -> float:
-        """A time in milliseconds; the default where it is 0 or absent."""
+        """A time in milliseconds; the default if it is 0 or absent."""
         return self.number(name, default, MAX_MILLISECONDS)
 
     def count(self, name: str, default: int) -> int:
-        """A whole number; the default where it is 0 or absent."""
+        """A whole number; the default if it is 0 or absent."""
         return int(self.number(name, default, MAX_COUNT)) or default
 
     def flag(self, name: str) -> bool:
@@ -104,14 +105,14 @@
         return value
 
     def choice(self, name: str, choices: dict[str, Any], default: str | None = None) -> Any:
-        """The value that one of several words stands for."""
+        """The value of one of several words."""
         value = self.values.get(name) or default
         if not isinstance(value, str) or value not in choices:
             raise SettingsError(self.path_of(name), value, "one of " + ", ".join(choices))
         return choices[value]
 
     def items(self, name: str) -> list:
-        """A list; empty where it is absent."""
+        """A list; empty if it is absent."""
         values = self.values.get(name)
         if values is None:
             return []
@@ -132,27 +133,27 @@
         return self.items(name)
 
     def counts(self, name: str) -> list[int]:
-        """A list of whole numbers, where a zero or null stands for 1."""
+        """A list of whole numbers; 1 replaces zero or null."""
         return [
             int(checked_number(value or 1, path, MAX_COUNT)) or 1 for path, value in self.indexed_items(name)
         ]
 
     def numbers(self, name: str) -> list[float]:
-        """A list of numbers, where null stands for 0."""
-        return [checked_number(value or 0.0, path, MAX_FIGURE) for path, value in self.indexed_items(name)]
+        """A list of numbers; 0 replaces null."""
+        return [checked_number(value or 0.0, path, MAX_NUMBER) for path, value in self.indexed_items(name)]
 
     def section(self, name: str) -> "Section":
-        """An object within this one; empty where it is absent."""
+        """An object within this one; empty if it is absent."""
         return Section(self.values.get(name) or {}, self.path_of(name))
 
     def sections(self, name: str) -> list["Section"]:
-        """A list of objects within this one, whose names differ."""
+        """A list of objects within this one, which have unique names."""
         sections = [Section(value, path) for path, value in self.indexed_items(name)]
         known: set[str] = set()
         for section in sections:
             section_name = section.text("name")
             if section_name in known:
-                raise SettingsError(section.path_of("name"), section_name, "a name that stands once")
+                raise SettingsError(section.path_of("name"), section_name, "a unique name")
             known.add(section_name)
         return sections
 
@@ -188,7 +189,7 @@
     zones: Callable[[str], int],
     kinds: Callable[[str], int],
 ) -> ResourceGroup:
-    """One class of queries. zones, kinds: their names to small indices."""
+    """The settings of one resource group. zones, kinds: map their names to small indices."""
 
     def allowed_indices(name: str, index_of: Callable[[str], int]) -> frozenset[int] | None:
         return frozenset(map(index_of, group.names(name))) if group.has(name) else None
@@ -214,7 +215,7 @@
 def resource_groups(
     settings: Section, family: Section, zones: Callable[[str], int], kinds: Callable[[str], int]
 ) -> list[ResourceGroup]:
-    """The classes of queries in order; one past the end of one of the family's lists has its default."""
+    """All resource groups in order; a group for which a list of the family has no entry gets the default."""
     groups = settings.sections("classes")
     threads = chain(family.counts("class_threads"), repeat(1))
     bulk_loads = chain(family.items("writes_tables"), repeat(False))
@@ -224,11 +225,11 @@
 
 
 def deployment(settings: Section, zones: Callable[[str], int], kinds: Callable[[str], int]) -> Deployment:
-    """The settings as the decision modules take them. zones, kinds: their names to small indices."""
+    """The settings for the decision modules. zones, kinds: map their names to small indices."""
     family = settings.section("family_info")
     limits = settings.section("limits")
     rules = settings.section("obligations")
-    # A budget holds where its window is named, whatever the figure.
+    # There is a retry budget if its window is set, to any value.
     has_retry_budget = rules.has("budget_window_ms")
     return Deployment(
         groups=resource_groups(settings, family, zones, kinds),
--- a/wickvane/units.py
+++ b/wickvane/units.py
@@ -1,4 +1,4 @@
-"""Units of time: all decisions count whole ticks of a tenth of a millisecond."""
+"""Units of time: the decision modules count time in whole ticks of a tenth of a millisecond."""
 
 TICKS_PER_SECOND = 10_000
 TICKS_PER_MILLISECOND = 10
--- a/wickvane/wirehost/host.py
+++ b/wickvane/wirehost/host.py
@@ -60,8 +60,8 @@
         )
 
     def verdict(self, item, lists):
-        q, node = self.registry.queries.of.get(item["id"]), item["node"]
-        if q is None or node not in self.registry.engines.of:
+        q, node = self.registry.queries.index_of.get(item["id"]), item["node"]
+        if q is None or node not in self.registry.engines.index_of:
             return
         self.registry.attempt_ended(q, node)
         stats = int(item.get("stats") or 0)
@@ -69,7 +69,7 @@
             AttemptEnded(
                 q,
                 item["attempt"],
-                self.registry.engines.of[node],
+                self.registry.engines.index_of[node],
                 ENDINGS[item["result"]],
                 ticks(item.get("delay_seen_ms")),
                 bool(item.get("complete")),
@@ -79,19 +79,22 @@
             )
         )
         if item.get("complete"):
-            self.registry.over.add(q)
+            self.registry.answered_queries.add(q)
 
     def aborted(self, item, lists):
-        q = self.registry.queries.of.get(item["id"])
+        q = self.registry.queries.index_of.get(item["id"])
         if q is not None:
             self.events.append(ClientGone(q))
-            self.registry.over.add(q)
+            self.registry.answered_queries.add(q)
 
     def due(self, item, lists):
         self.events.append(TimerFired(item["token"]))
 
     def update_of(self, item, lists):
-        q, e = self.registry.queries.of.get(item["id"]), self.registry.engines.of.get(item["node"])
+        q, e = (
+            self.registry.queries.index_of.get(item["id"]),
+            self.registry.engines.index_of.get(item["node"]),
+        )
         if q is not None and e is not None:
             amount = item.get("amount") or 0
             self.events.append(AttemptProgressed(q, item["attempt"], e, item["what"], amount))
@@ -153,11 +156,11 @@
 
     def reject(self, q, retry_after):
         self.act("push_back", id=self.name(q), hold_off_ms=retry_after / 10)
-        self.registry.over.add(q)
+        self.registry.answered_queries.add(q)
 
     def fail(self, q):
         self.act("abort", id=self.name(q))
-        self.registry.over.add(q)
+        self.registry.answered_queries.add(q)
 
     def cancel_attempt(self, q, submission):
         self.act("recall", id=self.name(q), attempt=submission)
--- a/wickvane/xds/extension.py
+++ b/wickvane/xds/extension.py
@@ -46,27 +46,27 @@
 
 
 def read(node: Any) -> ControlSettings:
-    """The settings in a node. Raises parts.Unusable."""
-    listen = node.value("listen", parts.address, needed=True)
+    """The settings in a node. Raises parts.InvalidDocumentError."""
+    listen = node.value("listen", parts.address, required=True)
     tls = _read_tls(node)
     if tls is None and not _is_loopback(listen[0]):
-        raise node.wrong(
+        raise node.error(
             "a node tls, or an address of this machine's own", ":".join(map(str, listen)), "listen"
         )
     rules = _read_node_rules(node)
     removal_limit = _read_removal_limit(node)
     return ControlSettings(
         listen,
-        node.value("tables", parts.whole(0, MAX_TABLE_GROUPS), DEFAULT_TABLE_GROUPS),
-        node.value("proxies", parts.whole(1, MAX_PROXIES), 1),
+        node.value("tables", parts.integer(0, MAX_TABLE_GROUPS), DEFAULT_TABLE_GROUPS),
+        node.value("proxies", parts.integer(1, MAX_PROXIES), 1),
         node.value("epoch", parts.name, "0").replace(".", "-"),
         node.value("time-to-live", parts.duration("0ms", "24h"), 0),
         node.value("snapshot", parts.path),
         removal_limit,
         NodeAccess(
             rules,
-            node.value("streams", parts.whole(1, MAX_STREAMS), 1000),
-            node.value("streams-a-node", parts.whole(1, MAX_STREAMS_PER_NODE), 4),
+            node.value("streams", parts.integer(1, MAX_STREAMS), 1000),
+            node.value("streams-a-node", parts.integer(1, MAX_STREAMS_PER_NODE), 4),
         ),
         tls,
         node.value("stall", parts.duration("100ms", "10m"), DEFAULT_STALL_TIMEOUT),
@@ -80,7 +80,7 @@
     return value
 
 
-_PATTERN = parts.Kind("a pattern of node names (128 characters at most)", _read_pattern)
+_PATTERN = parts.ValueType("a pattern of node names (128 characters at most)", _read_pattern)
 
 
 def _is_loopback(host: str) -> bool:
@@ -91,8 +91,8 @@
     child = node.child("tls")
     if not child:
         return None
-    paths = [child.value(name, parts.path, needed=True) for name in TlsFiles._fields]
-    child.done()
+    paths = [child.value(name, parts.path, required=True) for name in TlsFiles._fields]
+    child.reject_unknown()
     return TlsFiles(*paths)
 
 
@@ -102,9 +102,9 @@
         groups = []
         for group in child.children("group"):
             groups.append(group.argument(parts.name))
-            group.done()
+            group.reject_unknown()
         rules.append(NodeRule(child.argument(_PATTERN), tuple(groups) or None))
-        child.done()
+        child.reject_unknown()
     return tuple(rules)
 
 
@@ -114,12 +114,12 @@
     if not child:
         return default
     actions = (ExcessAction.HOLD, ExcessAction.REMOVE_IN_STEPS, ExcessAction.REMOVE)
-    action_word = parts.word(*(action.value for action in actions))
+    action_word = parts.choice(*(action.value for action in actions))
     limit = RemovalLimit(
-        child.property("share", parts.share(0.01, 1), default.max_share),
-        child.property("least", parts.whole(1, 10_000), default.min_count),
+        child.property("share", parts.number(0.01, 1), default.max_share),
+        child.property("least", parts.integer(1, 10_000), default.min_count),
         ExcessAction(child.property("past", action_word, default.action.value)),
         child.property("time", parts.duration("1s", "24h"), default.duration),
     )
-    child.done()
+    child.reject_unknown()
     return limit
--- a/wickvane/xds/server.py
+++ b/wickvane/xds/server.py
@@ -281,16 +281,16 @@
         self._after_change(has_new_snapshot=False)
 
     def _read_settings(self, parts_path: str) -> ControlSettings:
-        """The document's settings. Raises parts.Unusable where they need a restart."""
+        """The document's settings. Raises parts.InvalidDocumentError where they need a restart."""
         from wickvane import parts
 
         document = parts.read(parts_path)
         settings = document.get("control")
         if document.get("members") != self._members_settings:
-            raise parts.Unusable("members: a change of it needs a restart")
+            raise parts.InvalidDocumentError("members: a change of it needs a restart")
         reloadable = dict.fromkeys(RELOADABLE_FIELDS)
         if settings is None or settings._replace(**reloadable) != self.settings._replace(**reloadable):
-            raise parts.Unusable(
+            raise parts.InvalidDocumentError(
                 "control: listen, epoch, tls, snapshot, stall and time-to-live need a restart"
             )
         return settings
