--- a/wickvane/__main__.py
+++ b/wickvane/__main__.py
@@ -69,7 +69,7 @@
   --fleet=N      The number of dispatchers, up to 9; several form a cluster.
   --plots        Also draw plots.
   --tls=FILES    Authority, certificate and key, separated by commas.
-  --state=DIR    The state folder: the endpoint journal (members) or the state of peers.
+  --state=DIR    The folder of the endpoint journal (members), or of the state that peers and shares show.
   -h --help      Show this help.
 """
 
--- a/wickvane/settings.py
+++ b/wickvane/settings.py
@@ -76,13 +76,13 @@
         return self.values[name]
 
     def number_or_zero(self, name: str, default: float, maximum: float = MAX_NUMBER) -> float:
-        """A number from 0 to `maximum`; the default where it is absent."""
+        """A number from 0 to `maximum`; the default if it is absent."""
         if not self.has(name):
             return default
         return checked_number(self.values[name], self.path_of(name), maximum)
 
     def number(self, name: str, default: float = 0.0, maximum: float = MAX_NUMBER) -> float:
-        """A number up to `maximum`; the default where it is 0 or absent."""
+        """A number up to `maximum`; the default if it is 0 or absent."""
         return self.number_or_zero(name, default, maximum) or default
 
     def milliseconds(self, name: str, default: float = 0.0) -> float:
