--- a/tests/endpoints/support.py
+++ b/tests/endpoints/support.py
@@ -137,8 +137,8 @@
         if update.is_full:
             self.published.clear()
         for name, address, state, *_, started_ms, weight in update.entries:
-            former = self.published.get(name)
-            if former is not None and former[0] != EngineState.READY and state == EngineState.READY:
+            previous = self.published.get(name)
+            if previous is not None and previous[0] != EngineState.READY and state == EngineState.READY:
                 assert name in update.readmitted
             if state == EngineState.GONE:
                 del self.published[name]
--- a/tests/endpoints/test_effect_digest.py
+++ b/tests/endpoints/test_effect_digest.py
@@ -16,7 +16,7 @@
 from wickvane.endpoints.endpoint_list import EndpointList
 from wickvane.endpoints.findings import Finding, Location, Severity
 from wickvane.endpoints.records import decode_record, encode_record
-from wickvane.endpoints.snapshot import FIELDS_BY_WORD, Endpoint, Snapshot, make_snapshot
+from wickvane.endpoints.snapshot import FIELDS_BY_DOCUMENT_NAME, Endpoint, Snapshot, make_snapshot
 from wickvane.endpoints.status import status_document
 from wickvane.endpoints.topology import GroupPlacement, Topology
 from wickvane.events import EngineState
@@ -210,7 +210,7 @@
                 chosen.append(make_endpoint(f"e{n}", address, weight, kind, zone))
                 continue
             words = random.choice([["weight"], ["weight", "zone"], ["weight", "since_ms"], []])
-            stated = frozenset(FIELDS_BY_WORD[word] for word in words)
+            stated = frozenset(FIELDS_BY_DOCUMENT_NAME[word] for word in words)
             chosen.append(make_endpoint(f"e{n}", None, weight, None, zone, stated_fields=stated))
         return chosen
 
--- a/wickvane/endpoints/audit_log.py
+++ b/wickvane/endpoints/audit_log.py
@@ -1,4 +1,4 @@
-"""The history that operators read: one line for each decision, bounded."""
+"""The bounded history of decisions that `wickvane members log` prints."""
 
 from wickvane.endpoints.records import Record, audit_row
 
@@ -6,7 +6,7 @@
 
 
 class AuditLog:
-    """rows: the latest decisions, oldest first, in their stored form."""
+    """Keeps the latest MAX_ROWS decisions; rows: oldest first, in their stored form."""
 
     __slots__ = ("rows",)
 
@@ -14,5 +14,5 @@
         self.rows: list[dict] = []
 
     def append(self, record: Record) -> None:
-        """Adds the line of a record; the oldest gives way."""
+        """Adds the row of a record and drops the oldest row if there are too many."""
         self.rows = [*self.rows[-MAX_ROWS + 1 :], audit_row(record)]
--- a/wickvane/endpoints/capacity.py
+++ b/wickvane/endpoints/capacity.py
@@ -1,4 +1,4 @@
-"""Sums over the ready engines of a list, kept up with each change; free of I/O."""
+"""Totals of the ready engines of a list, updated with each change; free of I/O."""
 
 from wickvane.endpoints.snapshot import Endpoint
 from wickvane.endpoints.topology import GroupPlacement, Topology
@@ -8,12 +8,12 @@
 
 
 def age_of(endpoint: Endpoint, now: int) -> float:
-    """Ticks since an engine's process started, where that is known."""
+    """Returns the ticks since the start of an engine's process; started_ms must be known."""
     return now - endpoint.started_ms * TICKS_PER_MILLISECOND
 
 
 class CapacityTotals:
-    """Ready engines by kind and zone, their cores, and which of them are still in slow start."""
+    """Counts ready engines by kind and zone, sums their cores, and knows which are in slow start."""
 
     __slots__ = ("cores", "ready_by_placement", "ready_count", "topology", "warming")
 
@@ -25,7 +25,7 @@
         self.warming: dict[str, Endpoint] = {}
 
     def copy(self) -> "CapacityTotals":
-        """Totals that change on their own."""
+        """Returns an independent copy."""
         copied = CapacityTotals(self.topology)
         copied.ready_by_placement = dict(self.ready_by_placement)
         copied.ready_count = self.ready_count
@@ -34,11 +34,11 @@
         return copied
 
     def cores_of(self, endpoint: Endpoint) -> float:
-        """Cores of an engine that may be used."""
+        """Returns the cores of an engine that its weight allows to use."""
         return self.topology.cores_of(endpoint.kind) * min(1.0, endpoint.weight)
 
     def add(self, endpoint: Endpoint, now: int) -> None:
-        """Counts an engine, if it is ready."""
+        """Adds an engine to the totals if it is ready."""
         if endpoint.state != EngineState.READY:
             return
         placement = endpoint.kind, endpoint.zone
@@ -49,7 +49,7 @@
             self.warming[endpoint.name] = endpoint
 
     def remove(self, endpoint: Endpoint) -> None:
-        """Counts an engine no more that add() counted."""
+        """Removes an engine that add() counted from the totals."""
         if endpoint.state != EngineState.READY:
             return
         placement = endpoint.kind, endpoint.zone
@@ -61,7 +61,7 @@
         self.warming.pop(endpoint.name, None)
 
     def warm_cores(self, now: int) -> float:
-        """Cores that count now: engines in slow start by the fraction that they have reached."""
+        """Returns the available cores: an engine in slow start counts by the fraction that it has reached."""
         topology = self.topology
         missing = 0.0
         for name, endpoint in list(self.warming.items()):
@@ -74,7 +74,7 @@
         return self.cores - missing
 
     def serves(self, group: GroupPlacement) -> bool:
-        """Whether a ready engine is permitted to a resource group."""
+        """Returns whether any ready engine may serve a resource group."""
         return any(
             (group.zones is None or zone in group.zones) and (group.kinds is None or kind in group.kinds)
             for kind, zone in self.ready_by_placement
--- a/wickvane/endpoints/change_detector.py
+++ b/wickvane/endpoints/change_detector.py
@@ -1,7 +1,8 @@
-"""Which files have changed and have been unchanged since for long enough; free of I/O.
+"""Detects files that have changed and then stayed unchanged for the settle time; free of I/O.
 
-Messages of the system only say that something happened in a folder. What did is always found by comparing
-states, so that a lost message (network mounts, replaced folders) costs no more than one poll.
+File system notifications only report that something changed in a directory. The changed files are always
+found by comparing file states, so that a lost notification (network mounts, replaced directories) delays a
+change by at most one poll.
 """
 
 from typing import NamedTuple
@@ -9,11 +10,11 @@
 from wickvane.endpoints.files import FileState
 from wickvane.units import TICKS_PER_SECOND
 
-MAX_UNSETTLED_TIME = 5 * TICKS_PER_SECOND  # after which files that keep changing are reported
+MAX_UNSETTLED_TIME = 5 * TICKS_PER_SECOND  # after this time, files that keep changing are reported
 
 
 class FileChanges(NamedTuple):
-    """Files to read and files that are gone, both sorted; next_check_at: None where nothing is pending."""
+    """Files to read and files that were removed, both sorted; next_check_at: None if nothing is pending."""
 
     to_read: list[str]
     removed: list[str]
@@ -21,10 +22,10 @@
 
 
 class ChangeDetector:
-    """All files of a list together, since parts that belong together may be written one after another.
+    """Detects changes of all files of a list together, since related files may be written one after another.
 
-    settle_time: ticks for which nothing must have changed. never_settles: files have kept changing for too
-    long.
+    settle_time: ticks for which all files must have stayed unchanged. never_settles: whether files have kept
+    changing for longer than MAX_UNSETTLED_TIME.
     """
 
     def __init__(self, settle_time: int) -> None:
@@ -36,7 +37,7 @@
         self._unsettled_since = 0
 
     def check(self, now: int, states: dict[str, FileState]) -> FileChanges:
-        """What is to be done about the states that were found now."""
+        """Returns which files to read or forget, given the file states found at `now`."""
         if states != self._last_seen:
             if self._last_seen is None or self._last_seen == self._accepted:
                 self._unsettled_since = now
@@ -57,9 +58,9 @@
         )
 
     def accept(self, file: str, state: FileState) -> None:
-        """The file is not to be read again until its state differs from this one."""
+        """Marks a file as read; check() returns it again once its state differs from this one."""
         self._accepted[file] = state
 
     def forget(self, file: str) -> None:
-        """The file is gone."""
+        """Forgets a file that was removed."""
         self._accepted.pop(file, None)
--- a/wickvane/endpoints/change_policy.py
+++ b/wickvane/endpoints/change_policy.py
@@ -1,4 +1,4 @@
-"""What a change of an endpoint list may do at once, and what follows past each limit; free of I/O."""
+"""Limits of a change of an endpoint list, and what happens to a change that exceeds one; free of I/O."""
 
 from typing import NamedTuple
 
@@ -7,24 +7,25 @@
 
 
 class ChangeLimits(NamedTuple):
-    """Bounds of one change, each with the severity of a finding past it."""
+    """Limits of one change, each with the severity of the finding if the limit is exceeded."""
 
-    removed_fraction: float = 0.34  # of the ready engines
+    removed_fraction: float = 0.34  # maximum fraction of the ready engines
     removed_fraction_severity: Severity = Severity.HOLD
-    load_fraction: float = 0.85  # of the cores left that the current load may take
+    load_fraction: float = 0.85  # maximum fraction of the remaining cores that the current load may need
     load_fraction_severity: Severity = Severity.HOLD
-    last_of_group_severity: Severity = Severity.REJECT  # a resource group loses its last permitted engine
-    weight_factor: float = 4.0
+    last_of_group_severity: Severity = Severity.REJECT  # if a resource group loses its last engine
+    weight_factor: float = 4.0  # maximum factor by which a weight may rise or fall
     weight_factor_severity: Severity = Severity.STAGE
-    empty_severity: Severity = Severity.REJECT  # no engine would be ready
+    empty_severity: Severity = Severity.REJECT  # if no engine would be ready
 
 
 class ChangePolicy(NamedTuple):
     """How changes are validated and rolled out. Durations are ticks.
 
-    step_interval: between two rollout steps. confirmation_timeout: how long a held change waits for its
-    confirmation. drain_timeout: how long a removed engine is kept as draining at most.
-    overrides_coordinator: the coordinator's stream lists the engines, and documents override fields.
+    step_interval: time between two rollout steps. confirmation_timeout: time for which a held change waits
+    for its confirmation. drain_timeout: maximum time for which a removed engine is published as draining.
+    overrides_coordinator: the coordinator's stream lists the engines, and documents override some of their
+    fields.
     """
 
     limits: ChangeLimits = ChangeLimits()
--- a/wickvane/endpoints/command.py
+++ b/wickvane/endpoints/command.py
@@ -26,7 +26,7 @@
 from wickvane.net.clock import Clock
 from wickvane.units import to_seconds
 
-STATE_WORDS = {
+STATE_NAMES = {
     EngineState.READY: "ready",
     EngineState.DRAINING: "draining",
     EngineState.GONE: "gone",
@@ -34,17 +34,17 @@
 UNKNOWN_TOPOLOGY = Topology({}, None, (), 1.0, 0)
 DEFAULT_POLICY = ChangePolicy()
 MAX_GENERATION_DIGITS = 9
-NAMED_GENERATIONS = 10  # in one sentence
+MAX_GENERATIONS_IN_MESSAGE = 10  # in one sentence
 
 
 class CommandError(WickvaneError):
     """Why a call cannot be answered; exit 2."""
 
 
-def main(asked: dict) -> int:
+def main(arguments: dict) -> int:
     """Runs the command with the arguments of its usage text; the exit status."""
     try:
-        return _run(asked)
+        return _run(arguments)
     except (CommandError, JournalError) as error:
         print(f"wickvane: {error}", file=sys.stderr)
         return 2
@@ -52,23 +52,23 @@
         return 1
 
 
-def _run(asked: dict) -> int:
-    as_json = asked["--json"]
-    if asked["agree"]:
-        return agree(asked["DIR"], as_json)
-    config = _config_of(asked["--parts"])
-    if asked["check"]:
-        folder = _state_folder_of(asked, config, is_needed=False)
-        return check(asked["PATH"], config, asked["--config"], folder, as_json)
-    folder = _state_folder_of(asked, config)
-    if asked["log"]:
+def _run(arguments: dict) -> int:
+    as_json = arguments["--json"]
+    if arguments["agree"]:
+        return agree(arguments["DIR"], as_json)
+    config = _config_of(arguments["--parts"])
+    if arguments["check"]:
+        folder = _state_folder_of(arguments, config, is_needed=False)
+        return check(arguments["PATH"], config, arguments["--config"], folder, as_json)
+    folder = _state_folder_of(arguments, config)
+    if arguments["log"]:
         return print_history(folder, as_json)
-    if asked["show"]:
-        return show(folder, asked["GENERATION"], as_json)
-    if asked["diff"]:
-        return print_difference(folder, asked["FROM"], asked["TO"])
-    kind = next(kind for kind in OrderKind if asked[kind.value])
-    return give_order(folder, kind, asked["GENERATION"])
+    if arguments["show"]:
+        return show(folder, arguments["GENERATION"], as_json)
+    if arguments["diff"]:
+        return print_difference(folder, arguments["FROM"], arguments["TO"])
+    kind = next(kind for kind in OrderKind if arguments[kind.value])
+    return give_order(folder, kind, arguments["GENERATION"])
 
 
 def _config_of(path: str) -> EndpointsConfig | None:
@@ -84,8 +84,8 @@
         raise CommandError(str(error)) from None
 
 
-def _state_folder_of(asked: dict, config: EndpointsConfig | None, is_needed: bool = True) -> str | None:
-    folder = asked["--state"] or config and config.state_folder
+def _state_folder_of(arguments: dict, config: EndpointsConfig | None, is_needed: bool = True) -> str | None:
+    folder = arguments["--state"] or config and config.state_folder
     if not folder and is_needed:
         raise CommandError("no folder of a journal: name one with --state, or a parts document that has one")
     return folder
@@ -188,7 +188,7 @@
 def _snapshot_of(endpoint_list: EndpointList, generation: int) -> Snapshot:
     history = endpoint_list.generations.history
     if generation not in history:
-        known = ", ".join(map(str, list(history)[-NAMED_GENERATIONS:]))
+        known = ", ".join(map(str, list(history)[-MAX_GENERATIONS_IN_MESSAGE:]))
         raise CommandError(f"generation {generation} is not kept; the last ones are {known or 'none'}")
     return history[generation].snapshot
 
@@ -199,12 +199,12 @@
     before = _snapshot_of(endpoint_list, _parse_generation(from_text)).endpoints
     after = _snapshot_of(endpoint_list, _parse_generation(to_text)).endpoints
     for name in sorted(set(before) | set(after)):
-        former = before.get(name)
+        previous = before.get(name)
         current = after.get(name)
-        if former == current:
+        if previous == current:
             continue
-        if former is not None:
-            _print_endpoint(former, prefix="-")
+        if previous is not None:
+            _print_endpoint(previous, prefix="-")
         if current is not None:
             _print_endpoint(current, prefix="+")
     return 0
@@ -257,7 +257,7 @@
 def _print_endpoint(endpoint: Endpoint, prefix: str = "") -> None:
     address = f"{endpoint.address[0]}:{endpoint.address[1]}" if endpoint.address else "-"
     print(
-        f"{prefix}  {endpoint.name:<24} {address:<22} {STATE_WORDS[endpoint.state]:<9} "
+        f"{prefix}  {endpoint.name:<24} {address:<22} {STATE_NAMES[endpoint.state]:<9} "
         f"weight {endpoint.weight:g}"
         + (f" {endpoint.kind}" if endpoint.kind else "")
         + (f" {endpoint.zone}" if endpoint.zone else "")
@@ -280,10 +280,10 @@
     statuses = [(folder, _status_of(folder)) for folder in folders]
     newest = max(status["generation"] for _, status in statuses)
     digest = next(status["digest"] for _, status in statuses if status["generation"] == newest)
-    disagreeing = 0
+    mismatch_count = 0
     for folder, status in statuses:
         state = _agreement_of(status, newest, digest)
-        disagreeing += state != "same"
+        mismatch_count += state != "same"
         if as_json:
             _print_json({"folder": folder, "state": state, **status})
         else:
@@ -291,7 +291,7 @@
                 f"{folder}: {state}, generation {status['generation']} ({status['digest']}), "
                 f"{status['ready']} ready of {status['engines']}"
             )
-    return 1 if disagreeing else 0
+    return 1 if mismatch_count else 0
 
 
 def _status_of(folder: str) -> dict:
--- a/wickvane/endpoints/config.py
+++ b/wickvane/endpoints/config.py
@@ -1,6 +1,6 @@
 """The node `members` of the extensions document, as plain values.
 
-Words of the document are mapped here to the names that the code uses.
+This module maps the names in the document to the names that the code uses.
 """
 
 from typing import NamedTuple
@@ -17,7 +17,7 @@
 DEFAULT_MAX_FILE_SIZE = 16 << 20  # octets
 DEFAULT_MAX_FILES = 1_000
 
-SEVERITY_WORDS = {
+SEVERITIES_BY_NAME = {
     "note": Severity.NOTE,
     "steps": Severity.STAGE,
     "hold": Severity.HOLD,
@@ -26,10 +26,11 @@
 
 
 class EndpointsConfig(NamedTuple):
-    """Where the list comes from and how changes are treated. Durations are ticks.
+    """The source of the list and the policy for its changes. Durations are ticks.
 
-    path: of the file, or of a directory of files. state_folder: of the journal, None: no journal is kept.
-    settle_time: how long a file must have been unchanged before it is read. max_file_size: octets.
+    path: of the file, or of the directory of files. state_folder: the folder of the journal, None if no
+    journal is kept. settle_time: time for which a file must have been unchanged before it is read.
+    max_file_size: octets.
     """
 
     path: str
@@ -46,12 +47,12 @@
 
 
 class _LimitNode(NamedTuple):
-    """A node within `limits`. kind: of its value; None: it has none, and no value_field."""
+    """A node in `limits`. value_field, value_type: None if the node has no value."""
 
     name: str
     severity_field: str
     value_field: str | None = None
-    kind: parts.ValueType | None = None
+    value_type: parts.ValueType | None = None
 
 
 _LIMIT_NODES = (
@@ -61,15 +62,15 @@
     _LimitNode("group-without-engine", "last_of_group_severity"),
     _LimitNode("empty", "empty_severity"),
 )
-_SEVERITY_WORD = parts.choice(*SEVERITY_WORDS)
+_SEVERITY_NAME = parts.choice(*SEVERITIES_BY_NAME)
 
 
 def read_config(node: parts.Node) -> EndpointsConfig:
-    """The configuration in a node. Raises parts.InvalidDocumentError."""
+    """Returns the configuration in a node. Raises parts.InvalidDocumentError."""
     file = node.value("file", parts.path)
     directory = node.value("directory", parts.path)
     if (file is None) == (directory is None):
-        raise node.error("either a node file or a node directory, with a path")
+        raise node.error("expected either a node file or a node directory, with a path")
     policy = _read_policy(node)
     return EndpointsConfig(
         path=directory or file,
@@ -87,12 +88,12 @@
 
 
 def _read_policy(node: parts.Node) -> ChangePolicy:
-    usual = ChangePolicy()
+    defaults = ChangePolicy()
     return ChangePolicy(
         limits=_read_limits(node),
-        step_interval=node.value("step", parts.duration("10ms", "1h"), usual.step_interval),
-        confirmation_timeout=node.value("hold", parts.duration("1s", "168h"), usual.confirmation_timeout),
-        drain_timeout=node.value("linger", parts.duration("1s", "24h"), usual.drain_timeout),
+        step_interval=node.value("step", parts.duration("10ms", "1h"), defaults.step_interval),
+        confirmation_timeout=node.value("hold", parts.duration("1s", "168h"), defaults.confirmation_timeout),
+        drain_timeout=node.value("linger", parts.duration("1s", "24h"), defaults.drain_timeout),
         overrides_coordinator=node.value("overrides", parts.flag, False),
     )
 
@@ -106,11 +107,11 @@
         child = limits_node.child(limit.name)
         if child is None:
             continue
-        if limit.kind is not None:
-            limits = limits._replace(**{limit.value_field: child.argument(limit.kind)})
-        word = child.property("past", _SEVERITY_WORD)
-        if word is not None:
-            limits = limits._replace(**{limit.severity_field: SEVERITY_WORDS[word]})
+        if limit.value_type is not None:
+            limits = limits._replace(**{limit.value_field: child.argument(limit.value_type)})
+        severity_name = child.property("past", _SEVERITY_NAME)
+        if severity_name is not None:
+            limits = limits._replace(**{limit.severity_field: SEVERITIES_BY_NAME[severity_name]})
         child.reject_unknown()
     limits_node.reject_unknown()
     return limits
--- a/wickvane/endpoints/confirmation.py
+++ b/wickvane/endpoints/confirmation.py
@@ -1,4 +1,4 @@
-"""The change that waits for an operator's confirmation."""
+"""A held change, which waits for an operator's confirmation."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class PendingChange(NamedTuple):
-    """A held change. codes: of the findings that hold it; expires_at: tick after which it is let go."""
+    """A held change. codes: of its findings above NOTE; expires_at: tick at which it is discarded."""
 
     snapshot: Snapshot
     codes: tuple[str, ...]
@@ -17,7 +17,7 @@
 
 
 def make_pending(snapshot: Snapshot, findings: list[Finding], expires_at: int) -> PendingChange:
-    """The held change of a snapshot with these findings."""
+    """Returns the held change for a snapshot with these findings."""
     codes = distinct_codes(finding for finding in findings if finding.severity != Severity.NOTE)
     is_staged = any(finding.severity == Severity.STAGE for finding in findings)
     return PendingChange(snapshot, codes, is_staged, expires_at)
@@ -25,12 +25,12 @@
 
 @dataclass(slots=True)
 class Confirmation:
-    """At most one change waits at a time."""
+    """Holds at most one change at a time."""
 
     pending: PendingChange | None = None
 
     def holds(self, checksum: int, generation: int) -> bool:
-        """Whether this content waits under this generation."""
+        """Returns whether this content is held under this generation."""
         pending = self.pending
         return pending is not None and (pending.snapshot.checksum, pending.snapshot.generation) == (
             checksum,
@@ -38,15 +38,15 @@
         )
 
     def awaits(self, generation: int) -> bool:
-        """Whether the generation waits for its confirmation."""
+        """Returns whether the generation waits for its confirmation."""
         return self.pending is not None and self.pending.snapshot.generation == generation
 
     def has_expired(self, now: int) -> bool:
-        """Whether the change has waited for too long."""
+        """Returns whether the confirmation timeout of the held change has passed."""
         return self.pending is not None and now >= self.pending.expires_at
 
     def clear(self) -> PendingChange | None:
-        """Ends the wait; returns the change that waited, if any."""
-        former = self.pending
+        """Discards the held change and returns it, None if there was none."""
+        previous = self.pending
         self.pending = None
-        return former
+        return previous
--- a/wickvane/endpoints/coordinator_overlay.py
+++ b/wickvane/endpoints/coordinator_overlay.py
@@ -1,19 +1,19 @@
-"""The coordinator's list under the documents that override it; free of I/O.
+"""The coordinator's list, overridden by documents; free of I/O.
 
-With overrides the coordinator's stream lists the engines, and a document changes weights and drains some.
-Where both state whether an engine drains, draining wins.
+With overrides, the coordinator's stream lists the engines, and documents override their fields, for example
+the weight, or drain them. An engine is draining if either the coordinator or a document says so.
 """
 
 from collections.abc import Iterable
 
-from wickvane.endpoints.snapshot import DOCUMENT_WORDS, Endpoint, Snapshot
+from wickvane.endpoints.snapshot import DOCUMENT_FIELD_NAMES, Endpoint, Snapshot
 from wickvane.events import EngineState
 
-OVERRIDABLE_FIELDS = tuple(field for field in DOCUMENT_WORDS if field != "state")
+OVERRIDABLE_FIELDS = tuple(field for field in DOCUMENT_FIELD_NAMES if field != "state")
 
 
 class CoordinatorOverlay:
-    """What the coordinator lists. is_enabled: whether documents override it; else they stand alone."""
+    """The coordinator's list. is_enabled: documents override it; otherwise they are the whole list."""
 
     __slots__ = ("endpoints", "event_number", "is_enabled")
 
@@ -23,7 +23,7 @@
         self.event_number = 0
 
     def apply(self, number: int, is_full: bool, entries: Iterable[tuple]) -> set[str]:
-        """Takes in an event of the stream; the names that it concerns."""
+        """Applies an event of the coordinator's stream; returns the names of the engines that it affects."""
         names = set()
         if is_full:
             listed = {entry[0] for entry in entries}
@@ -40,7 +40,7 @@
         return names
 
     def resolve(self, name: str, snapshot: Snapshot) -> Endpoint | None:
-        """The engine as it is wanted: a snapshot's fields over what the coordinator lists."""
+        """Returns the desired endpoint: the coordinator's, with the fields that the snapshot overrides."""
         override = snapshot.endpoints.get(name)
         if not self.is_enabled:
             return override
--- a/wickvane/endpoints/directory_watcher.py
+++ b/wickvane/endpoints/directory_watcher.py
@@ -1,19 +1,19 @@
-"""Wakes a thread when something happens in a folder."""
+"""Wakes a thread when something changes in a directory."""
 
 import os
 import threading
 from collections.abc import Callable
 
-THREAD_STACK_SIZE = 512 * 1024  # octets; the library's own calls go deeper than a dispatcher's threads
+THREAD_STACK_SIZE = 512 * 1024  # octets; watchfiles needs a larger stack than a dispatcher's other threads
 DEBOUNCE_MS = 50
 STEP_MS = 20
 RUST_TIMEOUT_MS = 60_000
 
 
 class DirectoryWatcher:
-    """Sets an event when something happens in one of some folders, by the package watchfiles.
+    """Sets an event when something changes in one of the directories, using the package watchfiles.
 
-    on_failure: called with a reason where they cannot be watched; polling must do then.
+    on_failure: called with the reason if they cannot be watched; changes are then found by polling only.
     """
 
     def __init__(self, folders: list[str], woken: threading.Event, on_failure: Callable[[str], None]) -> None:
@@ -23,17 +23,17 @@
         self._stopped = threading.Event()
 
     def start(self) -> None:
-        """Starts the thread."""
-        former_size = threading.stack_size(THREAD_STACK_SIZE)
+        """Starts the watching thread."""
+        previous_size = threading.stack_size(THREAD_STACK_SIZE)
         try:
             threading.Thread(target=self._run, name="members-watch", daemon=True).start()
-        except RuntimeError as error:  # the machine has no thread left
+        except RuntimeError as error:  # the machine cannot start another thread
             self._on_failure(str(error))
         finally:
-            threading.stack_size(former_size)
+            threading.stack_size(previous_size)
 
     def stop(self) -> None:
-        """Lets the thread end."""
+        """Asks the thread to end."""
         self._stopped.set()
 
     def _run(self) -> None:
@@ -53,5 +53,7 @@
                 raise_interrupt=False,
             ):
                 self._woken.set()
-        except Exception as error:  # no such package, no watches left, a folder that is gone
+        except (
+            Exception
+        ) as error:  # the package is missing, the watches are used up, or a directory was removed
             self._on_failure(f"{type(error).__name__}: {error}")
--- a/wickvane/endpoints/document.py
+++ b/wickvane/endpoints/document.py
@@ -21,7 +21,7 @@
 
 from wickvane.endpoints.document_formats import MAX_NAME_LENGTH, line_numbers, read_rows
 from wickvane.endpoints.findings import DocumentError
-from wickvane.endpoints.snapshot import FIELDS_BY_WORD, Endpoint
+from wickvane.endpoints.snapshot import FIELDS_BY_DOCUMENT_NAME, Endpoint
 from wickvane.events import EngineState
 from wickvane.net.coordinator import STATES, address_of
 
@@ -33,7 +33,7 @@
 MAX_STARTED_MS = 1e14
 MAX_CELL = (1 << 31) - 1
 DEFAULT_MAX_ENGINES = 20_000
-YIELD_INTERVAL = 400  # endpoints after which other threads may run
+ENDPOINTS_PER_YIELD = 400  # endpoints after which other threads may run
 
 
 class Document(NamedTuple):
@@ -95,7 +95,7 @@
     lines = line_numbers(text, file)
     endpoints: dict[str, Endpoint] = {}
     for index, row in enumerate(rows):
-        if yield_thread is not None and index % YIELD_INTERVAL == YIELD_INTERVAL - 1:
+        if yield_thread is not None and index % ENDPOINTS_PER_YIELD == ENDPOINTS_PER_YIELD - 1:
             yield_thread()
         endpoint = _RowParser(row, file, lines).parse(overrides_coordinator)
         name = endpoint.name
@@ -147,7 +147,7 @@
             state = EngineState.DRAINING
         stated = None
         if overrides_coordinator:
-            stated = frozenset(FIELDS_BY_WORD[word] for word in row if word != "name")
+            stated = frozenset(FIELDS_BY_DOCUMENT_NAME[word] for word in row if word != "name")
         return Endpoint(self.name, address, zone, kind, cell, started_ms, float(weight), state, stated)
 
     def _address(self, overrides_coordinator: bool) -> tuple[str, int] | None:
--- a/wickvane/endpoints/document_formats.py
+++ b/wickvane/endpoints/document_formats.py
@@ -8,12 +8,12 @@
 import orjson
 
 from wickvane.endpoints.findings import DocumentError
-from wickvane.endpoints.snapshot import FIELDS_BY_WORD
+from wickvane.endpoints.snapshot import FIELDS_BY_DOCUMENT_NAME
 
 MAX_NESTING = 6
 MAX_NAME_LENGTH = 256
-MAX_WORD_IN_MESSAGE = 80
-ENGINE_WORDS = {"name"} | set(FIELDS_BY_WORD)
+MAX_QUOTED_LENGTH = 80
+ENGINE_FIELDS = {"name"} | set(FIELDS_BY_DOCUMENT_NAME)
 KDL_ALIASES = {"since-ms": "since_ms"}
 STRING_OR_COMMENT = re.compile(r'"(?:[^"\\\n]|\\.)*"|//[^\n]*')
 JSON_NAME = re.compile(r'"name"\s*:\s*"([^"\n]{1,256})"')
@@ -66,18 +66,18 @@
         raise DocumentError("no-document", "it has no list `engines`", file)
     for word in document:
         if word not in ("generation", "engines"):
-            raise DocumentError("unknown-node", f"{word[:MAX_WORD_IN_MESSAGE]} is no field of it", file)
+            raise DocumentError("unknown-node", f"{word[:MAX_QUOTED_LENGTH]} is no field of it", file)
     for row in document["engines"]:
         if not isinstance(row, dict):
             raise DocumentError("no-document", "an engine is no object", file)
-        _check_words(row, row, ENGINE_WORDS, "field", file)
+        _check_fields(row, row, ENGINE_FIELDS, "field", file)
     return document["engines"], document.get("generation")
 
 
-def _check_words(words: dict, row: dict, known: set[str], what: str, file: str) -> None:
+def _check_fields(words: dict, row: dict, known: set[str], what: str, file: str) -> None:
     for word in words:
         if word not in known:
-            text = f"{word[:MAX_WORD_IN_MESSAGE]} is no {what} of an engine"
+            text = f"{word[:MAX_QUOTED_LENGTH]} is no {what} of an engine"
             raise DocumentError("unknown-node", text, file, None, _name_in(row))
 
 
@@ -109,7 +109,7 @@
         raise DocumentError("no-document", f"it is no KDL 2: {error}", file) from None
     for node in document.nodes:
         if node.name != "members":
-            raise DocumentError("unknown-node", f"{node.name[:MAX_WORD_IN_MESSAGE]} is no node of it", file)
+            raise DocumentError("unknown-node", f"{node.name[:MAX_QUOTED_LENGTH]} is no node of it", file)
     if len(document.nodes) != 1:
         raise DocumentError("no-document", "it has no node members, or several", file)
     return document.nodes[0]
@@ -117,13 +117,13 @@
 
 def _row_of_engine(node, file: str) -> dict[str, object]:
     if node.name != "engine":
-        text = f"{node.name[:MAX_WORD_IN_MESSAGE]} is no node of members"
+        text = f"{node.name[:MAX_QUOTED_LENGTH]} is no node of members"
         raise DocumentError("unknown-node", text, file)
     if len(node.args) != 1 or node.children:
         raise DocumentError("no-document", "an engine has one value, its name, and properties", file)
     row = {"name": _plain_value(node.args[0])}
-    known = (ENGINE_WORDS | set(KDL_ALIASES)) - {"name"}
-    _check_words(node.properties, row, known, "property", file)
+    known = (ENGINE_FIELDS | set(KDL_ALIASES)) - {"name"}
+    _check_fields(node.properties, row, known, "property", file)
     for word, value in node.properties.items():
         row[KDL_ALIASES.get(word, word)] = _plain_value(value)
     return row
--- a/wickvane/endpoints/document_reader.py
+++ b/wickvane/endpoints/document_reader.py
@@ -12,7 +12,7 @@
 from wickvane.endpoints.merge import DocumentMerger
 from wickvane.endpoints.snapshot import Snapshot
 
-REPORTED_IGNORED_FILES = 8
+MAX_REPORTED_IGNORED_FILES = 8
 DEFAULT_AUTHOR = "file"
 
 
@@ -57,15 +57,15 @@
         self._report_ignored(scan.ignored)
         changes = self._detector.check(now, scan.states)
         self.retry_at = changes.next_check_at
-        has_news = self._set_path_finding(self._check_scan(scan))
+        has_changes = self._set_path_finding(self._check_scan(scan))
         for file in changes.removed:
             self._detector.forget(file)
             self.merger.remove(file)
             self._file_findings.pop(file, None)
-            has_news = True
+            has_changes = True
         for file in changes.to_read:
-            has_news |= self._read(file, scan.states[file])
-        return has_news
+            has_changes |= self._read(file, scan.states[file])
+        return has_changes
 
     def _scan(self) -> DirectoryScan:
         config = self._config
@@ -76,7 +76,7 @@
     def _report_ignored(self, ignored: list[str]) -> None:
         if ignored != self._ignored:
             self._ignored = ignored
-            for name in ignored[:REPORTED_IGNORED_FILES]:
+            for name in ignored[:MAX_REPORTED_IGNORED_FILES]:
                 self._on_ignored(name)
 
     def _check_scan(self, scan: DirectoryScan) -> Finding | None:
@@ -89,12 +89,12 @@
 
     def _set_path_finding(self, finding: Finding | None) -> bool:
         """Sets what is wrong with the files as a whole; whether its code is another than before."""
-        former = self._path_finding
+        previous = self._path_finding
         self._path_finding = finding
-        if finding is None or former is None:
-            is_new = finding is not former
+        if finding is None or previous is None:
+            is_new = finding is not previous
         else:
-            is_new = finding.code != former.code
+            is_new = finding.code != previous.code
         if is_new and finding is not None:
             self._count(f"members-unfit-{finding.code}")
         return is_new
@@ -132,15 +132,15 @@
 
     def broken_codes(self) -> list[str]:
         """Codes of what is wrong with files, sorted."""
-        return sorted({finding.code for finding in self._broken()})
+        return sorted({finding.code for finding in self._read_findings()})
 
-    def _broken(self) -> list[Finding]:
+    def _read_findings(self) -> list[Finding]:
         path_findings = [] if self._path_finding is None else [self._path_finding]
         return [*self._file_findings.values(), *path_findings]
 
     def findings(self, snapshot: Snapshot) -> list[Finding]:
         """Findings on the files and on their merged snapshot."""
-        findings = [*self._broken(), *self.merger.conflicts()]
+        findings = [*self._read_findings(), *self.merger.conflicts()]
         if len(snapshot.endpoints) > self._config.max_engines:
             text = f"all files list {len(snapshot.endpoints)} engines of {self._config.max_engines} at most"
             findings.append(Finding("too-many-engines", Severity.REJECT, text, self._config.path))
--- a/wickvane/endpoints/endpoint_list.py
+++ b/wickvane/endpoints/endpoint_list.py
@@ -149,8 +149,8 @@
         findings = check_endpoints(self.topology, [snapshot.endpoints[name] for name in changed], location_of)
         if self.overlay.is_enabled:
             findings += check_listed(changed, self.overlay.endpoints, location_of)
-        moves = self.rollout.moves_to(target, snapshot, self.overlay)
-        findings += check_change(self.policy.limits, self.rollout.totals, moves, now, load, location_of)
+        changes = self.rollout.changes_to(target, snapshot, self.overlay)
+        findings += check_change(self.policy.limits, self.rollout.totals, changes, now, load, location_of)
         return findings
 
     def _reject(
@@ -264,8 +264,8 @@
             self._log("members-order-for-nothing", order="rollback", generation=generation)
             return False
         snapshot = make_snapshot(self.generations.number, past.snapshot.endpoints.values())
-        moves = self.rollout.moves_to(self.generations.target, snapshot, self.overlay)
-        findings = check_change(self.policy.limits, self.rollout.totals, moves, now, load, unknown_location)
+        changes = self.rollout.changes_to(self.generations.target, snapshot, self.overlay)
+        findings = check_change(self.policy.limits, self.rollout.totals, changes, now, load, unknown_location)
         severity = highest_severity(findings)
         if severity == Severity.REJECT:
             self._reject(now, snapshot, generation, findings, author)
@@ -308,7 +308,7 @@
         step = rollout.plan_step(now, self.generations.target, self.overlay, immediate)
         if step.put or step.removed:
             # The coordinator sends its own events again after a restart: they need no record.
-            is_own = not step.is_only_about(immediate)
+            is_own = not step.puts_only(immediate)
             record = Published(now, rollout.step + is_own, step.delta())
             if is_own:
                 self._write(record)
--- a/wickvane/endpoints/file_source.py
+++ b/wickvane/endpoints/file_source.py
@@ -20,8 +20,8 @@
 from wickvane.endpoints.load_average import LoadAverage
 from wickvane.endpoints.operator_orders import (
     DONE,
-    NO_ROLLBACK,
-    NOTHING_WAITS,
+    NOTHING_PENDING,
+    ROLLBACK_REJECTED,
     Order,
     OrderKind,
     answer_orders,
@@ -38,7 +38,7 @@
 RESUBMIT_INTERVAL = 2 * TICKS_PER_SECOND  # a rejected change is validated again, as the load may have fallen
 MAX_WAIT_S = 1.0
 MIN_WAIT_S = 0.005
-MAX_START_INTERVALS = 10  # settle times that start() waits for the first document
+MAX_START_SETTLE_TIMES = 10  # settle times that start() waits for the first document
 
 UpdateSink = Callable[[int, bool, list[tuple], list[str]], None]
 
@@ -105,7 +105,7 @@
 
     def _submit_first_document(self) -> None:
         settle_time = self.config.settle_time
-        deadline = self.clock.now() + MAX_START_INTERVALS * settle_time
+        deadline = self.clock.now() + MAX_START_SETTLE_TIMES * settle_time
         self.process_changes()
         while not self._has_submitted and self.clock.now() < deadline and not self._is_stopping:
             time.sleep(to_seconds(settle_time) / 2)
@@ -166,12 +166,12 @@
             self._load_average.add(now, self._load())
         if self.config.state_folder:
             answer_orders(self.config.state_folder, self.carry_out, self._count_unanswered)
-        has_news = self.reader.read_changes(now)
+        has_changes = self.reader.read_changes(now)
         with self._lock:
             if self._is_stopping:
                 return
             now = self.clock.now()
-            if has_news or self._is_resubmission_due(now):
+            if has_changes or self._is_resubmission_due(now):
                 self._submit(now)
             self.endpoint_list.tick(now, self._is_busy)
             self._carry_out_effects()
@@ -238,7 +238,7 @@
             self._carry_out_effects()
         if is_done:
             return DONE
-        return NO_ROLLBACK if order.kind == OrderKind.ROLLBACK else NOTHING_WAITS
+        return ROLLBACK_REJECTED if order.kind == OrderKind.ROLLBACK else NOTHING_PENDING
 
     def _decide_order(self, order: Order) -> bool:
         now = self.clock.now()
--- a/wickvane/endpoints/generations.py
+++ b/wickvane/endpoints/generations.py
@@ -75,11 +75,11 @@
     def stored_history(self) -> list[StoredGeneration]:
         """The history for a checkpoint, each generation as a delta from the one before it."""
         stored = []
-        former = EMPTY_SNAPSHOT
+        previous = EMPTY_SNAPSHOT
         for number, generation in self.history.items():
-            delta = delta_between(former, generation.snapshot)
+            delta = delta_between(previous, generation.snapshot)
             stored.append(StoredGeneration(number, generation.at, generation.author, delta))
-            former = generation.snapshot
+            previous = generation.snapshot
         return stored
 
     def latest_snapshot(self) -> Snapshot:
--- a/wickvane/endpoints/journal.py
+++ b/wickvane/endpoints/journal.py
@@ -51,15 +51,15 @@
 EMPTY_CONTENT = JournalContent([], 0, b"")
 
 
-def frame_record(former_checksum: bytes, stored: dict) -> tuple[bytes, bytes]:
-    """(octets, checksum) of a record behind one with the former checksum."""
+def frame_record(previous_checksum: bytes, stored: dict) -> tuple[bytes, bytes]:
+    """(octets, checksum) of a record behind one with the previous checksum."""
     body = orjson.dumps(stored)
-    checksum = _checksum_of(body, former_checksum)
+    checksum = _checksum_of(body, previous_checksum)
     return len(body).to_bytes(LENGTH_SIZE, "big") + checksum + body, checksum
 
 
-def _checksum_of(body: bytes, former_checksum: bytes) -> bytes:
-    return blake2b(body, digest_size=CHECKSUM_SIZE, key=former_checksum).digest()
+def _checksum_of(body: bytes, previous_checksum: bytes) -> bytes:
+    return blake2b(body, digest_size=CHECKSUM_SIZE, key=previous_checksum).digest()
 
 
 def parse_journal(data: bytes) -> JournalContent:
@@ -192,7 +192,7 @@
         return self.size > self.compaction_size
 
     def compact(self, checkpoint: dict) -> None:
-        """Replaces all records by a checkpoint. Raises OSError where the former ones stay."""
+        """Replaces all records by a checkpoint. Raises OSError where the previous ones stay."""
         data, checksum = frame_record(b"", checkpoint)
         temporary_path = self.path + ".fresh"
         descriptor = self.disk.open(temporary_path)
--- a/wickvane/endpoints/journal_writer.py
+++ b/wickvane/endpoints/journal_writer.py
@@ -4,7 +4,7 @@
 
 from wickvane.endpoints.endpoint_list import EndpointList
 from wickvane.endpoints.journal import Journal, JournalError, JournalInUseError
-from wickvane.endpoints.operator_orders import remove_leftovers
+from wickvane.endpoints.operator_orders import remove_stale_files
 from wickvane.endpoints.records import Record, RecordError, encode_record
 from wickvane.endpoints.state_folder import open_journal, recover_records
 from wickvane.errors import ConfigError
@@ -31,18 +31,18 @@
         self._is_incomplete = False
         try:
             self.journal: Journal = open_journal(folder)
-            remove_leftovers(folder)
+            remove_stale_files(folder)
         except JournalInUseError as error:
             raise ConfigError(f"members: {error}", EXIT_CODE) from None
         except OSError as error:
-            raise self._unusable(error) from None
+            raise self._folder_error(error) from None
 
     def recover(self, endpoint_list: EndpointList) -> None:
         """Applies the journal's records to a new list. Raises ConfigError."""
         try:
             records = self.journal.read()
         except OSError as error:
-            raise self._unusable(error) from None
+            raise self._folder_error(error) from None
         except JournalError as error:
             self._preserve_unreadable(error)
             records = []
@@ -53,7 +53,7 @@
                 f"members: the journal in {self._folder} has a record that cannot be used: {error}", EXIT_CODE
             ) from None
 
-    def _unusable(self, error: OSError) -> ConfigError:
+    def _folder_error(self, error: OSError) -> ConfigError:
         return ConfigError(f"members: {self._folder} cannot be used: {error.strerror}", EXIT_CODE)
 
     def _preserve_unreadable(self, error: JournalError) -> None:
@@ -64,7 +64,7 @@
         os.replace(self.journal.path, f"{self.journal.path}.unreadable-{self._clock.now()}")
 
     def append(self, record: Record) -> None:
-        """Writes a record; nothing while the journal lacks former ones."""
+        """Writes a record; nothing while the journal lacks previous ones."""
         if self._is_incomplete:
             return
         try:
--- a/wickvane/endpoints/merge.py
+++ b/wickvane/endpoints/merge.py
@@ -7,8 +7,8 @@
 from wickvane.endpoints.findings import UNKNOWN_LOCATION, Finding, Location, Severity
 from wickvane.endpoints.snapshot import EMPTY_SNAPSHOT, Endpoint, Snapshot, update_snapshot
 
-REPORTED_CONFLICTS = 20  # of one kind
-NAMED_FILES = 4  # in one sentence
+MAX_REPORTED_CONFLICTS = 20  # of one kind
+MAX_FILES_IN_MESSAGE = 4  # in one sentence
 
 
 class DocumentMerger:
@@ -24,16 +24,16 @@
         self._unmerged: set[str] = set()
 
     def put(self, document: Document) -> None:
-        """Takes a document in place of the former one of the same file."""
-        former = self.documents.get(document.file)
-        former_endpoints = () if former is None else former.endpoints
+        """Takes a document in place of the previous one of the same file."""
+        previous = self.documents.get(document.file)
+        previous_endpoints = () if previous is None else previous.endpoints
         current_by_name = {endpoint.name: endpoint for endpoint in document.endpoints}
-        for endpoint in former_endpoints:
+        for endpoint in previous_endpoints:
             if current_by_name.get(endpoint.name) != endpoint:
                 self._remove_listing(endpoint, document.file)
-        former_by_name = {endpoint.name: endpoint for endpoint in former_endpoints}
+        previous_by_name = {endpoint.name: endpoint for endpoint in previous_endpoints}
         for endpoint in document.endpoints:
-            if former_by_name.get(endpoint.name) != endpoint:
+            if previous_by_name.get(endpoint.name) != endpoint:
                 self._add_listing(endpoint, document.file)
         self.documents[document.file] = document
 
@@ -95,8 +95,8 @@
 
     def conflicts(self) -> list[Finding]:
         """Findings on names and addresses that are listed twice over all files."""
-        names = sorted(self.duplicate_names)[:REPORTED_CONFLICTS]
-        addresses = sorted(self.shared_addresses)[:REPORTED_CONFLICTS]
+        names = sorted(self.duplicate_names)[:MAX_REPORTED_CONFLICTS]
+        addresses = sorted(self.shared_addresses)[:MAX_REPORTED_CONFLICTS]
         return [
             *(self._duplicate_name(name) for name in names),
             *(self._shared_address(address) for address in addresses),
@@ -104,7 +104,7 @@
 
     def _duplicate_name(self, name: str) -> Finding:
         files = sorted(self._listings[name])
-        text = f"it is named in {' and '.join(files[:NAMED_FILES])}"
+        text = f"it is named in {' and '.join(files[:MAX_FILES_IN_MESSAGE])}"
         return Finding("name-twice", Severity.REJECT, text, files[1], self._line_of(name, files[1]), name)
 
     def _shared_address(self, address: tuple[str, int]) -> Finding:
--- a/wickvane/endpoints/operator_orders.py
+++ b/wickvane/endpoints/operator_orders.py
@@ -19,12 +19,12 @@
 MAX_ORDERS = 64  # answered at a time
 MAX_ORDER_SIZE = 4096  # octets
 ANSWER_TIMEOUT_S = 5.0
-ANSWER_POLL_S = 0.02
+ANSWER_POLL_INTERVAL_S = 0.02
 
 DONE = "done"
 NOT_UNDERSTOOD = "it cannot be understood"
-NOTHING_WAITS = "nothing waits for it"
-NO_ROLLBACK = "it cannot be rolled back"
+NOTHING_PENDING = "nothing waits for it"
+ROLLBACK_REJECTED = "it cannot be rolled back"
 
 
 class OrderKind(StrEnum):
@@ -56,7 +56,7 @@
     return Order(kind, generation, author) if isinstance(generation, int) else None
 
 
-def remove_leftovers(folder: str) -> None:
+def remove_stale_files(folder: str) -> None:
     """Removes answers that nobody waits for, and unfinished files. Raises OSError."""
     orders = orders_folder(folder)
     for name in os.listdir(orders):
@@ -115,7 +115,7 @@
     while time.monotonic() < deadline:
         if os.path.exists(stem + ANSWER_SUFFIX):
             return _take_answer(stem + ANSWER_SUFFIX)
-        time.sleep(ANSWER_POLL_S)
+        time.sleep(ANSWER_POLL_INTERVAL_S)
     os.unlink(stem + ORDER_SUFFIX)
     return None
 
--- a/wickvane/endpoints/records.py
+++ b/wickvane/endpoints/records.py
@@ -29,7 +29,7 @@
     codes: list[str]
     is_staged: bool
     rollback_of: int | None
-    delta: SnapshotDelta  # from the former target
+    delta: SnapshotDelta  # from the previous target
 
 
 @dataclass(slots=True)
--- a/wickvane/endpoints/rollout.py
+++ b/wickvane/endpoints/rollout.py
@@ -1,4 +1,4 @@
-"""Staged rollout: moves the published list towards the target, at once or a step at a time; free of I/O.
+"""Staged rollout: changes the published list towards the target, at once or a step at a time; free of I/O.
 
 A removed engine drains first: it is published as draining, and removed once nothing runs there any more or
 its time is over. The weight of an engine that is still in slow start rises by steps whatever the policy says.
@@ -23,7 +23,7 @@
     stops_taking_queries,
 )
 from wickvane.endpoints.topology import Topology
-from wickvane.endpoints.validation import Move, Moves
+from wickvane.endpoints.validation import EndpointChange, EndpointChanges
 from wickvane.events import EngineState
 from wickvane.units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 
@@ -42,18 +42,18 @@
     readmitted: list[str] = field(default_factory=list)
     is_waiting: bool = False
 
-    def add(self, name: str, current: Endpoint | None, following: Endpoint | None) -> None:
+    def add(self, name: str, current: Endpoint | None, next_endpoint: Endpoint | None) -> None:
         """Takes in what is published of one engine; None: it is removed."""
-        if following is None:
+        if next_endpoint is None:
             self.removed.append(name)
             self.entries.append(current._replace(state=EngineState.GONE).to_entry())
-        elif following != current:
-            self.put.append(following)
-            self.entries.append(following.to_entry())
-            if current is not None and not current.is_ready and following.is_ready:
+        elif next_endpoint != current:
+            self.put.append(next_endpoint)
+            self.entries.append(next_endpoint.to_entry())
+            if current is not None and not current.is_ready and next_endpoint.is_ready:
                 self.readmitted.append(name)
 
-    def is_only_about(self, names: frozenset[str] | set[str]) -> bool:
+    def puts_only(self, names: frozenset[str] | set[str]) -> bool:
         """Whether it puts nothing but these names, which were to be published at once."""
         return bool(names) and all(endpoint.name in names for endpoint in self.put)
 
@@ -111,16 +111,16 @@
         """Takes what was published."""
         self.step = record.step
         for endpoint in record.delta.put:
-            former = self.published.get(endpoint.name)
-            if former is not None:
-                self.totals.remove(former)
+            previous = self.published.get(endpoint.name)
+            if previous is not None:
+                self.totals.remove(previous)
             self.totals.add(endpoint, record.at)
             self.published = self.published.set(endpoint.name, endpoint)
         for name in record.delta.removed:
             self.draining_until.pop(name, None)
-            former = self.published.get(name)
-            if former is not None:
-                self.totals.remove(former)
+            previous = self.published.get(name)
+            if previous is not None:
+                self.totals.remove(previous)
                 self.published = self.published.delete(name)
 
     def restore(self, record: Checkpoint) -> None:
@@ -177,14 +177,16 @@
         """Whether more than drains is pending."""
         return bool(self.pending - set(self.draining_until))
 
-    def moves_to(self, target: Snapshot, snapshot: Snapshot, overlay: CoordinatorOverlay) -> Moves:
+    def changes_to(
+        self, target: Snapshot, snapshot: Snapshot, overlay: CoordinatorOverlay
+    ) -> EndpointChanges:
         """What would be published otherwise than it is if `snapshot` took the place of the target."""
-        moves = {}
+        changes = {}
         for name in self.pending | changed_names(target, snapshot):
-            move = Move(self.published.get(name), overlay.resolve(name, snapshot))
-            if move.current != move.wanted:
-                moves[name] = move
-        return moves
+            change = EndpointChange(self.published.get(name), overlay.resolve(name, snapshot))
+            if change.current != change.desired:
+                changes[name] = change
+        return changes
 
     def plan_step(
         self,
@@ -202,25 +204,25 @@
         removals_left = self._allowed_removals()
         for name in sorted(self.pending):
             current = self.published.get(name)
-            wanted = overlay.resolve(name, target)
-            if current == wanted:
+            desired = overlay.resolve(name, target)
+            if current == desired:
                 self.pending.discard(name)
                 continue
             is_immediate = name in immediate
-            is_draining = wanted is None and name in self.draining_until
+            is_draining = desired is None and name in self.draining_until
             if not (step.is_due or is_immediate or is_draining):
                 step.is_waiting = True
                 continue
-            if stops_taking_queries(current, wanted) and not is_immediate:
+            if stops_taking_queries(current, desired) and not is_immediate:
                 if not removals_left:
                     step.is_waiting = True
                     continue
                 removals_left -= 1
-            following = self._next_published(now, name, current, wanted, is_immediate)
-            step.add(name, current, following)
-            if _is_reached(following, wanted):
+            next_endpoint = self._next_published(now, name, current, desired, is_immediate)
+            step.add(name, current, next_endpoint)
+            if _is_reached(next_endpoint, desired):
                 self.pending.discard(name)
-            elif wanted is not None:
+            elif desired is not None:
                 step.is_waiting = True
         return step
 
@@ -246,22 +248,22 @@
         return max(1, int(self.policy.limits.removed_fraction * self.totals.ready_count))
 
     def _next_published(
-        self, now: int, name: str, current: Endpoint | None, wanted: Endpoint | None, is_immediate: bool
+        self, now: int, name: str, current: Endpoint | None, desired: Endpoint | None, is_immediate: bool
     ) -> Endpoint | None:
-        """What is published next of an engine on the way to `wanted`; None once it is removed."""
-        if wanted is None:
+        """What is published next of an engine on the way to `desired`; None once it is removed."""
+        if desired is None:
             return self._next_of_removed(now, name, current, is_immediate)
         self.draining_until.pop(name, None)
         if current is None:
-            return self._first_published(now, wanted)
-        following = _with_known_start(current, wanted)
-        is_replaced = current.address != wanted.address and wanted.started_ms <= current.started_ms
+            return self._first_published(now, desired)
+        next_endpoint = _with_known_start(current, desired)
+        is_replaced = current.address != desired.address and desired.started_ms <= current.started_ms
         if is_replaced and not self.policy.overrides_coordinator:
             # Another process under the same name.
-            following = following._replace(started_ms=now // TICKS_PER_MILLISECOND)
-        if current.is_ready and following.is_ready:
-            return self._with_bounded_weight(now, current, following)
-        return following
+            next_endpoint = next_endpoint._replace(started_ms=now // TICKS_PER_MILLISECOND)
+        if current.is_ready and next_endpoint.is_ready:
+            return self._with_bounded_weight(now, current, next_endpoint)
+        return next_endpoint
 
     def _next_of_removed(self, now: int, name: str, current: Endpoint, is_immediate: bool) -> Endpoint | None:
         if self.policy.overrides_coordinator or is_immediate:
@@ -271,30 +273,30 @@
         self.draining_until[name] = now + self.policy.drain_timeout
         return current._replace(state=EngineState.DRAINING, weight=0.0)
 
-    def _first_published(self, now: int, wanted: Endpoint) -> Endpoint:
+    def _first_published(self, now: int, desired: Endpoint) -> Endpoint:
         """An engine whose start is not known counts as started now, unless it is of the first list."""
-        if wanted.started_ms or not self.is_announced or self.policy.overrides_coordinator:
-            return wanted
-        return wanted._replace(started_ms=now // TICKS_PER_MILLISECOND)
+        if desired.started_ms or not self.is_announced or self.policy.overrides_coordinator:
+            return desired
+        return desired._replace(started_ms=now // TICKS_PER_MILLISECOND)
 
-    def _with_bounded_weight(self, now: int, current: Endpoint, following: Endpoint) -> Endpoint:
+    def _with_bounded_weight(self, now: int, current: Endpoint, next_endpoint: Endpoint) -> Endpoint:
         if self.is_staged:
             factor = self.policy.limits.weight_factor
-            lowest = current.weight / factor
-        elif following.started_ms and age_of(following, now) < self.topology.slow_start_duration:
+            min_weight = current.weight / factor
+        elif next_endpoint.started_ms and age_of(next_endpoint, now) < self.topology.slow_start_duration:
             factor = SLOW_START_WEIGHT_FACTOR
-            lowest = 0
+            min_weight = 0
         else:
-            return following
-        weight = min(max(following.weight, lowest), current.weight * factor)
-        return following._replace(weight=weight)
+            return next_endpoint
+        weight = min(max(next_endpoint.weight, min_weight), current.weight * factor)
+        return next_endpoint._replace(weight=weight)
 
 
-def _with_known_start(current: Endpoint, wanted: Endpoint) -> Endpoint:
-    return wanted._replace(started_ms=max(wanted.started_ms, current.started_ms))
+def _with_known_start(current: Endpoint, desired: Endpoint) -> Endpoint:
+    return desired._replace(started_ms=max(desired.started_ms, current.started_ms))
 
 
-def _is_reached(following: Endpoint | None, wanted: Endpoint | None) -> bool:
-    if following is None or wanted is None:
-        return following is wanted
-    return following == wanted or following == _with_known_start(following, wanted)
+def _is_reached(next_endpoint: Endpoint | None, desired: Endpoint | None) -> bool:
+    if next_endpoint is None or desired is None:
+        return next_endpoint is desired
+    return next_endpoint == desired or next_endpoint == _with_known_start(next_endpoint, desired)
--- a/wickvane/endpoints/snapshot.py
+++ b/wickvane/endpoints/snapshot.py
@@ -17,7 +17,7 @@
 
 CHECKSUM_MODULUS = 1 << 128
 # Field of an Endpoint: its word in documents and in stored rows.
-DOCUMENT_WORDS = {
+DOCUMENT_FIELD_NAMES = {
     "address": "address",
     "zone": "zone",
     "kind": "type",
@@ -26,7 +26,7 @@
     "weight": "weight",
     "state": "status",
 }
-FIELDS_BY_WORD = {word: field for field, word in DOCUMENT_WORDS.items()}
+FIELDS_BY_DOCUMENT_NAME = {word: field for field, word in DOCUMENT_FIELD_NAMES.items()}
 
 
 class Endpoint(NamedTuple):
@@ -69,7 +69,7 @@
         """The stored form, for JSON."""
         if self.stated_fields is None:
             return [*self[:8], None]
-        return [*self[:8], sorted(DOCUMENT_WORDS[field] for field in self.stated_fields)]
+        return [*self[:8], sorted(DOCUMENT_FIELD_NAMES[field] for field in self.stated_fields)]
 
 
 def endpoint_from_row(row: list) -> Endpoint:
@@ -84,15 +84,15 @@
     )
     if not is_valid:
         raise ValueError("no member of a list")
-    stated = None if words is None else frozenset(FIELDS_BY_WORD[word] for word in words)
+    stated = None if words is None else frozenset(FIELDS_BY_DOCUMENT_NAME[word] for word in words)
     return Endpoint(name, address, zone, kind, cell, started_ms, weight, EngineState(state), stated)
 
 
-def stops_taking_queries(current: Endpoint | None, following: Endpoint | None) -> bool:
+def stops_taking_queries(current: Endpoint | None, next_endpoint: Endpoint | None) -> bool:
     """Whether a ready endpoint is removed or drained by a change."""
     if current is None or current.state != EngineState.READY:
         return False
-    return following is None or following.state != EngineState.READY
+    return next_endpoint is None or next_endpoint.state != EngineState.READY
 
 
 def _endpoint_checksum(endpoint: Endpoint) -> int:
@@ -129,16 +129,16 @@
     changed = set()
     with parent.endpoints.mutate() as table:
         for name in removed:
-            former = table.pop(name, None)
-            if former is not None:
-                checksum -= _endpoint_checksum(former)
+            previous = table.pop(name, None)
+            if previous is not None:
+                checksum -= _endpoint_checksum(previous)
                 changed.add(name)
         for endpoint in put:
-            former = table.get(endpoint.name)
-            if former == endpoint:
+            previous = table.get(endpoint.name)
+            if previous == endpoint:
                 continue
-            if former is not None:
-                checksum -= _endpoint_checksum(former)
+            if previous is not None:
+                checksum -= _endpoint_checksum(previous)
             checksum += _endpoint_checksum(endpoint)
             table[endpoint.name] = endpoint
             changed.add(endpoint.name)
@@ -164,7 +164,7 @@
         [
             name
             for name, endpoint in after.endpoints.items()
-            if (former := before.endpoints.get(name)) is not endpoint and former != endpoint
+            if (previous := before.endpoints.get(name)) is not endpoint and previous != endpoint
         ]
         + [name for name in before.endpoints if name not in after.endpoints]
     )
--- a/wickvane/endpoints/validation.py
+++ b/wickvane/endpoints/validation.py
@@ -15,21 +15,21 @@
 from wickvane.endpoints.topology import Topology
 from wickvane.events import EngineState
 
-NAMES_IN_MESSAGE = 5
+MAX_NAMES_IN_MESSAGE = 5
 MAX_ENDPOINT_FINDINGS = 20
 ROUNDING_TOLERANCE = 1e-9  # of a weight factor
 
 LocationOf = Callable[[str], Location]
 
 
-class Move(NamedTuple):
-    """One engine's change: as it is published, as it is wanted; None where it is not listed."""
+class EndpointChange(NamedTuple):
+    """One engine's change: as it is published, as it is desired; None where it is not listed."""
 
     current: Endpoint | None
-    wanted: Endpoint | None
+    desired: Endpoint | None
 
 
-Moves = dict[str, Move]
+EndpointChanges = dict[str, EndpointChange]
 
 
 def check_endpoints(
@@ -55,13 +55,13 @@
         for name in names
         if name not in listed
     ]
-    return findings[:NAMES_IN_MESSAGE]
+    return findings[:MAX_NAMES_IN_MESSAGE]
 
 
 def check_change(
     limits: ChangeLimits,
     before: CapacityTotals,
-    moves: Moves,
+    changes: EndpointChanges,
     now: int,
     load: float | None,
     location_of: LocationOf,
@@ -70,27 +70,27 @@
 
     before: totals of the published list. load: threads that the pool's queries occupy, None where unknown.
     """
-    effect = _effect_of(limits, before, moves, now, location_of)
-    after = effect.totals
+    impact = _impact_of(limits, before, changes, now, location_of)
+    after = impact.totals
     if not after.ready_count:
         text = "no engine would be ready"
-        return [*effect.address_findings, Finding("empty", limits.empty_severity, text)]
+        return [*impact.address_findings, Finding("empty", limits.empty_severity, text)]
     if not before.ready_count:
-        return effect.address_findings  # the first list is compared with nothing
+        return impact.address_findings  # the first list is compared with nothing
     return [
-        *effect.address_findings,
-        *_check_removed_fraction(limits, before, effect.removed),
-        *_check_capacity(limits, before, effect, now, load),
+        *impact.address_findings,
+        *_check_removed_fraction(limits, before, impact.removed),
+        *_check_capacity(limits, before, impact, now, load),
         *_check_groups(limits, before, after),
         *(
-            _weight_jump(limits, moves[name], name, location_of)
-            for name in effect.weight_jumps[:NAMES_IN_MESSAGE]
+            _weight_jump(limits, changes[name], name, location_of)
+            for name in impact.weight_jumps[:MAX_NAMES_IN_MESSAGE]
         ),
     ]
 
 
 @dataclass(slots=True)
-class _ChangeEffect:
+class _ChangeImpact:
     """What a change does, all names sorted."""
 
     totals: CapacityTotals
@@ -99,40 +99,42 @@
     address_findings: list[Finding] = field(default_factory=list)
 
 
-def _effect_of(
-    limits: ChangeLimits, before: CapacityTotals, moves: Moves, now: int, location_of: LocationOf
-) -> _ChangeEffect:
-    effect = _ChangeEffect(before.copy())
-    for name in sorted(moves):
-        current, wanted = moves[name]
+def _impact_of(
+    limits: ChangeLimits, before: CapacityTotals, changes: EndpointChanges, now: int, location_of: LocationOf
+) -> _ChangeImpact:
+    impact = _ChangeImpact(before.copy())
+    for name in sorted(changes):
+        current, desired = changes[name]
         if current is not None:
-            effect.totals.remove(current)
-        if wanted is not None:
-            effect.totals.add(wanted, now)
-        if stops_taking_queries(current, wanted):
-            effect.removed.append(name)
-        elif _is_weight_jump(limits, current, wanted):
-            effect.weight_jumps.append(name)
-        if wanted is not None and (current is None or current.address != wanted.address):
-            effect.address_findings += _check_address(name, wanted, moves, location_of)
-    return effect
-
-
-def _is_weight_jump(limits: ChangeLimits, current: Endpoint | None, wanted: Endpoint | None) -> bool:
-    if current is None or wanted is None or not current.state == wanted.state == EngineState.READY:
+            impact.totals.remove(current)
+        if desired is not None:
+            impact.totals.add(desired, now)
+        if stops_taking_queries(current, desired):
+            impact.removed.append(name)
+        elif _is_weight_jump(limits, current, desired):
+            impact.weight_jumps.append(name)
+        if desired is not None and (current is None or current.address != desired.address):
+            impact.address_findings += _check_address(name, desired, changes, location_of)
+    return impact
+
+
+def _is_weight_jump(limits: ChangeLimits, current: Endpoint | None, desired: Endpoint | None) -> bool:
+    if current is None or desired is None or not current.state == desired.state == EngineState.READY:
         return False
-    factor = wanted.weight / current.weight
+    factor = desired.weight / current.weight
     return max(factor, 1 / factor) > limits.weight_factor * (1 + ROUNDING_TOLERANCE)
 
 
-def _check_address(name: str, wanted: Endpoint, moves: Moves, location_of: LocationOf) -> list[Finding]:
+def _check_address(
+    name: str, desired: Endpoint, changes: EndpointChanges, location_of: LocationOf
+) -> list[Finding]:
     """A note on an address that another engine gives up in the same change, or still drains at."""
-    for other, (current, following) in moves.items():
+    for other, (current, other_desired) in changes.items():
         if (
             other != name
             and current is not None
-            and current.address == wanted.address
-            and (following is None or following.address != wanted.address)
+            and current.address == desired.address
+            and (other_desired is None or other_desired.address != desired.address)
         ):
             text = f"its address was that of {other}"
             return [Finding("address-taken-over", Severity.NOTE, text, *location_of(name), name)]
@@ -153,16 +155,16 @@
 
 
 def _names_in(names: list[str]) -> str:
-    more = f" and {len(names) - NAMES_IN_MESSAGE} more" if len(names) > NAMES_IN_MESSAGE else ""
-    return ", ".join(names[:NAMES_IN_MESSAGE]) + more
+    more = f" and {len(names) - MAX_NAMES_IN_MESSAGE} more" if len(names) > MAX_NAMES_IN_MESSAGE else ""
+    return ", ".join(names[:MAX_NAMES_IN_MESSAGE]) + more
 
 
 def _check_capacity(
-    limits: ChangeLimits, before: CapacityTotals, effect: _ChangeEffect, now: int, load: float | None
+    limits: ChangeLimits, before: CapacityTotals, impact: _ChangeImpact, now: int, load: float | None
 ) -> list[Finding]:
-    if load is None or not effect.removed:
+    if load is None or not impact.removed:
         return []
-    cores_left = effect.totals.warm_cores(now)
+    cores_left = impact.totals.warm_cores(now)
     if load <= limits.load_fraction * cores_left:
         return []
     text = (
@@ -184,9 +186,9 @@
     ]
 
 
-def _weight_jump(limits: ChangeLimits, move: Move, name: str, location_of: LocationOf) -> Finding:
+def _weight_jump(limits: ChangeLimits, change: EndpointChange, name: str, location_of: LocationOf) -> Finding:
     text = (
-        f"its weight goes from {move.current.weight:g} to {move.wanted.weight:g}, by more than "
+        f"its weight goes from {change.current.weight:g} to {change.desired.weight:g}, by more than "
         f"{limits.weight_factor:g} times"
     )
     return Finding("weight-jump", limits.weight_factor_severity, text, *location_of(name), name)
