--- a/wickvane/endpoints/command.py
+++ b/wickvane/endpoints/command.py
@@ -1,7 +1,7 @@
-"""`wickvane members`: what a document would do, what was done, and operators' orders.
+"""`wickvane members`: validates documents, prints the list and its history, and sends operators' orders.
 
-What is shown comes from the state folder, which may be read while its dispatcher runs; orders are laid into
-it and answered by that dispatcher.
+The output comes from the state folder, which may be read while its dispatcher runs. Orders are written to
+the state folder, and that dispatcher answers them.
 """
 
 import os
@@ -34,15 +34,15 @@
 UNKNOWN_TOPOLOGY = Topology({}, None, (), 1.0, 0)
 DEFAULT_POLICY = ChangePolicy()
 MAX_GENERATION_DIGITS = 9
-MAX_GENERATIONS_IN_MESSAGE = 10  # in one sentence
+MAX_GENERATIONS_IN_MESSAGE = 10
 
 
 class CommandError(WickvaneError):
-    """Why a call cannot be answered; exit 2."""
+    """The command cannot be run; it exits with status 2."""
 
 
 def main(arguments: dict) -> int:
-    """Runs the command with the arguments of its usage text; the exit status."""
+    """Runs the command with the parsed arguments of its usage text and returns the exit status."""
     try:
         return _run(arguments)
     except (CommandError, JournalError) as error:
@@ -55,7 +55,7 @@
 def _run(arguments: dict) -> int:
     as_json = arguments["--json"]
     if arguments["agree"]:
-        return agree(arguments["DIR"], as_json)
+        return compare_dispatchers(arguments["DIR"], as_json)
     config = _config_of(arguments["--parts"])
     if arguments["check"]:
         folder = _state_folder_of(arguments, config, is_needed=False)
@@ -72,7 +72,7 @@
 
 
 def _config_of(path: str) -> EndpointsConfig | None:
-    """The node `members` of an extensions document, if there are both."""
+    """Returns the node `members` of an extensions document, None if either is missing."""
     path = os.environ.get("WICKVANE_PARTS") if path == "$WICKVANE_PARTS" else path
     if not path:
         return None
@@ -87,33 +87,31 @@
 def _state_folder_of(arguments: dict, config: EndpointsConfig | None, is_needed: bool = True) -> str | None:
     folder = arguments["--state"] or config and config.state_folder
     if not folder and is_needed:
-        raise CommandError("no folder of a journal: name one with --state, or a parts document that has one")
+        raise CommandError("no state folder: pass --state, or an extensions document that names one")
     return folder
 
 
 def _parse_generation(text: str) -> int:
     if not text.isascii() or not text.isdigit() or len(text) > MAX_GENERATION_DIGITS:
-        raise CommandError(f"{text[:40]} is no generation")
+        raise CommandError(f"{text[:40]} is not a generation number")
     return int(text)
 
 
 def _recover(
     folder: str, topology: Topology = UNKNOWN_TOPOLOGY, policy: ChangePolicy = DEFAULT_POLICY
 ) -> EndpointList:
-    """The endpoint list that a state folder's journal describes."""
+    """Returns the endpoint list recovered from the journal in a state folder."""
     records = read_journal(folder).records
     endpoint_list = EndpointList(topology, policy)
     try:
         recover_records(endpoint_list, records)
     except RecordError as error:
-        raise CommandError(
-            f"the journal in {folder} has a record that cannot be used: {error.reason}"
-        ) from None
+        raise CommandError(f"the journal in {folder} has an invalid record: {error.reason}") from None
     return endpoint_list
 
 
 def _topology_of(config_path: str) -> Topology:
-    """The topology of a dispatcher's configuration, if one is named."""
+    """Returns the topology in a dispatcher's configuration, UNKNOWN_TOPOLOGY if none is named."""
     path = os.environ.get("LB_CONFIG") if config_path == "$LB_CONFIG" else config_path
     if not path:
         return UNKNOWN_TOPOLOGY
@@ -125,16 +123,16 @@
     except ConfigError as error:
         raise CommandError(str(error)) from None
     except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
-        raise CommandError(f"the configuration {path} cannot be used: {error}") from None
+        raise CommandError(f"the configuration {path} is invalid: {error}") from None
 
 
 def check(
     path: str | None, config: EndpointsConfig | None, config_path: str, folder: str | None, as_json: bool
 ) -> int:
-    """Prints what would be done with a file or directory; exit 1 where it would be rejected."""
+    """Prints the decision on a file or directory without applying it; returns 1 if it would be rejected."""
     path = path or config and config.path
     if not path:
-        raise CommandError("no document: name one, or a parts document that does")
+        raise CommandError("no document: pass its path, or an extensions document that names it")
     rules = read_rules_of(config)
     topology = _topology_of(config_path)
     if folder:
@@ -155,7 +153,7 @@
     print(orjson.dumps(document).decode())
 
 
-# The past
+# History
 
 
 def _time_text(ticks: int) -> str:
@@ -163,7 +161,7 @@
 
 
 def print_history(folder: str, as_json: bool) -> int:
-    """Prints the decisions that are kept, oldest first."""
+    """Prints the decisions in the audit log, oldest first."""
     for row in _recover(folder).audit_log.rows:
         if as_json:
             _print_json(row)
@@ -189,12 +187,14 @@
     history = endpoint_list.generations.history
     if generation not in history:
         known = ", ".join(map(str, list(history)[-MAX_GENERATIONS_IN_MESSAGE:]))
-        raise CommandError(f"generation {generation} is not kept; the last ones are {known or 'none'}")
+        raise CommandError(
+            f"generation {generation} is not in the history; the latest ones are {known or 'none'}"
+        )
     return history[generation].snapshot
 
 
 def print_difference(folder: str, from_text: str, to_text: str) -> int:
-    """Prints the engines in which two generations differ."""
+    """Prints the engines that differ between two generations."""
     endpoint_list = _recover(folder)
     before = _snapshot_of(endpoint_list, _parse_generation(from_text)).endpoints
     after = _snapshot_of(endpoint_list, _parse_generation(to_text)).endpoints
@@ -210,11 +210,11 @@
     return 0
 
 
-# The present
+# Current state
 
 
 def show(folder: str, generation: str | None, as_json: bool) -> int:
-    """Prints the published list, or an earlier generation."""
+    """Prints the published list, or an earlier generation if one is given."""
     if generation is not None:
         snapshot = _snapshot_of(_recover(folder), _parse_generation(generation))
         _print_snapshot(snapshot, as_json)
@@ -275,8 +275,8 @@
         _print_endpoint(endpoint)
 
 
-def agree(folders: list[str], as_json: bool) -> int:
-    """Prints whether dispatchers publish the same list, by their state folders; exit 1 where not."""
+def compare_dispatchers(folders: list[str], as_json: bool) -> int:
+    """Prints whether the dispatchers of these state folders publish the same list; returns 1 if not."""
     statuses = [(folder, _status_of(folder)) for folder in folders]
     newest = max(status["generation"] for _, status in statuses)
     digest = next(status["digest"] for _, status in statuses if status["generation"] == newest)
@@ -313,7 +313,7 @@
 
 
 def give_order(folder: str, kind: OrderKind, generation: str | None) -> int:
-    """Gives an order to the dispatcher that runs with a state folder, and prints its answer."""
+    """Sends an order to the dispatcher that uses a state folder, and prints the answer."""
     number = None if generation is None else _parse_generation(generation)
     try:
         answer = send_order(folder, kind, number)
@@ -321,7 +321,7 @@
         raise CommandError(f"{folder}: {error.strerror}") from None
     if answer is None:
         raise CommandError(
-            f"nobody has taken the order within {ANSWER_TIMEOUT_S:g} s: does a dispatcher run with {folder}?"
+            f"no answer to the order within {ANSWER_TIMEOUT_S:g} s; is a dispatcher running with {folder}?"
         )
     print(answer)
     return 0 if answer == DONE else 1
--- a/wickvane/endpoints/document.py
+++ b/wickvane/endpoints/document.py
@@ -1,4 +1,4 @@
-"""Parsing of one file of a list: all of it, or a DocumentError; free of I/O.
+"""Parses one file of a list completely, or raises a DocumentError; free of I/O.
 
     members generation=7 {
         engine "e1" address="10.0.0.1:5001" zone="dc" type="old" weight=1.0 group=0 since-ms=0
@@ -7,10 +7,10 @@
     }
     //! length=312 blake2b=0f...
 
-or the same as JSON with the coordinator's field names: {"generation": 7, "engines": [{"name": ..., "address":
-..., "zone": ..., "type": ..., "group": ..., "weight": ..., "since_ms": ..., "status": ...}]}. The last line,
-the seal, is optional in both: the number of octets ahead of it, and their BLAKE2b of 16 octets. Without it a
-truncated document is still rejected, since its last brace is missing.
+JSON has the same content under the coordinator's field names: {"generation": 7, "engines": [{"name": ...,
+"address": ..., "zone": ..., "type": ..., "group": ..., "weight": ..., "since_ms": ..., "status": ...}]}. Both
+formats may end with a seal line, which contains the number of octets before it and their BLAKE2b digest of
+16 octets. A truncated document without a seal is still rejected, since its last brace is missing.
 """
 
 import math
@@ -33,11 +33,11 @@
 MAX_STARTED_MS = 1e14
 MAX_CELL = (1 << 31) - 1
 DEFAULT_MAX_ENGINES = 20_000
-ENDPOINTS_PER_YIELD = 400  # endpoints after which other threads may run
+ENDPOINTS_PER_YIELD = 400  # endpoints that are parsed before other threads may run
 
 
 class Document(NamedTuple):
-    """One file as it was read. lines: line numbers of the engines by name, where they are known."""
+    """The content of one file. lines: line number of each engine by name, as far as known."""
 
     file: str
     generation: int | None
@@ -46,7 +46,7 @@
 
 
 def seal(data: bytes) -> bytes:
-    """The octets followed by their seal line."""
+    """Returns the data followed by its seal line."""
     if data and not data.endswith(b"\n"):
         data += b"\n"
     digest = blake2b(data, digest_size=SEAL_DIGEST_SIZE).hexdigest()
@@ -54,20 +54,20 @@
 
 
 def unseal(data: bytes, file: str, is_seal_required: bool) -> bytes:
-    """The octets ahead of the seal line. Raises DocumentError where they do not match it."""
+    """Returns the octets before the seal line. Raises DocumentError if they do not match it."""
     match = SEAL_LINE.search(data)
     if match is None:
         if DAMAGED_SEAL_LINE.search(data):
-            raise DocumentError("length-wrong", "its seal is cut, or is none", file)
+            raise DocumentError("length-wrong", "its seal line is truncated or malformed", file)
         if is_seal_required:
-            raise DocumentError("seal-missing", "it ends without a seal", file)
+            raise DocumentError("seal-missing", "it has no seal line", file)
         return data
     body = data[: match.start(1)]
     if len(body) != int(match[2]):
-        text = f"{len(body)} octets stand ahead of its seal, which says {int(match[2])}"
+        text = f"{len(body)} octets precede its seal line, which states {int(match[2])}"
         raise DocumentError("length-wrong", text, file)
     if blake2b(body, digest_size=SEAL_DIGEST_SIZE).hexdigest().encode() != match[3]:
-        raise DocumentError("checksum-wrong", "its octets are not those that were sealed", file)
+        raise DocumentError("checksum-wrong", "its checksum does not match its seal line", file)
     return body
 
 
@@ -79,19 +79,20 @@
     overrides_coordinator: bool = False,
     yield_thread: Callable[[], None] | None = None,
 ) -> Document:
-    """The document in a file's octets.
+    """Parses the data of a file.
 
-    overrides_coordinator: engines need no address, and only the stated fields count. yield_thread: called
-    now and then, so that a long list does not hold up other threads. Raises DocumentError.
+    overrides_coordinator: engines need no address, and only the stated fields override the coordinator's.
+    yield_thread: called every ENDPOINTS_PER_YIELD endpoints, so that a long list does not block other
+    threads. Raises DocumentError.
     """
     text = _decode(unseal(data, file, is_seal_required), file)
     rows, generation = read_rows(text, file)
     if len(rows) > max_engines:
         raise DocumentError(
-            "too-many-engines", f"it lists {len(rows)} engines of {max_engines} at most", file
+            "too-many-engines", f"it lists {len(rows)} engines of at most {max_engines}", file
         )
     if generation is not None and not _is_integer_within(generation, 1, MAX_GENERATION):
-        raise DocumentError("generation-wrong", f"generation {str(generation)[:40]} is none", file)
+        raise DocumentError("generation-wrong", f"{str(generation)[:40]} is not a valid generation", file)
     lines = line_numbers(text, file)
     endpoints: dict[str, Endpoint] = {}
     for index, row in enumerate(rows):
@@ -100,7 +101,7 @@
         endpoint = _RowParser(row, file, lines).parse(overrides_coordinator)
         name = endpoint.name
         if name in endpoints:
-            raise DocumentError("name-twice", "it is named twice in this file", file, lines.get(name), name)
+            raise DocumentError("name-twice", "it is listed twice in this file", file, lines.get(name), name)
         endpoints[name] = endpoint
     return Document(file, generation, tuple(endpoints.values()), lines)
 
@@ -110,11 +111,11 @@
         return body.decode()
     except UnicodeDecodeError as error:
         line = body.count(b"\n", 0, error.start) + 1
-        raise DocumentError("not-utf8", f"octet {error.start} is no UTF-8", file, line) from None
+        raise DocumentError("not-utf8", f"not valid UTF-8 at octet {error.start}", file, line) from None
 
 
 class _RowParser:
-    """Checks the values of one engine's row."""
+    """Validates the values of one engine's row."""
 
     __slots__ = ("file", "line", "name", "row")
 
@@ -123,12 +124,12 @@
         self.file = file
         name = row.get("name")
         if not isinstance(name, str) or not 0 < len(name) <= MAX_NAME_LENGTH or not name.isprintable():
-            raise DocumentError("value-wrong", f"{_quoted(name)} is no name of an engine", file)
+            raise DocumentError("value-wrong", f"{_quoted(name)} is not a valid engine name", file)
         self.name = name
         self.line = lines.get(name)
 
     def parse(self, overrides_coordinator: bool) -> Endpoint:
-        """The endpoint; raises DocumentError."""
+        """Returns the endpoint. Raises DocumentError."""
         row = self.row
         address = self._address(overrides_coordinator)
         weight = row.get("weight", 1.0)
@@ -147,7 +148,7 @@
             state = EngineState.DRAINING
         stated = None
         if overrides_coordinator:
-            stated = frozenset(FIELDS_BY_DOCUMENT_NAME[word] for word in row if word != "name")
+            stated = frozenset(FIELDS_BY_DOCUMENT_NAME[field] for field in row if field != "name")
         return Endpoint(self.name, address, zone, kind, cell, started_ms, float(weight), state, stated)
 
     def _address(self, overrides_coordinator: bool) -> tuple[str, int] | None:
@@ -161,10 +162,10 @@
             raise DocumentError("address-missing", "it has no address", self.file, self.line, self.name)
         return None
 
-    def _optional_name(self, word: str) -> str | None:
-        value = self.row.get(word)
+    def _optional_name(self, field: str) -> str | None:
+        value = self.row.get(field)
         if value is not None and not (isinstance(value, str) and 0 < len(value) <= MAX_NAME_LENGTH):
-            raise self._error(word)
+            raise self._error(field)
         return value
 
     def _state(self) -> EngineState:
@@ -173,8 +174,8 @@
             raise self._error("status")
         return STATES[status]
 
-    def _error(self, word: str, code: str = "value-wrong") -> DocumentError:
-        text = f"{word} {_quoted(self.row.get(word))} cannot be"
+    def _error(self, field: str, code: str = "value-wrong") -> DocumentError:
+        text = f"{field} {_quoted(self.row.get(field))} is not a valid value"
         return DocumentError(code, text, self.file, self.line, self.name)
 
 
--- a/wickvane/endpoints/document_reader.py
+++ b/wickvane/endpoints/document_reader.py
@@ -1,4 +1,4 @@
-"""Reads the files of a list as they change: the merged snapshot, and what is wrong with the files."""
+"""Reads the files of a list when they change: keeps the merged snapshot and the findings on the files."""
 
 import os
 import time
@@ -17,16 +17,16 @@
 
 
 def yield_thread() -> None:
-    """Lets other threads run, which would else wait for the end of a long list."""
+    """Lets other threads run, which would otherwise wait until a long list is parsed."""
     time.sleep(0)
 
 
 class DocumentReader:
-    """The files of one list.
+    """Reads the files of one list.
 
-    retry_at: when files that are still changing are to be looked at again, None where none are. author: of
-    the file that was read last. clock: now() in ticks; on_ignored: called with names of files in the
-    directory that are no documents; count: adds one to a counter.
+    retry_at: tick at which files that are still changing are checked again, None if there are none. author:
+    of the file that was read last. clock: returns the current tick; on_ignored: called with the name of each
+    file in the directory that is not a document; count: adds one to a counter.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         self._path_finding: Finding | None = None
 
     def read_changes(self, now: int) -> bool:
-        """Reads the files that have changed and settled; whether the list or its findings may differ."""
+        """Reads changed files that have settled; returns whether the list or its findings may differ."""
         try:
             scan = self._scan()
         except DocumentError as error:
@@ -82,13 +82,13 @@
     def _check_scan(self, scan: DirectoryScan) -> Finding | None:
         path = self._config.path
         if not scan.states and self.retry_at is None:
-            return Finding("missing", Severity.REJECT, "it is not there", path)
+            return Finding("missing", Severity.REJECT, "the file does not exist", path)
         if self._detector.never_settles:
-            return Finding("never-still", Severity.REJECT, "it changes all the time", path)
+            return Finding("never-still", Severity.REJECT, "it keeps changing", path)
         return None
 
     def _set_path_finding(self, finding: Finding | None) -> bool:
-        """Sets what is wrong with the files as a whole; whether its code is another than before."""
+        """Sets the finding on the path as a whole; returns whether its code has changed."""
         previous = self._path_finding
         self._path_finding = finding
         if finding is None or previous is None:
@@ -127,11 +127,11 @@
         return True
 
     def file_count(self) -> int:
-        """Files that hold a document."""
+        """Returns the number of files that contain a valid document."""
         return len(self.merger.documents)
 
     def broken_codes(self) -> list[str]:
-        """Codes of what is wrong with files, sorted."""
+        """Returns the sorted codes of the findings on files that cannot be used."""
         return sorted({finding.code for finding in self._read_findings()})
 
     def _read_findings(self) -> list[Finding]:
@@ -139,9 +139,9 @@
         return [*self._file_findings.values(), *path_findings]
 
     def findings(self, snapshot: Snapshot) -> list[Finding]:
-        """Findings on the files and on their merged snapshot."""
+        """Returns the findings on the files and on their merged snapshot."""
         findings = [*self._read_findings(), *self.merger.conflicts()]
         if len(snapshot.endpoints) > self._config.max_engines:
-            text = f"all files list {len(snapshot.endpoints)} engines of {self._config.max_engines} at most"
+            text = f"the files list {len(snapshot.endpoints)} engines of at most {self._config.max_engines}"
             findings.append(Finding("too-many-engines", Severity.REJECT, text, self._config.path))
         return findings
--- a/wickvane/endpoints/dry_run.py
+++ b/wickvane/endpoints/dry_run.py
@@ -1,4 +1,4 @@
-"""What a document would do if it were read now; nothing is changed."""
+"""Determines the decision on a document without applying it."""
 
 import os
 from collections.abc import Iterable
@@ -15,11 +15,11 @@
 from wickvane.endpoints.merge import DocumentMerger
 from wickvane.endpoints.records import Applied, Held, Rejected
 
-MAX_FILE_SIZE = 64 << 20  # octets, without a configuration
+MAX_FILE_SIZE = 64 << 20  # octets, if there is no configuration
 
 
 class ReadRules(NamedTuple):
-    """Bounds of reading, of a configuration or without one."""
+    """Limits for reading documents and the change policy, with defaults if there is no configuration."""
 
     is_seal_required: bool = False
     max_engines: int = DEFAULT_MAX_ENGINES
@@ -29,7 +29,7 @@
 
 
 def read_rules_of(config: EndpointsConfig | None) -> ReadRules:
-    """The bounds of a configuration, if there is one."""
+    """Returns the rules of a configuration, or the defaults if there is none."""
     if config is None:
         return ReadRules()
     return ReadRules(
@@ -38,7 +38,7 @@
 
 
 class Outcome(NamedTuple):
-    """What would follow. what: the stored word of it, or "nothing"; summary: a sentence on it."""
+    """The decision. what: its name in stored records, or "nothing"; summary: a sentence that describes it."""
 
     what: str
     summary: str
@@ -48,7 +48,7 @@
     reasons: tuple[str, ...] = ()
 
     def to_document(self) -> dict:
-        """For JSON."""
+        """Returns the fields of the JSON output."""
         if self.what == "nothing":
             return {"what": self.what, "said": self.summary, "codes": [], "why": list(self.reasons)}
         return {
@@ -62,7 +62,7 @@
 
 
 def submit_documents(endpoint_list: EndpointList, path: str, rules: ReadRules, now: int) -> Outcome:
-    """Reads a file or directory and submits it to a list; what would follow."""
+    """Reads a file or directory, submits it to an endpoint list, and returns the decision."""
     merger = DocumentMerger()
     findings = []
     author = DEFAULT_AUTHOR
@@ -70,11 +70,11 @@
     try:
         scan = scan_directory(path, rules.max_files) if is_directory else scan_file(path)
         findings += [
-            Finding("part-ignored", Severity.NOTE, "its name is not that of a part", name)
+            Finding("part-ignored", Severity.NOTE, "its name is not that of a document", name)
             for name in scan.ignored
         ]
         if not scan.states:
-            raise DocumentError("missing", "it is not there", path)
+            raise DocumentError("missing", "the file does not exist", path)
         for file in sorted(scan.states):
             full_path = os.path.join(path, file) if is_directory else path
             try:
@@ -89,10 +89,10 @@
 
 
 def _read_into(merger: DocumentMerger, path: str, file: str, rules: ReadRules) -> str:
-    """Reads a file into the merged documents; its author. Raises DocumentError."""
+    """Adds a file to the merged documents and returns its author. Raises DocumentError."""
     content = read_file(path, file, rules.max_file_size)
     if content is None:
-        raise DocumentError("never-still", "it changed while it was read", file)
+        raise DocumentError("never-still", "it changed while it was being read", file)
     overrides = rules.policy.overrides_coordinator
     merger.put(parse_document(content.data, file, rules.is_seal_required, rules.max_engines, overrides))
     return content.author
--- a/wickvane/endpoints/files.py
+++ b/wickvane/endpoints/files.py
@@ -1,4 +1,4 @@
-"""Files of a list on disk: which there are, in which state, and what they hold."""
+"""Scans and reads the files of a list on disk."""
 
 import os
 import pwd
@@ -13,7 +13,7 @@
 
 
 class FileState(NamedTuple):
-    """What distinguishes one content of a file from another; size -1: its state cannot be read."""
+    """Metadata that changes with the content of a file; size: -1 if the metadata cannot be read."""
 
     device: int
     inode: int
@@ -24,28 +24,28 @@
 
 
 class DirectoryScan(NamedTuple):
-    """Documents by file name, and names that were ignored, sorted."""
+    """The states of documents by file name, and the sorted names of ignored files."""
 
     states: dict[str, FileState]
     ignored: list[str]
 
 
 class FileContent(NamedTuple):
-    """What was read of a file. author: its owner, for the history."""
+    """The content of a file. author: its owner, for the audit log."""
 
     data: bytes
     state: FileState
     author: str
 
 
-def _state_of(found: os.stat_result) -> FileState:
+def _state_of(status: os.stat_result) -> FileState:
     return FileState(
-        found.st_dev,
-        found.st_ino,
-        found.st_size,
-        found.st_mtime_ns,
-        found.st_ctime_ns,
-        stat.S_IFMT(found.st_mode),
+        status.st_dev,
+        status.st_ino,
+        status.st_size,
+        status.st_mtime_ns,
+        status.st_ctime_ns,
+        stat.S_IFMT(status.st_mode),
     )
 
 
@@ -54,7 +54,7 @@
 
 
 def scan_file(path: str) -> DirectoryScan:
-    """The state of a single file; nothing where there is none."""
+    """Returns the state of a single file; no states if it does not exist."""
     name = os.path.basename(path)
     try:
         return DirectoryScan({name: _state_of(os.stat(path))}, [])
@@ -65,8 +65,10 @@
 
 
 def scan_directory(path: str, max_files: int) -> DirectoryScan:
-    """The states of a directory's documents. Raises DocumentError where it cannot be read, or holds too
-    many."""
+    """Returns the states of a directory's documents.
+
+    Raises DocumentError if the directory cannot be read or contains too many documents.
+    """
     states: dict[str, FileState] = {}
     ignored = []
     try:
@@ -78,13 +80,15 @@
                     ignored.append(entry.name)
                     continue
                 if len(states) >= max_files:
-                    raise DocumentError("too-many-parts", f"it holds more than {max_files} files", path)
+                    raise DocumentError(
+                        "too-many-parts", f"it contains more than {max_files} documents", path
+                    )
                 states[entry.name] = _state_of_entry(entry)
     except FileNotFoundError:
         return DirectoryScan({}, [])
     except OSError as error:
         code = "not-a-file" if isinstance(error, NotADirectoryError) else "unreadable"
-        raise DocumentError(code, f"the folder cannot be read: {error.strerror}", path) from None
+        raise DocumentError(code, f"the directory cannot be read: {error.strerror}", path) from None
     return DirectoryScan(states, sorted(ignored))
 
 
@@ -96,22 +100,22 @@
 
 
 def read_file(path: str, file: str, max_size: int) -> FileContent | None:
-    """The content of a plain file, None where it changed while it was read.
+    """Reads a regular file; returns None if it changed while it was being read.
 
     file: its name in messages. Never blocks on pipes or devices. Raises DocumentError.
     """
     try:
         descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC | os.O_NOCTTY)
     except FileNotFoundError:
-        raise DocumentError("missing", "it is not there", file) from None
+        raise DocumentError("missing", "the file does not exist", file) from None
     except OSError as error:
         raise DocumentError("unreadable", f"it cannot be opened: {error.strerror}", file) from None
     try:
         before = os.fstat(descriptor)
         if not stat.S_ISREG(before.st_mode):
-            raise DocumentError("not-a-file", "it is a folder, a pipe or a device", file)
+            raise DocumentError("not-a-file", "it is a directory, a pipe or a device", file)
         if before.st_size > max_size:
-            raise DocumentError("too-long", f"it has {before.st_size} octets of {max_size} at most", file)
+            raise DocumentError("too-long", f"it has {before.st_size} octets of at most {max_size}", file)
         data = _read_all(descriptor, file, max_size)
         if _state_of(os.fstat(descriptor)) != _state_of(before):
             return None
--- a/wickvane/endpoints/findings.py
+++ b/wickvane/endpoints/findings.py
@@ -1,7 +1,7 @@
-"""Validation findings: what can be wrong with a document or with the change that it asks for; free of I/O.
+"""Validation findings on a document or on the change that it requests; free of I/O.
 
-A finding's code is for programs and for docs/members.md. Its sentence is for people: it names file, line and
-engine where there are any, and what to do.
+A finding's code is for programs and for docs/members.md. Its sentence is for operators: it names the file,
+line and engine, as far as known, and the remedy.
 """
 
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 
 
 class Severity(IntEnum):
-    """What follows from a finding; the highest of a change's findings decides."""
+    """The consequence of a finding; the highest severity of a change's findings decides."""
 
     NOTE = 0  # reported only
     STAGE = 1  # the change is rolled out in steps
@@ -20,36 +20,36 @@
     REJECT = 3  # the current list stays
 
 
-MAX_REASONS = 8  # sentences in a record or log event
+MAX_REASONS = 8  # maximum number of sentences in a record or log event
 
-# code: what to do about it
+# Remedy by finding code
 REMEDIES = {
     # The file
-    "missing": "put the file in place; the list at work stays until then",
-    "not-a-file": "put a plain file there",
-    "unreadable": "give the dispatcher's user the right to read it",
-    "too-long": "cut it into parts, or raise `most` in the parts document",
-    "never-still": "write it beside its place and rename it, so that it is whole at once",
+    "missing": "create the file; until then the current list stays",
+    "not-a-file": "replace it by a regular file",
+    "unreadable": "allow the dispatcher's user to read it",
+    "too-long": "split it into several files, or raise `most` in the extensions document",
+    "never-still": "write a temporary file and rename it, so that the file is replaced atomically",
     "too-many-parts": "put fewer files into the directory",
-    "part-ignored": "name it *.kdl or *.json if it is a part",
-    # Its form
-    "length-wrong": "write it whole; it will be read again",
-    "checksum-wrong": "write it whole, or make its seal anew",
-    "seal-missing": "end it with a seal line, or take `sealed` out of the parts document",
-    "not-utf8": "write it as UTF-8",
-    "too-deep": "it has no more than three levels",
+    "part-ignored": "name it *.kdl or *.json if it is a document",
+    # Its format
+    "length-wrong": "write the complete file; it will be read again",
+    "checksum-wrong": "write the complete file, or compute its seal again",
+    "seal-missing": "end it with a seal line, or remove `sealed` from the extensions document",
+    "not-utf8": "encode it as UTF-8",
+    "too-deep": "a document needs at most three levels",
     "no-document": "mend its form; `wickvane members check` tells without applying it",
-    "unknown-node": "take it out; nothing is included from elsewhere",
-    "value-wrong": "mend the value",
-    "generation-wrong": "state a whole number from 1 on, once a file",
-    "too-many-engines": "raise `engines` in the parts document, if there are so many",
-    "name-twice": "name each engine once over all files",
-    "address-twice": "give each engine an address of its own",
+    "unknown-node": "remove it; a document cannot include other files",
+    "value-wrong": "correct the value",
+    "generation-wrong": "state an integer from 1 up, once in each file",
+    "too-many-engines": "raise `engines` in the extensions document if this number is intended",
+    "name-twice": "list each engine once across all files",
+    "address-twice": "give each engine its own address",
     "address-missing": "give the engine an address",
     "kind-unknown": "name a type of the settings' host_types",
     "zone-unknown": "name a zone of the settings' zones",
-    "weight-wrong": "state a number from 0 (drained by hand) to 100",
-    # Its generation
+    "weight-wrong": "use a number from 0 (drained by the operator) to 100",
+    # Its generation number
     "generation-back": "state a number above the one at work, or roll back by `wickvane members rollback`",
     "generation-same": "state a number above the one at work: two writers have used this one",
     # The change
@@ -64,7 +64,7 @@
 
 
 class Location(NamedTuple):
-    """Where an engine is listed: file and line, None where they are not known."""
+    """The file and line in which an engine is listed, None if not known."""
 
     file: str | None
     line: int | None
@@ -74,12 +74,12 @@
 
 
 def unknown_location(name: str) -> Location:
-    """The location of an engine that is in no file."""
+    """Returns the location of an engine that is in no file."""
     return UNKNOWN_LOCATION
 
 
 class Finding(NamedTuple):
-    """Something that validation found, and what follows from it."""
+    """A problem or note that validation found, with its severity."""
 
     code: str
     severity: Severity
@@ -89,7 +89,7 @@
     engine: str | None = None
 
     def sentence(self) -> str:
-        """The finding for people: location, engine, what is wrong, remedy."""
+        """Returns the finding as a sentence: location, engine, problem, remedy."""
         line = f":{self.line}" if self.line else ""
         location = f"{self.file}{line}: " if self.file else ""
         subject = f"engine {self.engine}: " if self.engine else ""
@@ -97,7 +97,7 @@
 
 
 class DocumentError(WickvaneError):
-    """A document that cannot be used; `finding` says why."""
+    """A document that cannot be used; `finding` has the reason."""
 
     def __init__(
         self,
@@ -112,15 +112,15 @@
 
 
 def highest_severity(findings: Iterable[Finding]) -> Severity:
-    """What follows from all findings together; NOTE where there are none."""
+    """Returns the highest severity of the findings, NOTE if there are none."""
     return max((finding.severity for finding in findings), default=Severity.NOTE)
 
 
 def reasons_of(findings: list[Finding]) -> list[str]:
-    """Sentences for a record or log event; of many findings the first."""
+    """Returns the sentences of the first MAX_REASONS findings, for a record or log event."""
     return [finding.sentence() for finding in findings[:MAX_REASONS]]
 
 
 def distinct_codes(findings: Iterable[Finding]) -> tuple[str, ...]:
-    """Each code once, in the order of the findings."""
+    """Returns each code once, in the order of the findings."""
     return tuple(dict.fromkeys(finding.code for finding in findings))
--- a/wickvane/endpoints/merge.py
+++ b/wickvane/endpoints/merge.py
@@ -1,30 +1,30 @@
-"""Merging of the documents of one list, file by file; free of I/O.
+"""Merges the documents of one list, file by file; free of I/O.
 
-A change of one file costs what that file's endpoints cost: the other files are not looked at again.
+The cost of a change depends only on the size of the changed file: the other files are not processed again.
 """
 
 from wickvane.endpoints.document import Document
 from wickvane.endpoints.findings import UNKNOWN_LOCATION, Finding, Location, Severity
 from wickvane.endpoints.snapshot import EMPTY_SNAPSHOT, Endpoint, Snapshot, update_snapshot
 
-MAX_REPORTED_CONFLICTS = 20  # of one kind
-MAX_FILES_IN_MESSAGE = 4  # in one sentence
+MAX_REPORTED_CONFLICTS = 20  # of names, and as many of addresses
+MAX_FILES_IN_MESSAGE = 4
 
 
 class DocumentMerger:
-    """The documents of a list by file, with what they say together and against each other."""
+    """Keeps the documents of a list by file, their merged snapshot and their conflicts."""
 
     def __init__(self) -> None:
         self.documents: dict[str, Document] = {}
         self.snapshot = EMPTY_SNAPSHOT
         self.duplicate_names: set[str] = set()
         self.shared_addresses: set[tuple[str, int]] = set()
-        self._listings: dict[str, dict[str, Endpoint]] = {}  # name: file: endpoint
+        self._listings: dict[str, dict[str, Endpoint]] = {}  # endpoint by name and file
         self._names_by_address: dict[tuple[str, int], set[str]] = {}
         self._unmerged: set[str] = set()
 
     def put(self, document: Document) -> None:
-        """Takes a document in place of the previous one of the same file."""
+        """Adds a document, or replaces the previous one of the same file."""
         previous = self.documents.get(document.file)
         previous_endpoints = () if previous is None else previous.endpoints
         current_by_name = {endpoint.name: endpoint for endpoint in document.endpoints}
@@ -38,7 +38,7 @@
         self.documents[document.file] = document
 
     def remove(self, file: str) -> None:
-        """Forgets the document of a file."""
+        """Removes the document of a file."""
         document = self.documents.pop(file, None)
         if document is not None:
             for endpoint in document.endpoints:
@@ -75,12 +75,12 @@
             del self._names_by_address[endpoint.address]
 
     def generation(self) -> int | None:
-        """The highest generation that a file states, None where none does."""
+        """Returns the highest generation that a file states, None if no file states one."""
         stated = (document.generation for document in self.documents.values())
         return max((generation for generation in stated if generation is not None), default=None)
 
     def merge(self) -> Snapshot:
-        """The snapshot of what the files list now, without a generation; see conflicts()."""
+        """Returns the merged snapshot of all files, without a generation; see conflicts()."""
         put = []
         removed = []
         for name in self._unmerged:
@@ -94,7 +94,7 @@
         return self.snapshot
 
     def conflicts(self) -> list[Finding]:
-        """Findings on names and addresses that are listed twice over all files."""
+        """Returns findings on names and addresses that are listed twice across all files."""
         names = sorted(self.duplicate_names)[:MAX_REPORTED_CONFLICTS]
         addresses = sorted(self.shared_addresses)[:MAX_REPORTED_CONFLICTS]
         return [
@@ -104,13 +104,13 @@
 
     def _duplicate_name(self, name: str) -> Finding:
         files = sorted(self._listings[name])
-        text = f"it is named in {' and '.join(files[:MAX_FILES_IN_MESSAGE])}"
+        text = f"it is listed in {' and '.join(files[:MAX_FILES_IN_MESSAGE])}"
         return Finding("name-twice", Severity.REJECT, text, files[1], self._line_of(name, files[1]), name)
 
     def _shared_address(self, address: tuple[str, int]) -> Finding:
         names = sorted(self._names_by_address[address])
         file = min(self._listings[names[1]])
-        text = f"{address[0]}:{address[1]} is also that of {names[0]}"
+        text = f"{address[0]}:{address[1]} is also the address of {names[0]}"
         line = self._line_of(names[1], file)
         return Finding("address-twice", Severity.REJECT, text, file, line, names[1])
 
@@ -118,7 +118,7 @@
         return self.documents[file].lines.get(name) if file in self.documents else None
 
     def location_of(self, name: str) -> Location:
-        """Where an engine is listed, for messages."""
+        """Returns the file and line in which an engine is listed, for messages."""
         listings = self._listings.get(name)
         if not listings:
             return UNKNOWN_LOCATION
