--- a/wickvane/endpoints/coordinator_overlay.py
+++ b/wickvane/endpoints/coordinator_overlay.py
@@ -1,7 +1,7 @@
 """The coordinator's list, overridden by documents; free of I/O.
 
 With overrides, the coordinator's stream lists the engines, and documents override their fields, for example
-the weight, or drain them. An engine is draining if either the coordinator or a document says so.
+the weight, or drain them. An engine is draining if either the coordinator or a document drains it.
 """
 
 from collections.abc import Iterable
@@ -13,7 +13,7 @@
 
 
 class CoordinatorOverlay:
-    """The coordinator's list. is_enabled: documents override it; otherwise they are the whole list."""
+    """The coordinator's list. is_enabled: documents override it; otherwise they are the complete list."""
 
     __slots__ = ("endpoints", "event_number", "is_enabled")
 
--- a/wickvane/endpoints/document_reader.py
+++ b/wickvane/endpoints/document_reader.py
@@ -88,7 +88,7 @@
         return None
 
     def _set_path_finding(self, finding: Finding | None) -> bool:
-        """Sets the finding on the path as a whole; returns whether its code has changed."""
+        """Sets the finding on the file or directory itself; returns whether its code has changed."""
         previous = self._path_finding
         self._path_finding = finding
         if finding is None or previous is None:
--- a/wickvane/endpoints/endpoint_list.py
+++ b/wickvane/endpoints/endpoint_list.py
@@ -1,11 +1,12 @@
 """Decisions on an endpoint list from watched files; free of I/O.
 
-A document that was read whole and passed validation becomes the target. The published list follows the
-target (rollout.py). A change past a limit is rejected, held for a confirmation, or rolled out in steps.
+A document that was read completely and passed validation becomes the target, and the rollout changes the
+published list towards it (rollout.py). A change that exceeds a limit is rejected, held for a confirmation, or
+rolled out in steps.
 
-Every decision is written to the journal before it is carried out, so that a restart goes on from the
-published list: the effects that take_effects() returns are in the order in which they must be carried out.
-apply() makes of a record what the call that wrote it made.
+Every decision is written to the journal before it is carried out, so that a restarted process continues from
+the published list. The effects that take_effects() returns must therefore be carried out in their order.
+apply() changes the state as the call that wrote the record did.
 
 Times are ticks.
 """
@@ -51,7 +52,7 @@
 
 
 class Rejection(NamedTuple):
-    """The last rejected document, so that the same one is not reported twice."""
+    """Identifies the last rejected document, so that the same one is not reported twice."""
 
     checksum: int
     generation: int | None
@@ -59,7 +60,7 @@
 
 
 class EndpointList:
-    """The decisions and state behind one endpoint list."""
+    """Decides on the changes of one endpoint list and keeps its state."""
 
     def __init__(self, topology: Topology, policy: ChangePolicy) -> None:
         self.topology = topology
@@ -70,13 +71,13 @@
         self.audit_log = AuditLog()
         self.overlay = CoordinatorOverlay(policy.overrides_coordinator)
         self.last_rejection: Rejection | None = None
-        self.is_stale = False  # recovered from the journal, and no file has agreed since
+        self.is_stale = False  # recovered from the journal, and not yet confirmed by the files
         self._effects: list[Effect] = []
 
     # State
 
     def take_effects(self) -> list[Effect]:
-        """The effects since the last call, to be carried out in their order."""
+        """Returns the effects since the last call, which must be carried out in their order."""
         effects = self._effects
         self._effects = []
         return effects
@@ -87,7 +88,7 @@
         return make_update_number(self.generations.number, self.rollout.step, self.overlay.event_number)
 
     def next_wakeup(self) -> int | None:
-        """When tick() has something to do, None for never."""
+        """Returns the time at which tick() must be called next, None if there is nothing to do."""
         times = [self.rollout.next_wakeup()]
         if self.confirmation.pending is not None:
             times.append(self.confirmation.pending.expires_at)
@@ -105,10 +106,10 @@
         load: float | None = None,
         location_of: LocationOf = unknown_location,
     ) -> None:
-        """Validates a document that was read, and applies, holds or rejects it.
+        """Validates a document, and applies, holds or rejects it.
 
-        generation: as it states, if it does. findings: of reading it. load: threads that the pool's queries
-        occupy, None where unknown.
+        generation: the one that the document states, None if it states none. findings: from reading the
+        document. load: number of threads that the pool's queries occupy, None if unknown.
         """
         findings = list(findings)
         if highest_severity(findings) == Severity.REJECT:
@@ -210,7 +211,7 @@
         is_staged: bool,
         rollback_of: int | None = None,
     ) -> None:
-        """Makes a snapshot the target."""
+        """Makes a snapshot the target and starts its rollout."""
         pending = self.confirmation.pending
         is_confirmed = pending is not None and pending.snapshot.checksum == snapshot.checksum
         self._end_hold("taken" if is_confirmed else "replaced")
@@ -236,7 +237,7 @@
     # Operators
 
     def confirm(self, now: int, generation: int, author: str = "operator") -> bool:
-        """Applies a held generation, or resumes a paused one; False where neither waits."""
+        """Applies a held generation, or resumes a paused one; returns False if there is neither."""
         if self.confirmation.awaits(generation):
             pending = self.confirmation.pending
             findings = [Finding(code, Severity.NOTE, "confirmed") for code in pending.codes]
@@ -254,10 +255,10 @@
     def rollback(
         self, now: int, generation: int, author: str = "operator", load: float | None = None
     ) -> bool:
-        """Makes the content of an earlier generation the target again, also during a rollout.
+        """Makes the content of an earlier generation the target again, even during a rollout.
 
-        The number stays, so that the file needs a newer one than the one rolled back. False where the
-        generation is not kept or may not be applied.
+        The generation number stays, so that the next document needs a higher one than the generation that was
+        rolled back. Returns False if the generation is not in the history or its content is rejected.
         """
         past = self.generations.history.get(generation)
         if past is None:
@@ -275,7 +276,7 @@
         return True
 
     def pause(self, now: int, author: str = "operator") -> bool:
-        """Pauses a rollout where it is; False where none is under way."""
+        """Pauses a rollout after its last step; returns False if none is in progress."""
         if self.rollout.is_paused or not self.rollout.has_steps_left():
             return False
         self._write(RolloutPaused(now, self.generations.number, author))
@@ -285,7 +286,7 @@
     # The coordinator's stream
 
     def apply_stream_event(self, now: int, number: int, is_full: bool, entries: Iterable[tuple]) -> None:
-        """Takes in an event of the coordinator's stream; only with overrides."""
+        """Applies an event of the coordinator's stream; called only with overrides."""
         names = self.overlay.apply(number, is_full, entries)
         self.rollout.pending |= names
         self._advance(now, names)
@@ -293,8 +294,10 @@
     # Time
 
     def tick(self, now: int, is_busy: Callable[[str], bool] | None = None) -> None:
-        """Carries on with time: expiry, drains, steps. is_busy: whether anything runs on an engine, where
-        that can be known."""
+        """Discards an expired held change, ends finished drains, and publishes a step that is due.
+
+        is_busy: returns whether queries run on an engine; None if that is unknown.
+        """
         if self.confirmation.has_expired(now):
             pending = self.confirmation.pending
             self._write(ConfirmationExpired(now, pending.snapshot.generation))
@@ -307,7 +310,7 @@
         rollout = self.rollout
         step = rollout.plan_step(now, self.generations.target, self.overlay, immediate)
         if step.put or step.removed:
-            # The coordinator sends its own events again after a restart: they need no record.
+            # The coordinator sends its events again after a restart, so they need no record.
             is_own = not step.puts_only(immediate)
             record = Published(now, rollout.step + is_own, step.delta())
             if is_own:
@@ -332,7 +335,7 @@
         self.apply(record)
 
     def apply(self, record: Record) -> None:
-        """Makes of a record what the call that wrote it made. The recovered list is published by start()."""
+        """Changes the state as the call that wrote the record did; start() publishes the recovered list."""
         match record:
             case Checkpoint():
                 self._restore(record)
@@ -353,7 +356,7 @@
         self.audit_log.append(record)
 
     def checkpoint(self, now: int) -> Checkpoint:
-        """A record that replaces all before it."""
+        """Returns a record of the complete state, which replaces all records before it."""
         generations = self.generations
         rollout = self.rollout
         return Checkpoint(
@@ -378,8 +381,10 @@
         self.audit_log.rows = record.audit_rows
 
     def start(self, now: int) -> None:
-        """Publishes the recovered list, which is stale until a file agrees. With overrides the coordinator's
-        first event does instead."""
+        """Publishes the recovered list, which is stale until a file lists the same engines.
+
+        With overrides, the first event of the coordinator's stream publishes the list instead.
+        """
         self._effects.clear()
         rollout = self.rollout
         if self.overlay.is_enabled:
--- a/wickvane/endpoints/extension.py
+++ b/wickvane/endpoints/extension.py
@@ -1,4 +1,4 @@
-"""The extension `members`: an endpoint list from watched files, in a dispatcher."""
+"""The extension `members` of a dispatcher: an endpoint list from watched files."""
 
 from typing import TYPE_CHECKING
 
@@ -11,7 +11,7 @@
 
 
 def read(node: parts.Node) -> EndpointsConfig:
-    """The configuration in a node of the extensions document. Raises parts.InvalidDocumentError."""
+    """Returns the configuration in a node of the extensions document. Raises parts.InvalidDocumentError."""
     return read_config(node)
 
 
@@ -22,11 +22,11 @@
     threads = 1
 
     def prepare(self, service: "Service", found: dict) -> None:
-        """Takes the place of the coordinator's list in the service."""
+        """Replaces the coordinator's list in the service."""
         service.lister = self
 
     def join(self, service: "Service", found: dict) -> None:
-        """Makes the source, recovered from its journal. Raises ConfigError."""
+        """Creates the source and recovers it from its journal. Raises ConfigError."""
         from wickvane.endpoints.file_source import FileSource
         from wickvane.endpoints.topology import topology_of
 
@@ -45,11 +45,11 @@
         )
 
     def streamed(self, number: int, is_full: bool, entries: list[tuple]) -> None:
-        """Takes in an event of the coordinator's stream."""
+        """Applies an event of the coordinator's stream."""
         self.source.apply_stream_event(number, is_full, entries)
 
     def start(self, service: "Service") -> None:
-        """Publishes the list, and starts to watch; the coordinator's stream goes on from what is known."""
+        """Publishes the list and starts watching; the stream continues after the known events."""
         coordinator = service.coordinator
         number, events = service.known
         self.source.start(events if coordinator else ())
@@ -57,11 +57,11 @@
             coordinator.last = max(number, *(event[0] for event in events), 0)
 
     def change(self, terms: EndpointsConfig, ready: object) -> None:
-        """At a reload: the files are read again at once."""
+        """Checks the files for changes at once; called when the configuration is reloaded."""
         self.source.wake()
 
     def status(self) -> dict:
-        """The status of the list and its files."""
+        """Returns the status of the list and its files."""
         return self.source.status()
 
     def stop(self) -> None:
--- a/wickvane/endpoints/file_source.py
+++ b/wickvane/endpoints/file_source.py
@@ -1,9 +1,9 @@
-"""The thread behind an endpoint list from watched files: files, journal, orders, and effects.
+"""Runs an endpoint list from watched files in a thread: reads files, answers orders, carries out effects.
 
-Decisions are in endpoint_list.py. Updates go to a sink like the coordinator's: sink(number, is_full, entries,
-readmitted) is called for each, in the order of the numbers, from one thread or another, never two at a time.
-A lock guards the state; files are read and parsed outside it, so that the coordinator's stream waits for no
-long file.
+The decisions are in endpoint_list.py. The sink takes updates like the coordinator's: sink(number, is_full,
+entries, readmitted) is called for each update in the order of the numbers, possibly from different threads,
+but never concurrently. A lock protects the state; files are read and parsed without it, so that a long file
+does not block the coordinator's stream.
 """
 
 import os
@@ -35,10 +35,12 @@
 from wickvane.net.threads import Threads
 from wickvane.units import TICKS_PER_SECOND, to_seconds
 
-RESUBMIT_INTERVAL = 2 * TICKS_PER_SECOND  # a rejected change is validated again, as the load may have fallen
+RESUBMIT_INTERVAL = (
+    2 * TICKS_PER_SECOND
+)  # a rejected change is validated again, since the load may have fallen
 MAX_WAIT_S = 1.0
 MIN_WAIT_S = 0.005
-MAX_START_SETTLE_TIMES = 10  # settle times that start() waits for the first document
+MAX_START_SETTLE_TIMES = 10  # maximum wait of start() for the first document, in settle times
 
 UpdateSink = Callable[[int, bool, list[tuple], list[str]], None]
 
@@ -46,8 +48,9 @@
 class FileSource:
     """An endpoint list that follows watched files.
 
-    sink: takes each update. load: threads that the pool's queries occupy. is_busy: whether anything runs on
-    an engine. Both are None where nobody knows. Raises ConfigError where the state folder cannot be used.
+    sink: takes each update. load: returns the number of threads that the pool's queries occupy. is_busy:
+    returns whether queries run on an engine. Both are None if unknown. Raises ConfigError if the state folder
+    cannot be used.
     """
 
     def __init__(
@@ -88,9 +91,10 @@
     # Start and stop
 
     def start(self, known: Iterable[tuple] = ()) -> None:
-        """Publishes the recovered list and the files as they are, before this returns; starts the thread.
+        """Publishes the recovered list, then the current files, and starts the thread.
 
-        known: events of the coordinator's stream that the configuration has.
+        Returns after the first document was submitted, or after MAX_START_SETTLE_TIMES settle times. known:
+        events of the coordinator's stream that the configuration contains.
         """
         with self._lock:
             self.endpoint_list.start(self.clock.now())
@@ -123,11 +127,11 @@
         self.log.line("members-watch-failed", why=reason, poll=to_seconds(self.config.poll_interval))
 
     def wake(self) -> None:
-        """Looks at the files at once."""
+        """Makes the thread check the files at once."""
         self._woken.set()
 
     def stop(self) -> None:
-        """Lets the thread end and closes the journal."""
+        """Asks the thread to end and closes the journal."""
         self._is_stopping = True
         if self._watcher:
             self._watcher.stop()
@@ -145,7 +149,7 @@
             self._woken.clear()
             try:
                 self.process_changes()
-            except Exception as error:  # the current list stays, and the next call is another chance
+            except Exception as error:  # the current list stays, and the next iteration retries
                 self.counters.add("faults")
                 self.log.line("fault", error=f"{type(error).__name__}: {error}", where="members")
 
@@ -160,7 +164,7 @@
         return seconds
 
     def process_changes(self) -> None:
-        """Samples the load, answers orders, and submits what changed on disk."""
+        """Samples the load, answers orders, submits changed files, and carries out due effects."""
         now = self.clock.now()
         if self._load is not None:
             self._load_average.add(now, self._load())
@@ -181,7 +185,7 @@
         return is_rejected and now >= self._submitted_at + RESUBMIT_INTERVAL
 
     def _submit(self, now: int) -> None:
-        """Submits what the files list now; under the lock."""
+        """Submits the merged files; called under the lock."""
         self._submitted_at = now
         self._has_submitted = True
         merger = self.reader.merger
@@ -197,7 +201,7 @@
         )
 
     def apply_stream_event(self, number: int, is_full: bool, entries: list[tuple]) -> None:
-        """Takes in an event of the coordinator's stream, where the files override it."""
+        """Applies an event of the coordinator's stream; called only with overrides."""
         with self._lock:
             self.endpoint_list.apply_stream_event(self.clock.now(), number, is_full, entries)
             self._carry_out_effects()
@@ -205,7 +209,7 @@
     # Effects
 
     def _carry_out_effects(self) -> None:
-        """Carries out what was decided, in its order; under the lock."""
+        """Carries out the pending effects in their order; called under the lock."""
         effects = self.endpoint_list.take_effects()
         for effect in effects:
             self._carry_out_effect(effect)
@@ -232,7 +236,7 @@
     # Operators
 
     def carry_out(self, order: Order) -> str:
-        """Carries out an operator's order; the answer to it."""
+        """Carries out an operator's order and returns the answer."""
         with self._lock:
             is_done = self._decide_order(order)
             self._carry_out_effects()
@@ -255,7 +259,7 @@
         self.counters.add("members-orders-unanswered")
 
     def status(self) -> dict:
-        """The status of the list and its files."""
+        """Returns the status of the list and its files."""
         with self._lock:
             return status_document(self.endpoint_list) | {
                 "files": self.reader.file_count(),
@@ -263,7 +267,7 @@
             }
 
     def _write_status(self) -> None:
-        """Writes the status to the state folder, where it is another than before."""
+        """Writes the status to the state folder if it has changed."""
         if not self.config.state_folder:
             return
         status = status_document(self.endpoint_list)
--- a/wickvane/endpoints/generations.py
+++ b/wickvane/endpoints/generations.py
@@ -1,4 +1,4 @@
-"""Generations of an endpoint list: the target, its number, and those that it can be rolled back to."""
+"""Generations of an endpoint list: the target, its number, and the history for rollbacks."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -7,11 +7,11 @@
 from wickvane.endpoints.records import Applied, Checkpoint, Held, ReservedNumber, StoredGeneration
 from wickvane.endpoints.snapshot import EMPTY_SNAPSHOT, Snapshot, delta_between, update_snapshot
 
-MAX_GENERATIONS = 64  # kept for rollback
+MAX_GENERATIONS = 64  # maximum number in the history
 
 
 class Generation(NamedTuple):
-    """A generation that was applied from a document."""
+    """A generation in the history, which was applied from a document."""
 
     snapshot: Snapshot
     at: int
@@ -20,9 +20,12 @@
 
 @dataclass(slots=True)
 class Generations:
-    """target: the list that the rollout moves towards. number: its generation; after a rollback still the
-    one that was rolled back. highest_number: ever assigned here. file_checksum: of the document applied
-    last, which a rollback leaves as it was."""
+    """The target, its number, and the history.
+
+    target: the list towards which the rollout changes the published list. number: generation of the target;
+    after a rollback, still the generation that was rolled back. highest_number: highest generation assigned
+    so far. file_checksum: checksum of the last document that was applied, which a rollback does not change.
+    """
 
     target: Snapshot = EMPTY_SNAPSHOT
     number: int = 0
@@ -33,11 +36,11 @@
     reserved: ReservedNumber | None = None
 
     def is_applied(self, snapshot: Snapshot, stated: int | None) -> bool:
-        """Whether a document is the one that was applied last: current, or rolled back and still on disk."""
+        """Returns whether a document is the last one that was applied, even if it was rolled back since."""
         return snapshot.checksum == self.file_checksum and (stated is None or stated <= self.number)
 
     def check_stated(self, stated: int | None) -> Finding | None:
-        """A finding on a stated generation that is not above the current one."""
+        """Returns a finding if the stated generation is not above the current one."""
         if stated is None or stated > self.number:
             return None
         code = "generation-same" if stated == self.number else "generation-back"
@@ -45,7 +48,7 @@
         return Finding(code, Severity.REJECT, text)
 
     def number_for(self, snapshot: Snapshot, stated: int | None) -> int:
-        """The generation of a new document: as it states, as it was held before, or the next free one."""
+        """Returns a document's generation: the stated one, the one reserved for it, or the next free one."""
         if stated is not None:
             return stated
         if self.reserved is not None and self.reserved.checksum == snapshot.checksum:
@@ -53,7 +56,7 @@
         return max(self.highest_number, self.number) + 1
 
     def apply(self, record: Applied) -> Snapshot:
-        """Makes a generation the target, and returns it."""
+        """Makes the snapshot of a record the target, and returns it."""
         snapshot = update_snapshot(self.target, record.generation, *record.delta)
         if record.rollback_of is None:
             self.file_checksum = snapshot.checksum
@@ -68,12 +71,12 @@
         return snapshot
 
     def reserve(self, record: Held) -> None:
-        """Keeps a held document's number for it."""
+        """Reserves the generation of a held document for that document."""
         self.reserved = ReservedNumber(record.checksum, record.generation)
         self.highest_number = max(self.highest_number, record.generation)
 
     def stored_history(self) -> list[StoredGeneration]:
-        """The history for a checkpoint, each generation as a delta from the one before it."""
+        """Returns the history for a checkpoint, each generation as a delta from the one before it."""
         stored = []
         previous = EMPTY_SNAPSHOT
         for number, generation in self.history.items():
@@ -83,13 +86,13 @@
         return stored
 
     def latest_snapshot(self) -> Snapshot:
-        """The newest snapshot of the history."""
+        """Returns the newest snapshot of the history."""
         if not self.history:
             return EMPTY_SNAPSHOT
         return next(reversed(self.history.values())).snapshot
 
     def restore(self, record: Checkpoint) -> None:
-        """Takes all of it from a checkpoint."""
+        """Replaces the complete state by that of a checkpoint."""
         self.history = {}
         snapshot = EMPTY_SNAPSHOT
         for stored in record.generations:
--- a/wickvane/endpoints/journal.py
+++ b/wickvane/endpoints/journal.py
@@ -1,14 +1,14 @@
-"""The journal of an endpoint list on disk; a cut at any octet loses at most the records behind it.
+"""The journal of an endpoint list on disk; truncation at any octet loses only the records after it.
 
     wickvane-members 1\\n
-    records, one behind another: length (4 octets), checksum (16), JSON of so many octets
+    consecutive records: length of the JSON (4 octets), checksum (16 octets), JSON
 
-A record's checksum is BLAKE2b over its octets, keyed by the checksum before it, so that a record is valid in
-its position only: neither an old piece of the file nor one of another file passes for the next. The first
-invalid record ends the journal. A record counts once it is synced; compaction replaces the journal by one
-rename with one that begins with a checkpoint.
+A record's checksum is BLAKE2b over its JSON, keyed by the checksum of the record before it, so that a record
+is valid only in its position: an old fragment of this file or of another one is not accepted as the next
+record. The first invalid record ends the journal. A record is durable once it is synced. Compaction
+atomically replaces the journal, by a rename, with one that begins with a checkpoint.
 
-`Disk` is all that touches the disk, so that tests can interrupt it at each step.
+All disk access goes through `Disk`, so that tests can interrupt it at each step.
 """
 
 import fcntl
@@ -26,22 +26,22 @@
 LENGTH_SIZE = 4  # octets
 CHECKSUM_SIZE = 16  # octets
 HEADER_SIZE = LENGTH_SIZE + CHECKSUM_SIZE
-MAX_RECORD_SIZE = 64 << 20
-MAX_FILE_SIZE = 256 << 20
-DEFAULT_COMPACTION_SIZE = 4 << 20
+MAX_RECORD_SIZE = 64 << 20  # octets
+MAX_FILE_SIZE = 256 << 20  # octets
+DEFAULT_COMPACTION_SIZE = 4 << 20  # octets
 FILE_MODE = 0o640
 
 
 class JournalError(WickvaneError):
-    """A file that is no journal; says why."""
+    """The file is not a journal; the message has the reason."""
 
 
 class JournalInUseError(WickvaneError):
-    """Another process writes the journal."""
+    """Another process has locked the journal."""
 
 
 class JournalContent(NamedTuple):
-    """Valid records in their stored form, the octets that they take, and the last checksum."""
+    """Valid records in their stored form, the size of the valid data in octets, and the last checksum."""
 
     records: list[dict]
     size: int
@@ -52,7 +52,7 @@
 
 
 def frame_record(previous_checksum: bytes, stored: dict) -> tuple[bytes, bytes]:
-    """(octets, checksum) of a record behind one with the previous checksum."""
+    """Returns the framed record, to follow a record with the previous checksum, and its own checksum."""
     body = orjson.dumps(stored)
     checksum = _checksum_of(body, previous_checksum)
     return len(body).to_bytes(LENGTH_SIZE, "big") + checksum + body, checksum
@@ -63,11 +63,11 @@
 
 
 def parse_journal(data: bytes) -> JournalContent:
-    """The valid records in a journal's octets. Raises JournalError where they do not begin as a journal."""
+    """Returns the valid records in a journal's data. Raises JournalError if it lacks the magic number."""
     if not data.startswith(MAGIC):
         if MAGIC.startswith(data):
-            return EMPTY_CONTENT  # cut while it was begun
-        raise JournalError("it does not begin as a journal")
+            return EMPTY_CONTENT  # truncated while the file was being created
+        raise JournalError("the file does not start with the journal's magic number")
     records = []
     position = len(MAGIC)
     checksum = b""
@@ -90,15 +90,15 @@
 
 
 class Disk:
-    """The file operations of a journal."""
+    """The file operations that a journal uses."""
 
     def read(self, path: str, max_size: int) -> bytes:
-        """At most one octet more than max_size."""
+        """Reads a file, but at most one octet more than max_size."""
         with open(path, "rb") as file:
             return file.read(max_size + 1)
 
     def open(self, path: str) -> int:
-        """A descriptor of a file that is made if need be."""
+        """Opens a file, which is created if it does not exist; returns the descriptor."""
         return os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
 
     def write(self, descriptor: int, data: bytes, position: int) -> None:
@@ -109,19 +109,19 @@
             position += count
 
     def truncate(self, descriptor: int, size: int) -> None:
-        """Cuts a file to a size."""
+        """Truncates a file to a size."""
         os.ftruncate(descriptor, size)
 
     def sync(self, descriptor: int) -> None:
-        """Returns once a file is on disk."""
+        """Syncs a file to disk."""
         os.fsync(descriptor)
 
     def replace(self, source: str, path: str) -> None:
-        """Renames a file over another."""
+        """Atomically replaces a file by another."""
         os.replace(source, path)
 
     def sync_folder(self, folder: str) -> None:
-        """Returns once a folder's names are on disk."""
+        """Syncs the names in a directory to disk."""
         descriptor = os.open(folder, os.O_RDONLY)
         try:
             os.fsync(descriptor)
@@ -134,7 +134,7 @@
 
 
 class Journal:
-    """The journal in a folder, for the one process that writes it.
+    """The journal in a folder, locked by the one process that writes it.
 
     size, checksum: of the valid records. Raises JournalInUseError, JournalError or OSError.
     """
@@ -149,7 +149,7 @@
         self.size = 0
         self.checksum = b""
         self._descriptor: int | None = None
-        self._has_partial_record = False  # the last write may be there in part
+        self._has_partial_record = False  # the last write may be incomplete
         self.lock = os.open(os.path.join(folder, LOCK_NAME), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -158,14 +158,14 @@
             raise JournalInUseError(f"another process writes the journal in {folder}") from None
 
     def read(self) -> list[dict]:
-        """All valid records; what follows them is cut off before the next is written."""
+        """Returns all valid records; append() first truncates the file after them."""
         content = read_journal(self.folder, self.disk)
         self.size = content.size
         self.checksum = content.checksum
         return content.records
 
     def append(self, stored: dict) -> None:
-        """The record is on disk when this returns. Raises OSError where it may not be."""
+        """Writes and syncs a record. Raises OSError if the record may not be on disk."""
         if self._descriptor is None:
             self._open()
         elif self._has_partial_record:
@@ -188,11 +188,11 @@
         self.disk.sync_folder(self.folder)
 
     def needs_compaction(self) -> bool:
-        """Whether the records should be replaced by a checkpoint."""
+        """Returns whether a checkpoint should replace the records."""
         return self.size > self.compaction_size
 
     def compact(self, checkpoint: dict) -> None:
-        """Replaces all records by a checkpoint. Raises OSError where the previous ones stay."""
+        """Replaces all records by a checkpoint. Raises OSError if the previous records stay."""
         data, checksum = frame_record(b"", checkpoint)
         temporary_path = self.path + ".fresh"
         descriptor = self.disk.open(temporary_path)
@@ -210,12 +210,12 @@
         self.size = len(MAGIC) + len(data)
         self.checksum = checksum
         self._has_partial_record = False
-        # A checkpoint that is longer by itself must not be written again with each record.
+        # Prevents a compaction with every record when the checkpoint alone exceeds the compaction size.
         self.compaction_size = max(self.compaction_size, 2 * self.size)
         self.disk.sync_folder(self.folder)
 
     def close(self) -> None:
-        """Closes the files and gives the lock up."""
+        """Closes the files and releases the lock."""
         if self._descriptor is not None:
             self.disk.close(self._descriptor)
             self._descriptor = None
@@ -223,11 +223,11 @@
 
 
 def read_journal(folder: str, disk: Disk | None = None) -> JournalContent:
-    """The journal in a folder, by any process that may read it. Raises JournalError or OSError."""
+    """Reads the journal in a folder without its lock. Raises JournalError or OSError."""
     try:
         data = (disk or Disk()).read(os.path.join(folder, JOURNAL_NAME), MAX_FILE_SIZE)
     except FileNotFoundError:
         return EMPTY_CONTENT
     if len(data) > MAX_FILE_SIZE:
-        raise JournalError("it is too long")
+        raise JournalError("the file is too long")
     return parse_journal(data)
--- a/wickvane/endpoints/journal_writer.py
+++ b/wickvane/endpoints/journal_writer.py
@@ -1,4 +1,4 @@
-"""Recovery from the journal and writing to it, whatever the disk does."""
+"""Recovers an endpoint list from its journal, and writes the journal while tolerating disk faults."""
 
 import os
 
@@ -18,12 +18,12 @@
 class JournalWriter:
     """The journal of a running process.
 
-    Changes of the list act even where they cannot be written: a drain must not wait for a disk. The journal
-    is then replaced by a checkpoint as soon as that works again.
+    Changes of the list take effect even if they cannot be written, since a drain must not wait for a disk.
+    The journal is then replaced by a checkpoint as soon as the disk can be written again.
     """
 
     def __init__(self, folder: str, clock: Clock, log: Log, counters: Counters) -> None:
-        """Locks the journal. Raises ConfigError."""
+        """Opens and locks the journal. Raises ConfigError."""
         self._folder = folder
         self._clock = clock
         self._log = log
@@ -50,21 +50,21 @@
             recover_records(endpoint_list, records)
         except RecordError as error:
             raise ConfigError(
-                f"members: the journal in {self._folder} has a record that cannot be used: {error}", EXIT_CODE
+                f"members: the journal in {self._folder} has an invalid record: {error}", EXIT_CODE
             ) from None
 
     def _folder_error(self, error: OSError) -> ConfigError:
         return ConfigError(f"members: {self._folder} cannot be used: {error.strerror}", EXIT_CODE)
 
     def _preserve_unreadable(self, error: JournalError) -> None:
-        """Keeps a file that is no journal for people to look at."""
+        """Renames a file that is not a journal, so that operators can inspect it."""
         self._is_incomplete = True
         self._counters.add("members-journal-unreadable")
         self._log.line("members-journal-unreadable", why=str(error))
         os.replace(self.journal.path, f"{self.journal.path}.unreadable-{self._clock.now()}")
 
     def append(self, record: Record) -> None:
-        """Writes a record; nothing while the journal lacks previous ones."""
+        """Writes a record, unless earlier records are missing from the journal."""
         if self._is_incomplete:
             return
         try:
@@ -73,7 +73,7 @@
             self._report_failure(error)
 
     def compact_if_needed(self, endpoint_list: EndpointList) -> None:
-        """Replaces the journal by a checkpoint, where it lacks records or is too long."""
+        """Replaces the journal by a checkpoint if records are missing or it is too long."""
         if not self._is_incomplete and not self.journal.needs_compaction():
             return
         try:
@@ -88,5 +88,5 @@
         self._log.line("members-journal-failed", why=error.strerror)
 
     def close(self) -> None:
-        """Closes the journal and gives its lock up."""
+        """Closes the journal and releases its lock."""
         self.journal.close()
--- a/wickvane/endpoints/load_average.py
+++ b/wickvane/endpoints/load_average.py
@@ -1,4 +1,4 @@
-"""The mean load of the last seconds; one sample in a lull would let a large removal pass."""
+"""Mean load over a window; a single sample at a time of low load could let a large removal pass."""
 
 from collections import deque
 
@@ -8,20 +8,20 @@
 
 
 class LoadAverage:
-    """Samples of a load within the window."""
+    """Keeps the samples of a load within the window."""
 
     def __init__(self) -> None:
         self._samples: deque[tuple[int, float]] = deque()
 
     def add(self, now: int, load: float | None) -> None:
-        """Takes a sample, None where the load is not known; older ones than the window go."""
+        """Adds a sample, if the load is known, and drops samples that are older than the window."""
         if load is not None:
             self._samples.append((now, load))
         while self._samples and self._samples[0][0] < now - WINDOW:
             self._samples.popleft()
 
     def mean(self) -> float | None:
-        """The mean, None without samples."""
+        """Returns the mean, None if there are no samples."""
         if not self._samples:
             return None
         return sum(load for _, load in self._samples) / len(self._samples)
--- a/wickvane/endpoints/operator_orders.py
+++ b/wickvane/endpoints/operator_orders.py
@@ -1,4 +1,4 @@
-"""Operators' orders: files in the state folder, `ID.order` answered by `ID.answer`."""
+"""Operators' orders: files `ID.order` in the state folder, each answered by a file `ID.answer`."""
 
 import os
 import time
@@ -16,19 +16,19 @@
 ORDER_SUFFIX = ".order"
 ANSWER_SUFFIX = ".answer"
 UNSENT_SUFFIX = ".new"
-MAX_ORDERS = 64  # answered at a time
+MAX_ORDERS = 64  # answered in one call
 MAX_ORDER_SIZE = 4096  # octets
 ANSWER_TIMEOUT_S = 5.0
 ANSWER_POLL_INTERVAL_S = 0.02
 
 DONE = "done"
-NOT_UNDERSTOOD = "it cannot be understood"
+INVALID_ORDER = "the order is invalid"
 NOTHING_PENDING = "nothing waits for it"
 ROLLBACK_REJECTED = "it cannot be rolled back"
 
 
 class OrderKind(StrEnum):
-    """The orders, by their words on the command line and on disk."""
+    """The kinds of orders, by their names on the command line and on disk."""
 
     CONFIRM = "confirm"
     ROLLBACK = "rollback"
@@ -36,7 +36,7 @@
 
 
 class Order(NamedTuple):
-    """An operator's order. generation: None for PAUSE. author: the owner of its file."""
+    """An operator's order. generation: None for PAUSE. author: owner of the order's file."""
 
     kind: OrderKind
     generation: int | None
@@ -44,7 +44,7 @@
 
 
 def _parse_order(data: bytes, author: str) -> Order | None:
-    """The order in a file's octets, None where it is none."""
+    """Returns the order in a file's data, None if it is invalid."""
     try:
         stored = orjson.loads(data)
         kind = OrderKind(stored["order"])
@@ -57,7 +57,7 @@
 
 
 def remove_stale_files(folder: str) -> None:
-    """Removes answers that nobody waits for, and unfinished files. Raises OSError."""
+    """Removes answers of an earlier process and unfinished files. Raises OSError."""
     orders = orders_folder(folder)
     for name in os.listdir(orders):
         if name.endswith((ANSWER_SUFFIX, TEMPORARY_SUFFIX, UNSENT_SUFFIX)):
@@ -65,9 +65,9 @@
 
 
 def answer_orders(folder: str, carry_out: Callable[[Order], str], on_unanswered: Callable[[], None]) -> None:
-    """Takes the orders in a state folder and writes an answer to each.
+    """Carries out the orders in a state folder and writes an answer to each.
 
-    on_unanswered: called for an order whose answer cannot be written.
+    on_unanswered: called for each order whose answer cannot be written.
     """
     orders = orders_folder(folder)
     try:
@@ -96,14 +96,16 @@
     except DocumentError as error:
         return str(error)
     if content is None:
-        return NOT_UNDERSTOOD
+        return INVALID_ORDER
     order = _parse_order(content.data, content.author.replace(AUTHOR_PREFIX, ""))
-    return NOT_UNDERSTOOD if order is None else carry_out(order)
+    return INVALID_ORDER if order is None else carry_out(order)
 
 
 def send_order(folder: str, kind: OrderKind, generation: int | None) -> str | None:
-    """Lays an order into a state folder; the answer of the process that runs with it, None where none comes
-    in time. Raises OSError."""
+    """Writes an order to a state folder and waits for the answer of the process that uses the folder.
+
+    Returns None if there is no answer within ANSWER_TIMEOUT_S. Raises OSError.
+    """
     body: dict[str, object] = {"order": kind.value}
     if generation is not None:
         body["generation"] = generation
--- a/wickvane/endpoints/records.py
+++ b/wickvane/endpoints/records.py
@@ -1,7 +1,8 @@
-"""Journal records, and the one codec between them and their stored form.
+"""Journal records, and the codec between them and their stored form.
 
-A stored record is a JSON object whose `what` names its type; field names and their order are those of the
-first version. Times are ticks of Unix time.
+A stored record is a JSON object whose `what` names its type. The field names and their order must stay as in
+the first version, so that its journals can be read and records keep their bytes. Times are ticks of Unix
+time.
 """
 
 from dataclasses import dataclass
@@ -11,7 +12,7 @@
 
 
 class RecordError(WickvaneError):
-    """A stored record that cannot be used; `reason`: the text of the error behind it."""
+    """A stored record is invalid; `reason`: the text of the underlying error."""
 
     def __init__(self, error: Exception) -> None:
         self.reason = str(error)
@@ -34,7 +35,7 @@
 
 @dataclass(slots=True)
 class Rejected:
-    """A document was rejected; generation: as it states, if it does."""
+    """A document was rejected. generation: the stated one, None if the document states none."""
 
     at: int
     generation: int | None
@@ -46,7 +47,7 @@
 
 @dataclass(slots=True)
 class Held:
-    """A change waits for its confirmation under this generation."""
+    """A change is held under this generation until it is confirmed."""
 
     at: int
     generation: int
@@ -76,7 +77,7 @@
 
 @dataclass(slots=True)
 class RolloutResumed:
-    """An operator let a paused rollout go on."""
+    """An operator resumed a paused rollout."""
 
     at: int
     generation: int
@@ -85,11 +86,11 @@
 
 @dataclass(slots=True)
 class Published:
-    """A rollout step: what the scheduler is sent. step: its number within the generation."""
+    """A rollout step was published to the scheduler. step: its number within the generation."""
 
     at: int
     step: int
-    delta: SnapshotDelta  # from what was published before
+    delta: SnapshotDelta  # from the list that was published before
 
 
 @dataclass(slots=True)
@@ -104,7 +105,7 @@
 
 @dataclass(slots=True)
 class ReservedNumber:
-    """The generation number of a held document, by its checksum: read again, it gets the same number."""
+    """The generation reserved for a held document: read again, the document gets the same generation."""
 
     checksum: int
     generation: int
@@ -112,7 +113,7 @@
 
 @dataclass(slots=True)
 class Checkpoint:
-    """The whole state; replaces all records before it."""
+    """The complete state, which replaces all records before it."""
 
     at: int
     generation: int
@@ -133,12 +134,12 @@
     Applied | Rejected | Held | ConfirmationExpired | RolloutPaused | RolloutResumed | Published | Checkpoint
 )
 
-# Fields of a record that its line in the audit log keeps, in their order there.
+# Fields that the row of a record in the audit log keeps, in their order there.
 _AUDIT_FIELDS = ("what", "at", "generation", "digest", "who", "codes", "why", "of", "steps")
 
 
 def encode_record(record: Record) -> dict:
-    """The stored form of a record."""
+    """Returns the stored form of a record."""
     if isinstance(record, Checkpoint):
         return _encode_checkpoint(record)
     stored = _encode_fields(record)
@@ -149,10 +150,10 @@
 
 
 def audit_row(record: Record) -> dict:
-    """The line of the audit log on a record, in its stored form: numbers in place of endpoints."""
+    """Returns the row of a record for the audit log, in stored form, with counts instead of endpoints."""
     fields = _encode_fields(record)
     if isinstance(record, Applied):
-        fields["steps"] = fields.pop("steps")  # behind `of`, as in _AUDIT_FIELDS
+        fields["steps"] = fields.pop("steps")  # moves it after `of`, as in _AUDIT_FIELDS
         fields["put"] = len(record.delta.put)
         fields["drop"] = len(record.delta.removed)
         return fields
@@ -160,7 +161,7 @@
 
 
 def _encode_fields(record: Record) -> dict:
-    """The stored form of a record, without its endpoints."""
+    """Returns the stored form of a record without its endpoints."""
     match record:
         case Published():
             return {"what": "at-work", "at": record.at, "step": record.step}
@@ -243,11 +244,11 @@
 
 
 def decode_record(stored: dict) -> Record:
-    """The record of a stored form. Raises RecordError where it is none."""
+    """Returns the record of a stored form. Raises RecordError if it is invalid."""
     try:
         decode = _DECODERS.get(stored["what"])
         if decode is None:
-            raise ValueError(f"{stored['what']!r} is no record")
+            raise ValueError(f"{stored['what']!r} is not a type of record")
         return decode(stored)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise RecordError(error) from error
--- a/wickvane/endpoints/rollout.py
+++ b/wickvane/endpoints/rollout.py
@@ -1,8 +1,7 @@
-"""Staged rollout: changes the published list towards the target, at once or a step at a time; free of I/O.
+"""Staged rollout: changes the published list towards the target, at once or in steps; free of I/O.
 
-A removed engine drains first: it is published as draining, and removed once nothing runs there any more or
-its time is over. The weight of an engine that is still in slow start rises by steps whatever the policy says.
-Times are ticks.
+A removed engine drains first: it is published as draining, and removed once no query runs on it or its drain
+has timed out. The weight of an engine in slow start always rises in steps. Times are ticks.
 """
 
 from collections.abc import Callable
@@ -27,13 +26,13 @@
 from wickvane.events import EngineState
 from wickvane.units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 
-MIN_DRAIN_TIME = TICKS_PER_SECOND  # before an engine is asked whether anything still runs there
-SLOW_START_WEIGHT_FACTOR = 2.0  # by which a weight may rise at a time during slow start
+MIN_DRAIN_TIME = TICKS_PER_SECOND  # minimum time before an idle engine is removed
+SLOW_START_WEIGHT_FACTOR = 2.0  # maximum factor by which a weight rises in one step during slow start
 
 
 @dataclass(slots=True)
 class RolloutStep:
-    """What is published next. is_due: steps were allowed; is_waiting: more is to follow at a later time."""
+    """The next changes to publish. is_due: a step was allowed; is_waiting: another step must follow."""
 
     is_due: bool
     put: list[Endpoint] = field(default_factory=list)
@@ -43,7 +42,7 @@
     is_waiting: bool = False
 
     def add(self, name: str, current: Endpoint | None, next_endpoint: Endpoint | None) -> None:
-        """Takes in what is published of one engine; None: it is removed."""
+        """Adds the next published state of one engine; next_endpoint: None if it is removed."""
         if next_endpoint is None:
             self.removed.append(name)
             self.entries.append(current._replace(state=EngineState.GONE).to_entry())
@@ -54,20 +53,20 @@
                 self.readmitted.append(name)
 
     def puts_only(self, names: frozenset[str] | set[str]) -> bool:
-        """Whether it puts nothing but these names, which were to be published at once."""
+        """Returns whether `names` is not empty and the step puts no endpoint of another name."""
         return bool(names) and all(endpoint.name in names for endpoint in self.put)
 
     def delta(self) -> SnapshotDelta:
-        """The step as a change of the published list."""
+        """Returns the step as a delta of the published list."""
         return SnapshotDelta(self.put, self.removed)
 
 
 class Rollout:
-    """The published list, and what separates it from the target.
+    """The published list and its pending differences from the target.
 
-    published: endpoints by name, as the scheduler has them. pending: names that may differ from the target.
-    draining_until: removed engines, with the tick at which they go at the latest. step: number of the last
-    step in this generation. next_step_at: 0 where none is due.
+    published: endpoints by name, as the scheduler knows them. pending: names that may differ from the target.
+    draining_until: the tick at which the drain of each removed engine times out, by name. step: number of the
+    last step in this generation. next_step_at: 0 if no step is scheduled.
     """
 
     __slots__ = (
@@ -94,13 +93,13 @@
         self.step = 0
         self.is_staged = False
         self.is_paused = False
-        self.is_announced = False  # something has been published by this process
+        self.is_announced = False  # whether this process has published a list
         self.next_step_at = 0
 
     # Records
 
     def apply_target(self, snapshot: Snapshot, is_staged: bool, is_rollback: bool) -> None:
-        """Takes a new target; a rollback counts its steps on."""
+        """Starts the rollout of a new target; the step number continues if it is a rollback."""
         self.pending |= snapshot.changed
         if not is_rollback:
             self.step = 0
@@ -108,7 +107,7 @@
         self.is_paused = False
 
     def apply_step(self, record: Published) -> None:
-        """Takes what was published."""
+        """Applies a published step to the published list."""
         self.step = record.step
         for endpoint in record.delta.put:
             previous = self.published.get(endpoint.name)
@@ -124,7 +123,7 @@
                 self.published = self.published.delete(name)
 
     def restore(self, record: Checkpoint) -> None:
-        """Takes the published list and the state of the rollout from a checkpoint."""
+        """Restores the published list and the state of the rollout from a checkpoint."""
         self.step = record.step
         self.is_staged = record.is_staged
         self.is_paused = record.is_paused
@@ -134,13 +133,16 @@
         self.published = Map((endpoint.name, endpoint) for endpoint in record.published)
 
     def clear_published(self) -> None:
-        """Nothing is published, so far."""
+        """Empties the published list."""
         self.published = Map()
         self.totals = CapacityTotals(self.topology)
 
     def resume_after_recovery(self, now: int, target: Snapshot) -> None:
-        """Goes on with a recovered list. Engines that were draining drain for a whole time more: when they
-        began is a time of another process's clock."""
+        """Continues the rollout of a recovered list.
+
+        Draining engines get the full drain timeout again, since the earlier start of their drain was measured
+        by another process's clock.
+        """
         published = make_snapshot(0, self.published.values())
         self.pending = set(changed_names(published, target))
         self.draining_until = {
@@ -152,20 +154,20 @@
             self.next_step_at = now + self.policy.step_interval
 
     def entries(self) -> list[tuple]:
-        """The published list as entries of an update, sorted by name."""
+        """Returns the published list as entries of an update, sorted by name."""
         return [endpoint.to_entry() for _, endpoint in sorted(self.published.items())]
 
     # Time
 
     def next_wakeup(self) -> int | None:
-        """When the rollout has something to do, None for never."""
+        """Returns the time of the next step or drain timeout, None if there is none."""
         times = list(self.draining_until.values())
         if self.pending and not self.is_paused and self.next_step_at:
             times.append(self.next_step_at)
         return min(times, default=None)
 
     def finish_drains(self, now: int, is_busy: Callable[[str], bool]) -> None:
-        """Ends the time of draining engines on which nothing runs any more."""
+        """Ends the drains of engines on which no query runs any more."""
         for name, until in self.draining_until.items():
             drained_since = until - self.policy.drain_timeout
             if now >= drained_since + MIN_DRAIN_TIME and not is_busy(name):
@@ -174,13 +176,13 @@
     # Steps
 
     def has_steps_left(self) -> bool:
-        """Whether more than drains is pending."""
+        """Returns whether any change besides drains is pending."""
         return bool(self.pending - set(self.draining_until))
 
     def changes_to(
         self, target: Snapshot, snapshot: Snapshot, overlay: CoordinatorOverlay
     ) -> EndpointChanges:
-        """What would be published otherwise than it is if `snapshot` took the place of the target."""
+        """Returns how the published list would change if `snapshot` replaced the target."""
         changes = {}
         for name in self.pending | changed_names(target, snapshot):
             change = EndpointChange(self.published.get(name), overlay.resolve(name, snapshot))
@@ -195,9 +197,9 @@
         overlay: CoordinatorOverlay,
         immediate: frozenset[str] | set[str] = frozenset(),
     ) -> RolloutStep:
-        """The next step towards the target, as far as it may go now.
+        """Returns the next step towards the target that is allowed now.
 
-        immediate: names that an event of the coordinator's stream concerns, which wait for no step.
+        immediate: names of engines in an event of the coordinator's stream, which do not wait for a step.
         """
         self._cancel_drains(target, overlay)
         step = RolloutStep(is_due=now >= self.next_step_at and not self.is_paused)
@@ -227,7 +229,7 @@
         return step
 
     def schedule_next(self, now: int, step: RolloutStep) -> bool:
-        """Sets the time of the step after this one; whether a staged rollout is complete."""
+        """Schedules the step after this one; returns whether a staged rollout has just been completed."""
         if step.is_waiting:
             if step.is_due:
                 self.next_step_at = now + self.policy.step_interval
@@ -250,7 +252,7 @@
     def _next_published(
         self, now: int, name: str, current: Endpoint | None, desired: Endpoint | None, is_immediate: bool
     ) -> Endpoint | None:
-        """What is published next of an engine on the way to `desired`; None once it is removed."""
+        """Returns the next published state of an engine towards `desired`; None if it is removed."""
         if desired is None:
             return self._next_of_removed(now, name, current, is_immediate)
         self.draining_until.pop(name, None)
@@ -259,7 +261,7 @@
         next_endpoint = _with_known_start(current, desired)
         is_replaced = current.address != desired.address and desired.started_ms <= current.started_ms
         if is_replaced and not self.policy.overrides_coordinator:
-            # Another process under the same name.
+            # Another process has taken over the name, so its slow start begins now.
             next_endpoint = next_endpoint._replace(started_ms=now // TICKS_PER_MILLISECOND)
         if current.is_ready and next_endpoint.is_ready:
             return self._with_bounded_weight(now, current, next_endpoint)
@@ -274,7 +276,7 @@
         return current._replace(state=EngineState.DRAINING, weight=0.0)
 
     def _first_published(self, now: int, desired: Endpoint) -> Endpoint:
-        """An engine whose start is not known counts as started now, unless it is of the first list."""
+        """Treats an engine with an unknown start time as started now, unless it is in the first list."""
         if desired.started_ms or not self.is_announced or self.policy.overrides_coordinator:
             return desired
         return desired._replace(started_ms=now // TICKS_PER_MILLISECOND)
--- a/wickvane/endpoints/snapshot.py
+++ b/wickvane/endpoints/snapshot.py
@@ -1,8 +1,8 @@
 """Immutable snapshots of an endpoint list; free of I/O.
 
-A Snapshot shares all that has not changed with the one that it was made from (persistent maps). Its checksum
-is the sum of its endpoints' own, so that it does not depend on their order, and a change of one endpoint
-costs the work of one endpoint, however long the list is.
+A Snapshot shares its unchanged endpoints with the snapshot that it was made from (persistent maps). Its
+checksum is the sum of its endpoints' checksums, so that it does not depend on their order, and the cost of
+updating it for one changed endpoint does not depend on the length of the list.
 """
 
 import math
@@ -16,7 +16,7 @@
 from wickvane.events import EngineState
 
 CHECKSUM_MODULUS = 1 << 128
-# Field of an Endpoint: its word in documents and in stored rows.
+# Name in documents and in stored rows of each field of an Endpoint.
 DOCUMENT_FIELD_NAMES = {
     "address": "address",
     "zone": "zone",
@@ -26,15 +26,15 @@
     "weight": "weight",
     "state": "status",
 }
-FIELDS_BY_DOCUMENT_NAME = {word: field for field, word in DOCUMENT_FIELD_NAMES.items()}
+FIELDS_BY_DOCUMENT_NAME = {document_name: field for field, document_name in DOCUMENT_FIELD_NAMES.items()}
 
 
 class Endpoint(NamedTuple):
     """One engine as a document, the coordinator or the journal lists it.
 
-    started_ms: Unix time in milliseconds, 0 where it is not known. weight: the part of the engine that may
-    be used, over that of others; 0 drains it. stated_fields: the fields that a document states, for one that
-    overrides what the coordinator lists; None: all of them.
+    cell: the engine's group in the coordinator's list. started_ms: Unix time in milliseconds, 0 if unknown.
+    weight: the usable fraction of the engine, relative to other engines; 0 drains it. stated_fields: the
+    fields that a document states, if it overrides the coordinator's list; None: all fields.
     """
 
     name: str
@@ -49,11 +49,11 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether it takes new queries."""
+        """Returns whether the engine takes new queries."""
         return self.state == EngineState.READY
 
     def to_entry(self) -> tuple:
-        """The entry of an update, as the scheduler and the control service take it."""
+        """Returns the entry of an update for the scheduler and the control service."""
         return (
             self.name,
             self.address,
@@ -66,15 +66,15 @@
         )
 
     def to_row(self) -> list:
-        """The stored form, for JSON."""
+        """Returns the stored form, for JSON."""
         if self.stated_fields is None:
             return [*self[:8], None]
         return [*self[:8], sorted(DOCUMENT_FIELD_NAMES[field] for field in self.stated_fields)]
 
 
 def endpoint_from_row(row: list) -> Endpoint:
-    """The endpoint of a stored row. Raises ValueError, TypeError or KeyError where it is none."""
-    name, address, zone, kind, cell, started_ms, weight, state, words = row
+    """Returns the endpoint of a stored row. Raises ValueError, TypeError or KeyError if it is invalid."""
+    name, address, zone, kind, cell, started_ms, weight, state, stated_names = row
     if address is not None:
         address = str(address[0]), int(address[1])
     is_valid = (
@@ -83,13 +83,17 @@
         and all(isinstance(x, (int, float)) and math.isfinite(x) for x in (cell, started_ms, weight))
     )
     if not is_valid:
-        raise ValueError("no member of a list")
-    stated = None if words is None else frozenset(FIELDS_BY_DOCUMENT_NAME[word] for word in words)
+        raise ValueError("not a valid endpoint")
+    stated = (
+        None
+        if stated_names is None
+        else frozenset(FIELDS_BY_DOCUMENT_NAME[field_name] for field_name in stated_names)
+    )
     return Endpoint(name, address, zone, kind, cell, started_ms, weight, EngineState(state), stated)
 
 
 def stops_taking_queries(current: Endpoint | None, next_endpoint: Endpoint | None) -> bool:
-    """Whether a ready endpoint is removed or drained by a change."""
+    """Returns whether a change removes or drains a ready endpoint."""
     if current is None or current.state != EngineState.READY:
         return False
     return next_endpoint is None or next_endpoint.state != EngineState.READY
@@ -100,10 +104,10 @@
 
 
 class Snapshot(NamedTuple):
-    """A whole list at one moment.
+    """An immutable version of the complete list.
 
-    generation: as the document states it, or as it was numbered here. parent_checksum, changed: the checksum
-    of the snapshot that this one was made from, and the names in which it may differ from that one.
+    generation: as the document states it, or as it was assigned here. parent_checksum, changed: the checksum
+    of the snapshot from which this one was made, and the names in which it may differ from that snapshot.
     """
 
     generation: int = 0
@@ -114,7 +118,7 @@
 
     @property
     def digest(self) -> str:
-        """16 hex digits that follow from the content alone."""
+        """Returns 16 hex digits that depend on the content only."""
         return f"{self.checksum:032x}"[:16]
 
 
@@ -124,7 +128,7 @@
 def update_snapshot(
     parent: Snapshot, generation: int, put: Iterable[Endpoint] = (), removed: Iterable[str] = ()
 ) -> Snapshot:
-    """The snapshot after some endpoints were added or replaced and some names removed."""
+    """Returns a copy of a snapshot with some endpoints added or replaced and some names removed."""
     checksum = parent.checksum
     changed = set()
     with parent.endpoints.mutate() as table:
@@ -148,12 +152,12 @@
 
 
 def make_snapshot(generation: int, endpoints: Iterable[Endpoint]) -> Snapshot:
-    """A snapshot of exactly these endpoints."""
+    """Returns a snapshot of exactly these endpoints."""
     return update_snapshot(EMPTY_SNAPSHOT, generation, endpoints)
 
 
 def changed_names(before: Snapshot, after: Snapshot) -> frozenset[str]:
-    """Names in which two snapshots may differ: those that changed, where one was made from the other."""
+    """Returns the names in which two snapshots may differ; cheap if one was made from the other."""
     if before.checksum == after.checksum:
         return frozenset()
     if after.parent_checksum == before.checksum:
@@ -171,14 +175,14 @@
 
 
 class SnapshotDelta(NamedTuple):
-    """What turns one snapshot into another: endpoints to put and names to remove, both sorted by name."""
+    """The difference of two snapshots: endpoints to put and names to remove, both sorted by name."""
 
     put: list[Endpoint]
     removed: list[str]
 
 
 def delta_between(before: Snapshot, after: Snapshot) -> SnapshotDelta:
-    """The delta from one snapshot to another."""
+    """Returns the delta from one snapshot to another."""
     names = sorted(changed_names(before, after))
     return SnapshotDelta(
         [after.endpoints[name] for name in names if name in after.endpoints],
--- a/wickvane/endpoints/state_folder.py
+++ b/wickvane/endpoints/state_folder.py
@@ -1,4 +1,4 @@
-"""The folder that a process keeps for its endpoint list: journal, status and operators' orders."""
+"""The state folder of a process with an endpoint list: journal, status and operators' orders."""
 
 import os
 from collections.abc import Iterable
@@ -17,18 +17,18 @@
 
 
 def orders_folder(folder: str) -> str:
-    """Where operators' orders lie."""
+    """Returns the path of the folder for operators' orders."""
     return os.path.join(folder, ORDERS_NAME)
 
 
 def open_journal(folder: str) -> Journal:
-    """Makes the folder if need be, and locks its journal. Raises JournalInUseError or OSError."""
+    """Creates the folder if it is missing, and locks its journal. Raises JournalInUseError or OSError."""
     os.makedirs(orders_folder(folder), FOLDER_MODE, exist_ok=True)
     return Journal(folder)
 
 
 def recover_records(endpoint_list: EndpointList, records: Iterable[dict]) -> None:
-    """Applies stored records to a new list. Raises RecordError where one cannot be used."""
+    """Applies stored records to a new list. Raises RecordError if a record is invalid."""
     for stored in records:
         record = decode_record(stored)
         try:
@@ -38,7 +38,7 @@
 
 
 def write_status(folder: str, status: dict) -> None:
-    """Replaces the status. Raises OSError."""
+    """Atomically replaces the status file. Raises OSError."""
     path = os.path.join(folder, STATUS_NAME)
     with open(path + TEMPORARY_SUFFIX, "wb") as file:
         file.write(orjson.dumps(status))
@@ -46,7 +46,7 @@
 
 
 def read_status(folder: str) -> dict | None:
-    """The status that a process wrote last, None where there is none."""
+    """Returns the status that a process wrote last, None if there is no valid status file."""
     try:
         with open(os.path.join(folder, STATUS_NAME), "rb") as file:
             status = orjson.loads(file.read(MAX_STATUS_SIZE))
--- a/wickvane/endpoints/status.py
+++ b/wickvane/endpoints/status.py
@@ -1,4 +1,4 @@
-"""The status of an endpoint list, as it is written to disk and shown to operators."""
+"""The status of an endpoint list, as written to disk and printed for operators."""
 
 from wickvane.endpoints.endpoint_list import EndpointList
 
@@ -6,7 +6,7 @@
 
 
 def status_document(endpoint_list: EndpointList) -> dict:
-    """The status, with the field names of status.json."""
+    """Returns the status under the field names of status.json."""
     generations = endpoint_list.generations
     rollout = endpoint_list.rollout
     rejection = endpoint_list.last_rejection
--- a/wickvane/endpoints/topology.py
+++ b/wickvane/endpoints/topology.py
@@ -1,4 +1,4 @@
-"""What the settings say of kinds, zones and resource groups, by name; free of I/O."""
+"""The engine kinds, zones and resource groups of the settings, by name; free of I/O."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class GroupPlacement(NamedTuple):
-    """Zones and kinds that a resource group may use; None: all of them."""
+    """The zones and kinds that a resource group may use; None: all."""
 
     name: str
     zones: frozenset[str] | None
@@ -15,7 +15,7 @@
 
 
 class Topology(NamedTuple):
-    """cores: by kind; zones: None where any may be named; slow_start_duration: in ticks."""
+    """cores: by kind; zones: None if documents may name any zone; slow_start_duration: ticks."""
 
     cores: dict[str, int]
     zones: frozenset[str] | None
@@ -25,12 +25,12 @@
     default_cores: int = 1
 
     def cores_of(self, kind: str | None) -> int:
-        """Cores of an engine of a kind."""
+        """Returns the cores of an engine of a kind."""
         return self.cores.get(kind, self.default_cores)
 
 
 def topology_of(registry: IdRegistry) -> Topology:
-    """The topology in a registry of the settings, before any list was read into it."""
+    """Returns the topology in a registry of the settings into which no endpoint list was read yet."""
     deployment = registry.deployment
     kinds = list(registry.kinds.index)
     zones = list(registry.zones.index)
--- a/wickvane/endpoints/validation.py
+++ b/wickvane/endpoints/validation.py
@@ -1,7 +1,7 @@
-"""Validation of a change against the current list, the settings and the current load; free of I/O.
+"""Validates a change against the current list, the settings and the current load; free of I/O.
 
-Every check looks at the engines that change, and at totals that are kept up with them, so that it costs what
-the change costs. Times are ticks.
+Every check uses only the engines that change and totals that are updated with them, so that its cost depends
+on the size of the change, not of the list. Times are ticks.
 """
 
 from collections.abc import Callable, Iterable
@@ -23,7 +23,7 @@
 
 
 class EndpointChange(NamedTuple):
-    """One engine's change: as it is published, as it is desired; None where it is not listed."""
+    """One engine as it is published now, and as it would be after the change; None if it is not listed."""
 
     current: Endpoint | None
     desired: Endpoint | None
@@ -35,7 +35,7 @@
 def check_endpoints(
     topology: Topology, endpoints: Iterable[Endpoint], location_of: LocationOf
 ) -> list[Finding]:
-    """Findings on endpoints that are new or changed: their kinds and zones are those of the settings."""
+    """Returns findings on new or changed endpoints whose kind or zone is not in the settings."""
     findings = []
     for endpoint in endpoints:
         location = location_of(endpoint.name)
@@ -49,7 +49,7 @@
 
 
 def check_listed(names: Iterable[str], listed: Iterable[str], location_of: LocationOf) -> list[Finding]:
-    """Notes on overrides of engines that the coordinator does not list."""
+    """Returns notes on overrides of engines that the coordinator does not list."""
     findings = [
         Finding("not-listed", Severity.NOTE, "the coordinator does not list it", *location_of(name), name)
         for name in names
@@ -66,9 +66,10 @@
     load: float | None,
     location_of: LocationOf,
 ) -> list[Finding]:
-    """Findings on a change.
+    """Returns findings on a change.
 
-    before: totals of the published list. load: threads that the pool's queries occupy, None where unknown.
+    before: totals of the published list. load: number of threads that the pool's queries occupy, None if
+    unknown.
     """
     impact = _impact_of(limits, before, changes, now, location_of)
     after = impact.totals
@@ -76,7 +77,7 @@
         text = "no engine would be ready"
         return [*impact.address_findings, Finding("empty", limits.empty_severity, text)]
     if not before.ready_count:
-        return impact.address_findings  # the first list is compared with nothing
+        return impact.address_findings  # the first list has no previous list to be compared with
     return [
         *impact.address_findings,
         *_check_removed_fraction(limits, before, impact.removed),
@@ -91,10 +92,10 @@
 
 @dataclass(slots=True)
 class _ChangeImpact:
-    """What a change does, all names sorted."""
+    """The impact of a change; all names are sorted."""
 
     totals: CapacityTotals
-    removed: list[str] = field(default_factory=list)  # ready before, and not after
+    removed: list[str] = field(default_factory=list)  # ready before the change and not after it
     weight_jumps: list[str] = field(default_factory=list)
     address_findings: list[Finding] = field(default_factory=list)
 
@@ -128,7 +129,7 @@
 def _check_address(
     name: str, desired: Endpoint, changes: EndpointChanges, location_of: LocationOf
 ) -> list[Finding]:
-    """A note on an address that another engine gives up in the same change, or still drains at."""
+    """Returns a note if another engine gives up the address in the same change or still drains there."""
     for other, (current, other_desired) in changes.items():
         if (
             other != name
