--- a/tests/endpoints/__init__.py
+++ b/tests/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the engine lists from watched files."""
+"""Tests of wickvane.endpoints: endpoint lists from watched files."""
--- a/tests/endpoints/conftest.py
+++ b/tests/endpoints/conftest.py
@@ -7,5 +7,5 @@
 
 @pytest.fixture
 def path(tmp_path: Path) -> str:
-    """Where a test's document lies."""
+    """Returns the path of a test's document."""
     return str(tmp_path / "members.kdl")
--- a/tests/endpoints/support.py
+++ b/tests/endpoints/support.py
@@ -1,4 +1,4 @@
-"""Endpoint lists under test: documents, an endpoint list whose effects are carried out, a followed file."""
+"""Helpers of the tests of endpoint lists: documents, a list with its effects carried out, a watched file."""
 
 import os
 from collections.abc import Callable, Iterable
@@ -46,7 +46,7 @@
     started_ms: float = 0,
     port: int | None = None,
 ) -> Endpoint:
-    """The n-th endpoint; weight 0 drains it."""
+    """Returns the n-th endpoint; weight 0 drains it."""
     return Endpoint(
         f"e{n}",
         ("10.0.0.1", port or 1000 + n),
@@ -60,12 +60,12 @@
 
 
 def make_endpoints(count: int, **fields: object) -> list[Endpoint]:
-    """The first endpoints."""
+    """Returns the first `count` endpoints."""
     return [make_endpoint(n, **fields) for n in range(count)]
 
 
 def kdl_document(endpoints: Iterable[Endpoint], generation: int | None = None) -> str:
-    """A document in KDL that lists endpoints."""
+    """Returns a KDL document that lists the endpoints."""
     rows = "\n".join(
         f'  engine "{e.name}" address="{e.address[0]}:{e.address[1]}" zone="{e.zone}" '
         f'type="{e.kind}" weight={e.weight}'
@@ -77,7 +77,7 @@
 def replace_document(
     path: str, endpoints: Iterable[Endpoint], generation: int | None = None, is_sealed: bool = True
 ) -> None:
-    """As a deploy tool should: written beside its place, renamed."""
+    """Replaces a document atomically: writes a temporary file and renames it, as a deploy tool should."""
     data = kdl_document(endpoints, generation).encode()
     with open(f"{path}.new", "wb") as file:
         file.write(seal(data) if is_sealed else data)
@@ -85,14 +85,14 @@
 
 
 def names(count: int) -> set[str]:
-    """Names of the first endpoints."""
+    """Returns the names of the first `count` endpoints."""
     return {f"e{n}" for n in range(count)}
 
 
 class ListHarness:
-    """An EndpointList with its updates carried out, its journal in stored form, and its log.
+    """Carries out the effects of an EndpointList and keeps its journal, in stored form, and its log.
 
-    published: (state, weight, address, started_ms) by name, as a scheduler would have them.
+    published: (state, weight, address, started_ms) by name, as a scheduler would know them.
     """
 
     def __init__(
@@ -148,32 +148,32 @@
     def submit(
         self, endpoints: Iterable[Endpoint], generation: int | None = None, findings: Iterable[Finding] = ()
     ) -> "ListHarness":
-        """Submits a document."""
+        """Submits a document that lists the endpoints."""
         document = make_snapshot(0, endpoints)
         self.endpoint_list.submit(self.now, document, generation, findings, "test", self.load)
         self.carry_out_effects()
         return self
 
     def confirm(self, generation: int) -> bool:
-        """An operator's confirmation."""
+        """Confirms a generation as an operator."""
         is_done = self.endpoint_list.confirm(self.now, generation)
         self.carry_out_effects()
         return is_done
 
     def rollback(self, generation: int) -> bool:
-        """An operator's rollback."""
+        """Rolls back to a generation as an operator."""
         is_done = self.endpoint_list.rollback(self.now, generation)
         self.carry_out_effects()
         return is_done
 
     def pause(self) -> bool:
-        """An operator's pause."""
+        """Pauses a rollout as an operator."""
         is_done = self.endpoint_list.pause(self.now)
         self.carry_out_effects()
         return is_done
 
     def advance_time(self, ticks: int, is_busy: Callable[[str], bool] | None = None) -> None:
-        """Lets time pass; every call that the list wants is made."""
+        """Advances the time and calls tick() at each time that the list asks for."""
         until = self.now + ticks
         while (at := self.endpoint_list.next_wakeup()) is not None and at <= until:
             self.now = max(self.now + 1, at)
@@ -184,7 +184,7 @@
         self.carry_out_effects()
 
     def restart(self) -> "ListHarness":
-        """Another process that recovers from the journal."""
+        """Returns another process's list, recovered from the journal."""
         policy = self.policy._asdict()
         limits = policy.pop("limits")
         return ListHarness(
@@ -192,53 +192,53 @@
         )
 
     def ready_names(self) -> set[str]:
-        """Names that take queries."""
+        """Returns the names of the engines that take queries."""
         return {name for name, (state, *_) in self.published.items() if state == EngineState.READY}
 
     def logged_codes(self, event: str) -> list[tuple[str, ...]]:
-        """Codes of each log event of a name."""
+        """Returns the codes of each log event of a name."""
         return [tuple(fields["codes"]) for name, fields in self.log if name == event]
 
     @property
     def generation(self) -> int:
-        """The current generation."""
+        """Returns the current generation."""
         return self.endpoint_list.generations.number
 
     @property
     def held_generation(self) -> int | None:
-        """The generation that waits for its confirmation."""
+        """Returns the generation that waits for its confirmation, None if there is none."""
         pending = self.endpoint_list.confirmation.pending
         return None if pending is None else pending.snapshot.generation
 
 
 class LogRecorder:
-    """A log that keeps its events."""
+    """A log that keeps its events in memory."""
 
     def __init__(self) -> None:
         self.events: list[tuple[str, dict]] = []
 
     def line(self, event: str, **fields: object) -> None:
-        """Takes an event."""
+        """Records an event."""
         self.events.append((event, fields))
 
-    def of(self, event: str) -> list[dict]:
-        """Fields of each event of a name."""
+    def fields_of(self, event: str) -> list[dict]:
+        """Returns the fields of each event of a name."""
         return [fields for name, fields in self.events if name == event]
 
 
 class FollowedFile:
-    """A FileSource on a file or folder, and the states that it published."""
+    """Runs a FileSource on a file or directory and keeps the states that it publishes."""
 
     def __init__(
         self,
         path: str,
         state: str | None = None,
-        more: str = "",
+        extra_nodes: str = "",
         topology: Topology = TOPOLOGY,
-        **given: object,
+        **options: object,
     ) -> None:
-        word = "directory" if os.path.isdir(path) else "file"
-        text = f'members {{ {word} "{path}"; still "30ms"; poll "100ms"\n{more}'
+        node_name = "directory" if os.path.isdir(path) else "file"
+        text = f'members {{ {node_name} "{path}"; still "30ms"; poll "100ms"\n{extra_nodes}'
         text += f'\nstate "{state}" }}' if state else "\n}"
         self.config = parts.read_text(text)["members"]
         self.log = LogRecorder()
@@ -246,12 +246,12 @@
         self.published: dict[str, EngineState] = {}
         self.numbers: list[int] = []
         self.source = FileSource(
-            self.config, topology, self.publish, Clock(), self.log, self.counters, **given
+            self.config, topology, self.publish, Clock(), self.log, self.counters, **options
         )
         self.source.start()
 
     def publish(self, number: int, is_full: bool, entries: list[tuple], readmitted: list[str]) -> None:
-        """Takes an update."""
+        """Records an update; called as the sink."""
         assert not self.numbers or number > self.numbers[-1]
         self.numbers.append(number)
         if is_full:
@@ -263,11 +263,11 @@
                 self.published[name] = state
 
     def ready_names(self) -> set[str]:
-        """Names that take queries."""
+        """Returns the names of the engines that take queries."""
         return {name for name, state in list(self.published.items()) if state == EngineState.READY}
 
     def unfit_count(self, code: str) -> int:
-        """How often a file was rejected with a code."""
+        """Returns how often a file was rejected with a code."""
         return self.counters.shown().get(f"members-unfit-{code}", 0)
 
     def stop(self) -> None:
--- a/tests/endpoints/test_command.py
+++ b/tests/endpoints/test_command.py
@@ -1,4 +1,4 @@
-"""`wickvane members` beside a running source."""
+"""Tests `wickvane members` with the state folder of a running source."""
 
 import os
 import shutil
@@ -12,7 +12,7 @@
 
 
 def wickvane(*words: str) -> tuple[int, str, str]:
-    """Exit status, output and errors of `wickvane members`."""
+    """Runs `wickvane members`; returns its exit status, output and errors."""
     process = subprocess.run(
         [sys.executable, "-m", "wickvane", "members", *words], cwd=ROOT, capture_output=True, timeout=60
     )
@@ -26,10 +26,10 @@
     followed = FollowedFile(path, state)
     copy = str(tmp_path / "copy.kdl")
     shutil.copy(path, copy)
-    behind = FollowedFile(copy, other)
+    outdated = FollowedFile(copy, other)
     assert wickvane("agree", state, other)[0] == 0
     replace_document(path, make_endpoints(4))
-    until(lambda: followed.log.of("members-held"))
+    until(lambda: followed.log.fields_of("members-held"))
     code, out, _ = wickvane("show", "--state", state)
     assert code == 0 and "held: generation 2 (share-removed)" in out and "20 ready of 20" in out
     code, out, _ = wickvane("check", "--state", state, path)
@@ -53,6 +53,6 @@
     (tmp_path / "state" / "orders" / "x.order").write_text("{")
     until(lambda: os.path.exists(tmp_path / "state" / "orders" / "x.answer"))
     followed.stop()
-    behind.stop()
+    outdated.stop()
     code, _, errors = wickvane("stop", "--state", str(tmp_path))
     assert code == 2 and errors
--- a/tests/endpoints/test_confirmation.py
+++ b/tests/endpoints/test_confirmation.py
@@ -1,4 +1,4 @@
-"""Held changes: confirmed, expired, replaced."""
+"""Tests held changes: they are confirmed, expire, or are replaced."""
 
 from endpoints.support import ListHarness, make_endpoints
 from wickvane.units import TICKS_PER_SECOND
@@ -11,11 +11,11 @@
     harness.submit(make_endpoints(2))
     assert len(harness.logged_codes("members-held")) == 1
     held = harness.held_generation
-    again = harness.restart().submit(make_endpoints(2))
-    assert again.held_generation == held and len(again.ready_names()) == 20
-    assert not again.confirm(held + 1) and again.confirm(held)
-    assert again.ready_names() == {"e0", "e1"} and not again.confirm(held)
-    assert again.generation == held
+    restarted = harness.restart().submit(make_endpoints(2))
+    assert restarted.held_generation == held and len(restarted.ready_names()) == 20
+    assert not restarted.confirm(held + 1) and restarted.confirm(held)
+    assert restarted.ready_names() == {"e0", "e1"} and not restarted.confirm(held)
+    assert restarted.generation == held
 
 
 def test_a_held_change_expires_or_is_replaced() -> None:
@@ -25,7 +25,7 @@
     harness.submit(make_endpoints(3))
     assert harness.held_generation != first and not harness.confirm(first)
     harness.submit(make_endpoints(20))
-    assert harness.held_generation is None  # it went back to what is at work
+    assert harness.held_generation is None  # the document is the current list again
     harness.submit(make_endpoints(2))
     harness.advance_time(11 * TICKS_PER_SECOND)
     assert harness.held_generation is None and len(harness.ready_names()) == 20
--- a/tests/endpoints/test_control_service.py
+++ b/tests/endpoints/test_control_service.py
@@ -1,4 +1,4 @@
-"""The control service that follows watched files."""
+"""Tests a control service with an endpoint list from watched files."""
 
 import asyncio
 import tempfile
--- a/tests/endpoints/test_dispatcher.py
+++ b/tests/endpoints/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""A dispatcher that follows watched files: queries over drains, removals and overrides."""
+"""Tests a dispatcher with watched files: queries during drains, removals and overrides."""
 
 import json
 import os
@@ -33,13 +33,13 @@
 from wickvane.net.service import Service
 
 
-class Serving:
-    """The real program's threads, its list from a file."""
+class RunningService:
+    """Runs a dispatcher's threads in this process, with the endpoint list from a file."""
 
     def __init__(
         self,
         path: str,
-        more: str = "",
+        extra_nodes: str = "",
         coordinator: Events | None = None,
         known: dict | None = None,
         engines: Iterable[Engine] = (),
@@ -49,7 +49,9 @@
             del self.found["coordinator"]
         if known is not None:
             self.found["known"] = known
-        extensions = parts.read_text(f'members {{ file "{path}"; still "20ms"; poll "100ms"\n{more} }}')
+        extensions = parts.read_text(
+            f'members {{ file "{path}"; still "20ms"; poll "100ms"\n{extra_nodes} }}'
+        )
         self.log = tempfile.TemporaryFile()
         STANDING.append(self.log)
         self.service = Service(self.found, self.log.fileno(), extensions)
@@ -57,7 +59,7 @@
 
 
 def write(path: str, engines: dict[int, Engine], weights: dict[int, float] | None = None) -> None:
-    """Replaces the document by one that lists engines."""
+    """Replaces the document by one that lists the engines."""
     weights = weights or {}
     text = (
         "members {\n"
@@ -72,9 +74,9 @@
     os.replace(f"{path}.new", path)
 
 
-def published(serving: Serving, name: str) -> Endpoint | None:
-    """An endpoint as the dispatcher has it."""
-    return serving.service.parts[0].source.endpoint_list.rollout.published.get(name)
+def published(running: RunningService, name: str) -> Endpoint | None:
+    """Returns the endpoint that the dispatcher has published under a name, None if there is none."""
+    return running.service.parts[0].source.endpoint_list.rollout.published.get(name)
 
 
 def test_queries_on_drained_or_removed_engines_get_one_answer(path: str) -> None:
@@ -88,8 +90,8 @@
 
     engines = {n: Engine(answer_late) for n in range(3)}
     write(path, engines)
-    serving = Serving(path, 'linger "20s"\nlimits { share-removed 1 past="note" }')
-    clients = [Client(serving) for _ in range(6)]
+    running = RunningService(path, 'linger "20s"\nlimits { share-removed 1 past="note" }')
+    clients = [Client(running) for _ in range(6)]
     for n, client in enumerate(clients):
         client.send(statement(f"SELECT 1 FROM sales_{n}.t", n=n, limit=15_000))
     until(lambda: sum(engine.came.qsize() for engine in engines.values()) == 6)
@@ -100,14 +102,14 @@
     write(path, {n: e for n, e in engines.items() if n != removed}, {drained: 0})
     until(
         lambda: (
-            published(serving, f"e{removed}") is not None
-            and published(serving, f"e{removed}").state == EngineState.DRAINING
-            and published(serving, f"e{drained}").state == EngineState.DRAINING
+            published(running, f"e{removed}") is not None
+            and published(running, f"e{removed}").state == EngineState.DRAINING
+            and published(running, f"e{drained}").state == EngineState.DRAINING
         )
     )
     before = {n: engines[n].came.qsize() for n in engines}
     time.sleep(0.2)
-    more = [Client(serving) for _ in range(4)]
+    more = [Client(running) for _ in range(4)]
     for n, client in enumerate(more):
         client.send(statement(f"SELECT 1 FROM sales_{n}.t", n=100 + n, limit=15_000))
     until(lambda: engines[kept].came.qsize() >= before[kept] + 1)
@@ -118,11 +120,11 @@
     for client in clients + more:
         answer = client.until_ready()
         assert rows(answer) and sqlstate(answer) is None
-    until(lambda: published(serving, f"e{removed}") is None)
-    assert published(serving, f"e{drained}").state == EngineState.DRAINING
+    until(lambda: published(running, f"e{removed}") is None)
+    assert published(running, f"e{drained}").state == EngineState.DRAINING
     write(path, {n: e for n, e in engines.items() if n != removed})
-    until(lambda: published(serving, f"e{drained}").state == EngineState.READY)
-    assert rows(Client(serving).ask(statement(n=900)))
+    until(lambda: published(running, f"e{drained}").state == EngineState.READY)
+    assert rows(Client(running).ask(statement(n=900)))
 
 
 def test_file_overrides_outlast_the_coordinators_stream(path: str) -> None:
@@ -143,7 +145,7 @@
         }
         for n, e in engines.items()
     ]
-    serving = Serving(
+    running = RunningService(
         path,
         "overrides #true",
         coordinator,
@@ -151,18 +153,18 @@
         engines.values(),
     )
     assert (
-        published(serving, "e0").state == EngineState.DRAINING
-        and published(serving, "e1").state == EngineState.READY
+        published(running, "e0").state == EngineState.DRAINING
+        and published(running, "e1").state == EngineState.READY
     )
     coordinator.next("connected")
     coordinator.send.put(sse(2, event(2, entries[1] | {"status": "Terminating"})))
-    until(lambda: published(serving, "e1").state == EngineState.DRAINING)
+    until(lambda: published(running, "e1").state == EngineState.DRAINING)
     coordinator.send.put(None)
     with open(path, "w") as file:
         file.write('members { engine "e0" weight=1; engine "e1" weight=1 }')
-    until(lambda: published(serving, "e0").state == EngineState.READY)
-    assert published(serving, "e1").state == EngineState.DRAINING  # draining wins
-    assert rows(Client(serving).ask(statement(n=1)))
+    until(lambda: published(running, "e0").state == EngineState.READY)
+    assert published(running, "e1").state == EngineState.DRAINING  # the coordinator still drains it
+    assert rows(Client(running).ask(statement(n=1)))
 
 
 def test_check_needs_no_coordinator_with_watched_files(path: str, tmp_path: Path) -> None:
@@ -186,16 +188,16 @@
     assert process.returncode == 2 and b"coordinator" in process.stderr
 
 
-def test_no_query_is_lost_over_valid_and_invalid_swaps(path: str) -> None:
-    chance = Random(4)
+def test_no_query_is_lost_while_valid_and_invalid_documents_replace_each_other(path: str) -> None:
+    random = Random(4)
     engines = {n: Engine() for n in range(5)}
     write(path, engines)
-    serving = Serving(path, 'linger "5s"\nlimits { share-removed 1 past="note" }')
+    running = RunningService(path, 'linger "5s"\nlimits { share-removed 1 past="note" }')
     ended = threading.Event()
     answers = []
 
     def ask_until_ended(k: int) -> None:
-        client = Client(serving)
+        client = Client(running)
         n = 0
         while not ended.is_set():
             n += 1
@@ -208,10 +210,10 @@
     for n in range(40):
         if n % 4 == 3:
             with open(path, "w") as file:
-                file.write(chance.choice(["members {", "", "members { engine }", "members {}"]))
+                file.write(random.choice(["members {", "", "members { engine }", "members {}"]))
         else:
-            some = dict(chance.sample(sorted(engines.items()), chance.randrange(2, 6)))
-            write(path, some, {min(some): chance.choice([0, 1.0])} if len(some) > 2 else None)
+            listed = dict(random.sample(sorted(engines.items()), random.randrange(2, 6)))
+            write(path, listed, {min(listed): random.choice([0, 1.0])} if len(listed) > 2 else None)
         time.sleep(0.05)
     ended.set()
     for thread in threads:
--- a/tests/endpoints/test_document.py
+++ b/tests/endpoints/test_document.py
@@ -1,4 +1,4 @@
-"""Documents in KDL and JSON: what is parsed, and the code of each error."""
+"""Tests the parsing of documents in KDL and JSON, and the code of each error."""
 
 import json
 
@@ -20,7 +20,7 @@
     assert second.state == EngineState.DRAINING
     assert third.state == EngineState.DRAINING and third.weight == 0.5
     assert document.lines == {"e1": 2, "e2": 3, "e3": 4}
-    same = {
+    json_document = {
         "generation": 7,
         "engines": [
             {"name": "e1", "address": "10.0.0.1:5001", "zone": "a", "type": "old", "group": 2, "since_ms": 5},
@@ -28,8 +28,8 @@
             {"name": "e3", "address": "[::1]:5001", "status": "Terminating", "weight": 0.5},
         ],
     }
-    other = parse_document(json.dumps(same).encode(), "m.json")
-    assert (other.generation, other.endpoints) == (document.generation, document.endpoints)
+    from_json = parse_document(json.dumps(json_document).encode(), "m.json")
+    assert (from_json.generation, from_json.endpoints) == (document.generation, document.endpoints)
 
 
 @pytest.mark.parametrize(
@@ -104,18 +104,18 @@
 def test_a_truncated_document_is_rejected(is_sealed: bool, name: str) -> None:
     rows = [{"name": f"e{n}", "address": f"10.0.0.{n}:5"} for n in range(3)]
     text = GOOD if name == "m.kdl" else json.dumps({"engines": rows}, indent=1)
-    whole = seal(text.encode()) if is_sealed else text.strip().encode()
-    assert parse_document(whole, name, is_sealed).endpoints
-    for size in range(len(whole) - (1 if not is_sealed else 2)):  # the last line's end is no part of it
+    complete = seal(text.encode()) if is_sealed else text.strip().encode()
+    assert parse_document(complete, name, is_sealed).endpoints
+    for size in range(len(complete) - (1 if not is_sealed else 2)):  # the final line break is optional
         with pytest.raises(DocumentError):
-            parse_document(whole[:size], name, is_sealed)
+            parse_document(complete[:size], name, is_sealed)
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=300), st.sampled_from(["m.kdl", "m.json"]))
 def test_arbitrary_octets_are_parsed_or_rejected(data: bytes, name: str) -> None:
-    for tried in (data, GOOD.encode()[:60] + data, b'{"engines": [' + data):
+    for document in (data, GOOD.encode()[:60] + data, b'{"engines": [' + data):
         try:
-            parse_document(tried, name)
+            parse_document(document, name)
         except DocumentError as raised:
             assert raised.finding.code in REMEDIES
--- a/tests/endpoints/test_effect_digest.py
+++ b/tests/endpoints/test_effect_digest.py
@@ -1,8 +1,8 @@
-"""Played endpoint lists produce exactly the effects that they produced before the modules were split.
+"""Tests that endpoint lists under seeded random actions produce the effects recorded at commit c5b2902.
 
 Each digest covers, call by call, the journal records (as bytes), the updates sent to the scheduler, the log
 events, the status that is written to disk and the time of the next call, rendered without the names of
-classes or fields. They were recorded from commit c5b2902.
+classes or fields.
 """
 
 from hashlib import blake2b
@@ -93,14 +93,14 @@
 
 
 def make_list(policy_name: str) -> EndpointList:
-    """An empty endpoint list under a named policy."""
+    """Returns an empty endpoint list under a named policy."""
     return EndpointList(TOPOLOGY, POLICIES[policy_name])
 
 
 def make_endpoint(
     name: str, address: tuple[str, int] | None, weight: float, kind: str | None, zone: str, **stated: object
 ) -> Endpoint:
-    """An endpoint as a document lists it; weight 0 drains it."""
+    """Returns an endpoint as a document lists it; weight 0 drains it."""
     state = EngineState.DRAINING if weight == 0 else stated.pop("state", EngineState.READY)
     return Endpoint(name, address, zone, kind, 0, 0, weight, state, **stated)
 
@@ -113,14 +113,14 @@
     is_broken: bool,
     load: float | None,
 ) -> None:
-    """Offers a document that was read, or one that could not be."""
+    """Submits a valid document, or one that could not be read if is_broken."""
     findings = [Finding("no-document", Severity.REJECT, "cut", "m.kdl", 3)] if is_broken else []
     location = Location("m.kdl", 7)
     endpoint_list.submit(now, snapshot, generation, findings, "test", load, lambda name: location)
 
 
-def rendered(effect: Effect) -> list:
-    """An effect in plain values."""
+def render_effect(effect: Effect) -> list:
+    """Returns an effect as plain values."""
     match effect:
         case AppendRecord(record):
             return ["record", orjson.dumps(encode_record(record)).decode()]
@@ -130,28 +130,30 @@
             return ["log", event, sorted(fields.items())]
 
 
-def rendered_effects(endpoint_list: EndpointList) -> list:
-    """The effects since the last call, in plain values; takes them."""
-    return [rendered(effect) for effect in endpoint_list.take_effects()]
+def render_effects(endpoint_list: EndpointList) -> list:
+    """Takes the effects since the last call and returns them as plain values."""
+    return [render_effect(effect) for effect in endpoint_list.take_effects()]
 
 
 def apply_record(endpoint_list: EndpointList, stored: dict) -> None:
-    """Recovers one record of the journal, in its stored form."""
+    """Applies one record of the journal, given in its stored form."""
     endpoint_list.apply(decode_record(stored))
 
 
 def checkpoint(endpoint_list: EndpointList, now: int) -> dict:
-    """The one record that replaces all before it, in its stored form."""
+    """Returns a checkpoint in its stored form."""
     return encode_record(endpoint_list.checkpoint(now))
 
 
-def stream(endpoint_list: EndpointList, now: int, number: int, is_full: bool, entries: list) -> None:
-    """An event of the coordinator's stream."""
+def apply_stream_event(
+    endpoint_list: EndpointList, now: int, number: int, is_full: bool, entries: list
+) -> None:
+    """Applies an event of the coordinator's stream."""
     endpoint_list.apply_stream_event(now, number, is_full, entries)
 
 
-def operate(endpoint_list: EndpointList, now: int, order: str, generation: int) -> bool:
-    """An operator's order."""
+def give_order(endpoint_list: EndpointList, now: int, order: str, generation: int) -> bool:
+    """Gives an operator's order; returns whether it was carried out."""
     if order == "stop":
         return endpoint_list.pause(now, "anna")
     if order == "confirm":
@@ -160,14 +162,14 @@
 
 
 def held_generation(endpoint_list: EndpointList) -> int:
-    """The generation that waits for its confirmation, or the current one."""
+    """Returns the generation that waits for its confirmation, or else the current one."""
     status = status_document(endpoint_list)
     held = status["held"]
     return held["generation"] if held else status["generation"]
 
 
-class Player:
-    """Plays seeded actions on an endpoint list and digests all that follows from them."""
+class RandomActions:
+    """Applies seeded random actions to an endpoint list and digests all their effects."""
 
     def __init__(self, policy_name: str, seed: int) -> None:
         self.policy_name = policy_name
@@ -181,11 +183,11 @@
         self.codes: set[str] = set()
         self.endpoint_list = make_list(policy_name)
         self.endpoint_list.start(self.now)
-        self.drain()
+        self.digest_effects()
 
-    def drain(self) -> None:
-        """Digests the pending effects and keeps their records."""
-        effects = rendered_effects(self.endpoint_list)
+    def digest_effects(self) -> None:
+        """Digests the pending effects and appends their records to the journal."""
+        effects = render_effects(self.endpoint_list)
         for effect in effects:
             if effect[0] == "record":
                 self.journal.append(orjson.loads(effect[1]))
@@ -197,7 +199,7 @@
         self.digest.update(orjson.dumps([self.now, effects, status, self.endpoint_list.next_wakeup()]))
 
     def document(self) -> list[Endpoint]:
-        """Endpoints of a generated document: usually a small change, sometimes a large or wrong one."""
+        """Returns a random document's endpoints: usually a small change, sometimes a large or invalid one."""
         random = self.random
         count = random.choice([0, 2, 5, 9, 10, 11, 11, 12, 12, 12])
         chosen = []
@@ -209,13 +211,13 @@
                 address = ("10.0.0.1", 1000 + (n if random.random() < 0.97 else n + 1))
                 chosen.append(make_endpoint(f"e{n}", address, weight, kind, zone))
                 continue
-            words = random.choice([["weight"], ["weight", "zone"], ["weight", "since_ms"], []])
-            stated = frozenset(FIELDS_BY_DOCUMENT_NAME[word] for word in words)
+            field_names = random.choice([["weight"], ["weight", "zone"], ["weight", "since_ms"], []])
+            stated = frozenset(FIELDS_BY_DOCUMENT_NAME[field_name] for field_name in field_names)
             chosen.append(make_endpoint(f"e{n}", None, weight, None, zone, stated_fields=stated))
         return chosen
 
     def stream_event(self) -> None:
-        """An event of the coordinator: all engines or some, one of them possibly gone."""
+        """Applies a random event of the coordinator: all engines, or some of which may be gone."""
         random = self.random
         self.event_number += random.choice([0, 1, 1, 1, 3])
         is_full = random.random() < 0.2
@@ -233,10 +235,10 @@
             )
             for n in random.sample(range(14), 10 if is_full else random.randrange(1, 4))
         ]
-        stream(self.endpoint_list, self.now, self.event_number, is_full, entries)
+        apply_stream_event(self.endpoint_list, self.now, self.event_number, is_full, entries)
 
     def restart(self) -> None:
-        """A process that recovers from the journal, as single records or from a checkpoint."""
+        """Replaces the list by one recovered from the journal's single records or from a checkpoint."""
         self.now += self.random.choice([50, 7 * TICKS_PER_SECOND, -3 * TICKS_PER_SECOND])
         if self.random.random() < 0.4:
             self.journal = [orjson.loads(orjson.dumps(checkpoint(self.endpoint_list, self.now)))]
@@ -247,7 +249,7 @@
         self.endpoint_list.start(self.now)
 
     def step(self) -> None:
-        """One action, chosen by the seed."""
+        """Applies one random action."""
         random = self.random
         choice = random.random()
         if self.is_overriding and choice < 0.25:
@@ -266,7 +268,7 @@
             generation = held_generation(self.endpoint_list)
             if order == "rollback" or random.random() < 0.1:
                 generation = random.randrange(1, max(2, generation + 1))
-            self.digest.update(b"%d" % operate(self.endpoint_list, self.now, order, generation))
+            self.digest.update(b"%d" % give_order(self.endpoint_list, self.now, order, generation))
         else:
             self.is_busy = random.random() < 0.5
             for _ in range(random.choice([1, 1, 2, 4])):
@@ -274,32 +276,32 @@
                     [500, TICKS_PER_SECOND, 4 * TICKS_PER_SECOND, 30 * TICKS_PER_SECOND]
                 )
                 self.endpoint_list.tick(self.now, random.choice([None, lambda name: self.is_busy]))
-                self.drain()
+                self.digest_effects()
         self.now += random.choice([1, 50, 5000])
-        self.drain()
+        self.digest_effects()
 
 
-def play(policy_name: str, seed: int) -> Player:
-    """A player after all its actions."""
-    player = Player(policy_name, seed)
+def run_actions(policy_name: str, seed: int) -> RandomActions:
+    """Applies all actions of a seed and returns them with their digest."""
+    actions = RandomActions(policy_name, seed)
     for _ in range(ACTIONS):
-        player.step()
-    return player
+        actions.step()
+    return actions
 
 
 @pytest.mark.parametrize("policy_name", POLICIES)
 @pytest.mark.parametrize("seed", range(1, 6))
-def test_played_lists_have_the_recorded_effects(policy_name: str, seed: int) -> None:
-    """Records, updates, log events, status and next call are those of c5b2902, byte for byte."""
-    assert play(policy_name, seed).digest.hexdigest() == DIGESTS[policy_name, seed]
+def test_random_actions_have_the_recorded_effects(policy_name: str, seed: int) -> None:
+    """Records, updates, log events, status and next call equal those of c5b2902, byte for byte."""
+    assert run_actions(policy_name, seed).digest.hexdigest() == DIGESTS[policy_name, seed]
 
 
-def test_the_played_lists_reach_every_kind_of_effect() -> None:
-    """Good, bad and large changes, holds, confirmations, rollbacks, staged rollouts and restarts occur."""
+def test_random_actions_reach_every_kind_of_effect() -> None:
+    """Valid and invalid changes, holds, confirmations, rollbacks, staged rollouts and restarts occur."""
     codes = set()
     for policy_name in POLICIES:
         for seed in range(1, 6):
-            codes |= play(policy_name, seed).codes
+            codes |= run_actions(policy_name, seed).codes
     assert codes >= {
         "taken",
         "refused",
--- a/tests/endpoints/test_file_source.py
+++ b/tests/endpoints/test_file_source.py
@@ -1,4 +1,4 @@
-"""Files as they lie on disk: half written, swapped, gone, hostile."""
+"""Tests watched files that are partly written, replaced, removed or invalid."""
 
 import json
 import os
@@ -22,14 +22,14 @@
 
 
 @pytest.mark.parametrize("watched", ["events", "poll"])
-def test_renamed_files_apply_and_broken_ones_change_nothing(path: str, watched: str) -> None:
+def test_renamed_files_apply_and_invalid_ones_change_nothing(path: str, watched: str) -> None:
     replace_document(path, make_endpoints(4))
-    followed = FollowedFile(path, more=f'watch "{watched}"')
+    followed = FollowedFile(path, extra_nodes=f'watch "{watched}"')
     assert followed.ready_names() == names(4)
-    began = time.monotonic()
+    started_at = time.monotonic()
     replace_document(path, make_endpoints(5))
     until(lambda: followed.ready_names() == names(5))
-    assert time.monotonic() - began < 10
+    assert time.monotonic() - started_at < 10
     original = open(path, "rb").read()
     for data, code in (
         (original[:-30], "length-wrong"),
@@ -61,7 +61,7 @@
     followed.stop()
 
 
-def test_deleted_unreadable_folders_and_pipes_keep_the_current_list(path: str) -> None:
+def test_missing_and_unreadable_files_directories_and_pipes_keep_the_current_list(path: str) -> None:
     replace_document(path, make_endpoints(4))
     followed = FollowedFile(path)
     os.unlink(path)
@@ -81,7 +81,7 @@
     followed.stop()
 
 
-def test_a_folder_swapped_by_a_symlink_is_followed(tmp_path: Path) -> None:
+def test_a_directory_replaced_by_a_symlink_is_followed(tmp_path: Path) -> None:
     for n, count in ((1, 4), (2, 6)):
         (tmp_path / f"v{n}").mkdir()
         (tmp_path / f"v{n}" / "m.kdl").write_text(kdl_document(make_endpoints(count)))
@@ -99,25 +99,25 @@
     folder = tmp_path / "members.d"
     folder.mkdir()
     (folder / "a.kdl").write_text(kdl_document(make_endpoints(3)))
-    rest = {
+    json_document = {
         "engines": [
             {"name": e.name, "address": f"10.0.0.1:{e.address[1]}", "type": "old"}
             for e in make_endpoints(6)[3:]
         ]
     }
-    (folder / "b.json").write_text(json.dumps(rest))
+    (folder / "b.json").write_text(json.dumps(json_document))
     (folder / "notes.txt").write_text("x")
     (folder / ".c.kdl.swp").write_text("x")
     followed = FollowedFile(str(folder))
     assert followed.ready_names() == names(6)
-    assert followed.log.of("members-part-ignored") == [{"file": "notes.txt"}]
+    assert followed.log.fields_of("members-part-ignored") == [{"file": "notes.txt"}]
     (folder / "c.kdl").write_text(kdl_document([make_endpoint(2)]))
-    until(lambda: followed.log.of("members-refused"))
-    refusal = followed.log.of("members-refused")[-1]
-    assert refusal["codes"] == ("name-twice",) and "a.kdl and c.kdl" in refusal["why"][0]
+    until(lambda: followed.log.fields_of("members-refused"))
+    rejection = followed.log.fields_of("members-refused")[-1]
+    assert rejection["codes"] == ("name-twice",) and "a.kdl and c.kdl" in rejection["why"][0]
     assert followed.ready_names() == names(6)
     (folder / "c.kdl").write_text(kdl_document([make_endpoint(7, port=1001)]))
-    until(lambda: followed.log.of("members-refused")[-1]["codes"] == ("address-twice",))
+    until(lambda: followed.log.fields_of("members-refused")[-1]["codes"] == ("address-twice",))
     os.unlink(folder / "c.kdl")
     (folder / "a.kdl").write_text(kdl_document(make_endpoints(2)))
     until(
@@ -127,11 +127,11 @@
         )
     )
     os.unlink(folder / "a.kdl")
-    until(lambda: followed.log.of("members-refused")[-1]["codes"] or True)
+    until(lambda: followed.log.fields_of("members-refused")[-1]["codes"] or True)
     followed.stop()
 
 
-def test_rapid_swaps_end_at_the_last_generation(path: str) -> None:
+def test_rapid_replacements_end_at_the_last_generation(path: str) -> None:
     replace_document(path, make_endpoints(4), 1)
     followed = FollowedFile(path)
     for n in range(2, 12):
@@ -141,10 +141,10 @@
         lambda: followed.source.status()["generation"] == 11 and followed.ready_names() == names(4 + 11 % 3)
     )
     replace_document(path, make_endpoints(8), 5)
-    until(lambda: followed.log.of("members-refused"))
-    assert followed.log.of("members-refused")[-1]["codes"] == ("generation-back",)
+    until(lambda: followed.log.fields_of("members-refused"))
+    assert followed.log.fields_of("members-refused")[-1]["codes"] == ("generation-back",)
     replace_document(path, make_endpoints(8), 11)
-    until(lambda: followed.log.of("members-refused")[-1]["codes"] == ("generation-same",))
+    until(lambda: followed.log.fields_of("members-refused")[-1]["codes"] == ("generation-same",))
     assert followed.ready_names() == names(4 + 11 % 3)
     followed.stop()
 
@@ -152,16 +152,16 @@
 def test_a_file_that_never_settles_is_reported(path: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(change_detector, "MAX_UNSETTLED_TIME", 3000)
     replace_document(path, make_endpoints(4), is_sealed=False)
-    followed = FollowedFile(path, more='step "50ms"')
+    followed = FollowedFile(path, extra_nodes='step "50ms"')
     ended = threading.Event()
 
-    def write_on() -> None:
+    def keep_appending() -> None:
         with open(path, "ab", buffering=0) as file:
             while not ended.is_set():
                 file.write(b"// more\n")
                 time.sleep(0.005)
 
-    writer = threading.Thread(target=write_on)
+    writer = threading.Thread(target=keep_appending)
     writer.start()
     until(lambda: followed.unfit_count("never-still"))
     ended.set()
--- a/tests/endpoints/test_journal.py
+++ b/tests/endpoints/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal: cut anywhere, killed at each step, full disks, and recovery from it."""
+"""Tests the journal and its recovery: truncation anywhere, a kill at each disk step, a full disk."""
 
 import os
 from itertools import count
@@ -40,14 +40,14 @@
 
 
 class StoredJournal(NamedTuple):
-    """A journal's octets, and its size after the magic and after each record."""
+    """A journal's data, and its size after the magic number and after each record."""
 
     data: bytes
     sizes: list[int]
 
 
 def write_generations(generation_count: int = 12) -> StoredJournal:
-    """The octets of a journal of some generations, each of whose records can be applied."""
+    """Returns a journal of some generations and checks that each of its records can be applied."""
     harness = ListHarness(
         removed_fraction_severity=Severity.STAGE, removed_fraction=0.3, step_interval=10_000
     )
@@ -66,7 +66,7 @@
     return StoredJournal(data, sizes)
 
 
-def test_a_journal_cut_at_any_byte_keeps_the_records_before_the_cut() -> None:
+def test_a_journal_truncated_at_any_byte_keeps_the_records_before_it() -> None:
     data, sizes = write_generations()
     for size in range(len(data) + 1):
         content = parse_journal(data[:size])
@@ -76,7 +76,7 @@
         damaged = data[:position] + bytes((data[position] ^ 1,)) + data[position + 1 :]
         content = parse_journal(damaged)
         assert len(content.records) == max(n for n, end in enumerate(sizes) if end <= position)
-    # A record in another's position is invalid there.
+    # A record is invalid in the position of another record.
     first = data[sizes[0] : sizes[1]]
     second = data[sizes[1] : sizes[2]]
     assert parse_journal(MAGIC + second + first).records == []
@@ -85,11 +85,11 @@
 
 
 class ProcessKilledError(Exception):
-    """The process is killed here."""
+    """Simulates that the process is killed."""
 
 
 class KillingDisk(Disk):
-    """Kills the process at the n-th step, a write midway."""
+    """Simulates a kill at the n-th step; a write is then half done."""
 
     def __init__(self, steps: int) -> None:
         self.steps_left = steps
@@ -100,12 +100,12 @@
             raise ProcessKilledError
 
     def open(self, path: str) -> int:
-        """A step."""
+        """Counts as a step."""
         self._step()
         return super().open(path)
 
     def write(self, descriptor: int, data: bytes, position: int) -> None:
-        """A step; half of the octets are written where the process is killed."""
+        """Counts as a step; half of the data is written if the process is killed."""
         try:
             self._step()
         except ProcessKilledError:
@@ -114,33 +114,33 @@
         super().write(descriptor, data, position)
 
     def truncate(self, descriptor: int, size: int) -> None:
-        """A step."""
+        """Counts as a step."""
         self._step()
         super().truncate(descriptor, size)
 
     def sync(self, descriptor: int) -> None:
-        """A step."""
+        """Counts as a step."""
         self._step()
         super().sync(descriptor)
 
     def replace(self, source: str, path: str) -> None:
-        """A step."""
+        """Counts as a step."""
         self._step()
         super().replace(source, path)
 
     def sync_folder(self, folder: str) -> None:
-        """A step."""
+        """Counts as a step."""
         self._step()
         super().sync_folder(folder)
 
 
 def document_of(n: int) -> Snapshot:
-    """The n-th document."""
+    """Returns the n-th document."""
     return make_snapshot(0, make_endpoints(6 + n % 3))
 
 
 def publish_six_documents(endpoint_list: EndpointList, journal: Journal, published: list[int]) -> bool:
-    """Journals and publishes six documents; False where the process was killed meanwhile."""
+    """Journals and publishes six documents; returns False if the process was killed meanwhile."""
     try:
         journal.read()
         for n in range(6):
@@ -158,7 +158,7 @@
 
 
 def test_a_process_killed_at_any_disk_step_recovers_what_it_published(tmp_path: Path) -> None:
-    """What was published is never newer than what a restart recovers, and that is a whole generation."""
+    """A restart recovers a complete generation that is never older than the published one."""
     for steps in count():
         folder = str(tmp_path / f"s{steps}")
         os.mkdir(folder)
@@ -176,7 +176,7 @@
         assert generation in (last, last - 1, 0)
         if generation:
             assert recovered.generations.target.endpoints == document_of(generation - 1).endpoints
-        reopened.append({"what": "stopped"})  # it can be written on
+        reopened.append({"what": "stopped"})  # the recovered journal can be appended to
         assert len(read_journal(folder).records) and reopened.size
         reopened.close()
         if is_complete:
@@ -195,18 +195,18 @@
     followed.stop()
     for change_file in (lambda: os.unlink(path), lambda: replace_document(path, make_endpoints(4), 1)):
         change_file()
-        again = FollowedFile(path, state)
-        assert again.published == {
+        restarted = FollowedFile(path, state)
+        assert restarted.published == {
             "e0": EngineState.READY,
             "e1": EngineState.READY,
             "e2": EngineState.READY,
             "e3": EngineState.DRAINING,
         }
-        fields = again.log.of("members-from-journal")[-1]
-        assert fields["generation"] == 2 and again.source.status()["old"]
-        until(lambda again=again: again.log.of("members-refused"))
-        assert again.published["e3"] == EngineState.DRAINING
-        again.stop()
+        fields = restarted.log.fields_of("members-from-journal")[-1]
+        assert fields["generation"] == 2 and restarted.source.status()["old"]
+        until(lambda restarted=restarted: restarted.log.fields_of("members-refused"))
+        assert restarted.published["e3"] == EngineState.DRAINING
+        restarted.stop()
     replace_document(path, make_endpoints(4), 3)
     last = FollowedFile(path, state)
     until(lambda: last.ready_names() == names(4))
@@ -214,7 +214,7 @@
     last.stop()
 
 
-def test_a_failing_journal_stops_no_drain_and_is_compacted_later(tmp_path: Path, path: str) -> None:
+def test_a_failing_journal_does_not_stop_a_drain_and_is_compacted_later(tmp_path: Path, path: str) -> None:
     state = str(tmp_path / "state")
     replace_document(path, make_endpoints(4))
     followed = FollowedFile(path, state)
@@ -227,22 +227,22 @@
     followed.source.journal.journal.disk = FullDisk()
     replace_document(path, make_endpoints(3))
     until(lambda: followed.published.get("e3") == EngineState.DRAINING)
-    assert followed.log.of("members-journal-failed")
+    assert followed.log.fields_of("members-journal-failed")
     followed.source.journal.journal.disk = disk
     replace_document(path, make_endpoints(5))
     until(lambda: followed.ready_names() == names(5))
     followed.stop()
-    again = FollowedFile(path, state)
-    assert again.ready_names() == names(5) and not again.log.of("members-refused")
-    again.stop()
+    restarted = FollowedFile(path, state)
+    assert restarted.ready_names() == names(5) and not restarted.log.fields_of("members-refused")
+    restarted.stop()
 
 
-def test_an_unreadable_journal_is_set_apart(tmp_path: Path, path: str) -> None:
+def test_an_unreadable_journal_is_renamed_and_kept(tmp_path: Path, path: str) -> None:
     state = tmp_path / "state"
     state.mkdir()
     (state / JOURNAL_NAME).write_bytes(b"not a journal at all")
     replace_document(path, make_endpoints(4))
     followed = FollowedFile(path, str(state))
-    assert followed.ready_names() == names(4) and followed.log.of("members-journal-unreadable")
+    assert followed.ready_names() == names(4) and followed.log.fields_of("members-journal-unreadable")
     assert [name for name in os.listdir(state) if "unreadable" in name]
     followed.stop()
--- a/tests/endpoints/test_merge.py
+++ b/tests/endpoints/test_merge.py
@@ -1,4 +1,4 @@
-"""Documents of several files, merged file by file."""
+"""Tests the merging of the documents of several files."""
 
 from random import Random
 
@@ -14,21 +14,21 @@
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 1 << 30))
 def test_merged_files_equal_a_merge_from_scratch(seed: int) -> None:
-    chance = Random(seed)
+    random = Random(seed)
     merger = DocumentMerger()
     files = {}
     for _ in range(30):
-        file = f"f{chance.randrange(4)}.kdl"
-        if chance.random() < 0.25:
+        file = f"f{random.randrange(4)}.kdl"
+        if random.random() < 0.25:
             merger.remove(file)
             files.pop(file, None)
         else:
-            names = chance.sample(range(6), chance.randrange(5))
+            names = random.sample(range(6), random.randrange(5))
             endpoints = tuple(
-                make_endpoint(n, weight=chance.choice([0.5, 1.0]), port=2000 + chance.randrange(8))
+                make_endpoint(n, weight=random.choice([0.5, 1.0]), port=2000 + random.randrange(8))
                 for n in names
             )
-            stated = chance.choice([None, chance.randrange(1, 9)])
+            stated = random.choice([None, random.randrange(1, 9)])
             merger.put(Document(file, stated, endpoints, {}))
             files[file] = stated, endpoints
         expected = {}
--- a/tests/endpoints/test_model.py
+++ b/tests/endpoints/test_model.py
@@ -1,4 +1,4 @@
-"""Endpoint lists beside a plain model, and checkpoints beside the records that they replace."""
+"""Compares endpoint lists with a reference model, and checkpoints with the records that they replace."""
 
 from random import Random
 
@@ -17,19 +17,19 @@
 
 
 def ready_names(document: Documents, kind: str | None = None) -> set[str]:
-    """Names of ready endpoints, of one kind or all."""
+    """Returns the names of ready endpoints, of one kind or of all."""
     return {
         name for name, endpoint in document.items() if endpoint.is_ready and kind in (None, endpoint.kind)
     }
 
 
 def leaves_group_empty(before: Documents, after: Documents) -> bool:
-    """Whether the resource group that needs kind `new` loses its last endpoint."""
+    """Returns whether the resource group that needs kind `new` loses its last endpoint."""
     return bool(ready_names(before, "new")) and not ready_names(after, "new")
 
 
 class ReferenceModel:
-    """The rules on whole documents, without steps; every decision is worked out anew."""
+    """Applies the rules to complete documents, without steps or incremental state."""
 
     def __init__(self) -> None:
         self.history: dict[int, Documents] = {}
@@ -41,7 +41,7 @@
         self.highest_number = 0
 
     def submit(self, document: Documents, generation: int | None) -> str:
-        """What is done with a document."""
+        """Returns the decision on a document."""
         if document == self.file and (generation is None or generation <= self.generation):
             self.held = None
             return "same"
@@ -65,7 +65,7 @@
         return "taken"
 
     def number_for(self, document: Documents) -> int:
-        """The generation of a document that states none."""
+        """Returns the generation for a document that states none."""
         if self.reserved and self.reserved[0] == document:
             return self.reserved[1]
         return max(self.highest_number, self.generation) + 1
@@ -84,8 +84,8 @@
 
 @settings(max_examples=120, deadline=None)
 @given(st.integers(0, 1 << 40))
-def test_random_edits_faults_and_restarts_agree_with_a_plain_model(seed: int) -> None:
-    chance = Random(seed)
+def test_random_edits_faults_and_restarts_agree_with_the_reference_model(seed: int) -> None:
+    random = Random(seed)
     model = ReferenceModel()
     harness = ListHarness(
         drain_timeout=5 * TICKS_PER_SECOND,
@@ -93,17 +93,17 @@
         step_interval=TICKS_PER_SECOND,
     )
     for _ in range(40):
-        step = chance.random()
+        step = random.random()
         if step < 0.5:
-            count = chance.choice([0, 3, 5, 6, 6, 7, 7, 8])
+            count = random.choice([0, 3, 5, 6, 6, 7, 7, 8])
             document = {
                 f"e{n}": make_endpoint(
-                    n, weight=chance.choice([0.0, 1.0, 1.0, 1.0, 1.0]), kind="new" if n > 4 else "old"
+                    n, weight=random.choice([0.0, 1.0, 1.0, 1.0, 1.0]), kind="new" if n > 4 else "old"
                 )
-                for n in chance.sample(range(9), count)
+                for n in random.sample(range(9), count)
             }
-            generation = chance.choice([None, None, chance.randrange(1, 12)])
-            if model.file is not None and chance.random() < 0.2:
+            generation = random.choice([None, None, random.randrange(1, 12)])
+            if model.file is not None and random.random() < 0.2:
                 document = model.file
             before = len(harness.journal)
             harness.submit(document.values(), generation)
@@ -111,25 +111,25 @@
             written = {record["what"] for record in harness.journal[before:]} & {"taken", "held"}
             assert written == ({decision} if decision in ("taken", "held") else set()), decision
         elif step < 0.6:
-            bad = DocumentError("no-document", "cut", "m.kdl").finding
-            harness.submit([], None, [bad])
+            finding = DocumentError("no-document", "cut", "m.kdl").finding
+            harness.submit([], None, [finding])
         elif step < 0.7:
             harness = harness.restart()
             model.held = None
         elif step < 0.8:
-            harness.advance_time(chance.choice([TICKS_PER_SECOND, 10 * TICKS_PER_SECOND]))
+            harness.advance_time(random.choice([TICKS_PER_SECOND, 10 * TICKS_PER_SECOND]))
         elif step < 0.9 and model.held:
             document, number = model.held
             assert harness.confirm(number)
             model.apply(document, number)
         elif model.history:
-            number = chance.choice(list(model.history))
+            number = random.choice(list(model.history))
             document = model.history[number]
             is_allowed = bool(ready_names(document)) and not leaves_group_empty(model.target, document)
             assert harness.rollback(number) == is_allowed
             if is_allowed:
                 model.apply(document, model.generation, is_rollback=True)
-        # The target is always some whole generation that was applied, and nothing else gets queries.
+        # The target is always one complete applied generation, and only its engines get queries.
         assert harness.ready_names() == ready_names(model.target)
         assert harness.generation == model.generation
         assert dict(harness.endpoint_list.generations.target.endpoints.items()) == model.target
@@ -141,7 +141,7 @@
 
 
 def test_a_checkpoint_equals_the_records_before_it() -> None:
-    chance = Random(5)
+    random = Random(5)
     harness = ListHarness(
         removed_fraction=0.25,
         removed_fraction_severity=Severity.STAGE,
@@ -149,13 +149,13 @@
         step_interval=TICKS_PER_SECOND,
     )
     for n in range(60):
-        count = chance.randrange(3, 20)
+        count = random.randrange(3, 20)
         harness.submit(
-            [make_endpoint(k, weight=chance.choice([0.1, 1.0])) for k in chance.sample(range(20), count)]
+            [make_endpoint(k, weight=random.choice([0.1, 1.0])) for k in random.sample(range(20), count)]
         )
-        harness.advance_time(chance.choice([0, TICKS_PER_SECOND, 5 * TICKS_PER_SECOND]))
+        harness.advance_time(random.choice([0, TICKS_PER_SECOND, 5 * TICKS_PER_SECOND]))
         if n % 7 == 3 and harness.endpoint_list.generations.history:
-            harness.rollback(chance.choice(list(harness.endpoint_list.generations.history)))
+            harness.rollback(random.choice(list(harness.endpoint_list.generations.history)))
         checkpoint = encode_record(harness.endpoint_list.checkpoint(harness.now))
         from_checkpoint = ListHarness(harness.topology, [checkpoint], harness.now + 50)
         for recovered in (from_checkpoint, harness.restart()):
@@ -163,7 +163,7 @@
 
 
 def assert_same_state(recovered: EndpointList, expected: EndpointList) -> None:
-    """A recovered list has the target, the published list and the history of another."""
+    """Asserts that a recovered list has the target, the published list and the history of another."""
     generations = recovered.generations
     assert generations.target.endpoints == expected.generations.target.endpoints
     assert generations.number == expected.generations.number
--- a/tests/endpoints/test_overrides.py
+++ b/tests/endpoints/test_overrides.py
@@ -1,11 +1,11 @@
-"""Documents that override the coordinator's list."""
+"""Tests documents that override the coordinator's list."""
 
 from endpoints.support import ListHarness
 from wickvane.endpoints.snapshot import Endpoint
 from wickvane.events import EngineState
 
 
-def test_overrides_drain_and_weigh_streamed_endpoints_and_draining_wins() -> None:
+def test_overrides_set_weights_and_drain_and_draining_takes_precedence() -> None:
     harness = ListHarness(overrides_coordinator=True)
 
     def stream(number: int, *rows: tuple[int, EngineState], is_full: bool = False) -> None:
@@ -40,18 +40,18 @@
     assert ("not-listed",) in harness.logged_codes("members-taken")
     record_count = len(harness.journal)
     stream(2, (1, EngineState.DRAINING))
-    assert len(harness.journal) == record_count  # the stream sends it again after a restart
+    assert len(harness.journal) == record_count  # the coordinator sends the event again after a restart
     assert harness.published["e1"][0] == EngineState.DRAINING
     harness.submit([override(1, weight=1.0)])
     assert (
         harness.published["e1"][0] == EngineState.DRAINING and harness.published["e2"][0] == EngineState.READY
-    )  # taken out of the file
+    )  # the document no longer drains e2
     stream(3, (9, EngineState.READY), (1, EngineState.GONE))
     assert "e1" not in harness.published and harness.published["e9"][1] == 1.0
-    again = harness.restart()
-    assert again.published == {}  # the stream says who is there
-    again.endpoint_list.apply_stream_event(
-        again.now, 3, True, [("e1", ("10.0.0.1", 1), EngineState.READY, "a", "old", 0, 0, 0.5)]
+    restarted = harness.restart()
+    assert restarted.published == {}  # the stream lists the engines after a restart
+    restarted.endpoint_list.apply_stream_event(
+        restarted.now, 3, True, [("e1", ("10.0.0.1", 1), EngineState.READY, "a", "old", 0, 0, 0.5)]
     )
-    again.carry_out_effects()
-    assert again.published["e1"][:2] == (EngineState.READY, 1.0)
+    restarted.carry_out_effects()
+    assert restarted.published["e1"][:2] == (EngineState.READY, 1.0)
--- a/tests/endpoints/test_rollout.py
+++ b/tests/endpoints/test_rollout.py
@@ -1,4 +1,4 @@
-"""Rollout: drains, staged changes, weights in slow start, pauses and rollbacks."""
+"""Tests rollouts: drains, staged changes, weights in slow start, pauses and rollbacks."""
 
 from endpoints.support import ListHarness, make_endpoint, make_endpoints
 from wickvane.endpoints.findings import Severity
@@ -11,17 +11,17 @@
     harness.submit(make_endpoints(3) + [make_endpoint(3, weight=0.0)], 2)
     assert harness.published["e3"][0] == EngineState.DRAINING and harness.ready_names() == {"e0", "e1", "e2"}
     harness.advance_time(600 * TICKS_PER_SECOND)
-    # Listed, and drained for as long as the file says so.
+    # The engine is still listed, so it drains until the document readmits it.
     assert harness.published["e3"][0] == EngineState.DRAINING
-    again = harness.restart()
-    assert again.published["e3"][0] == EngineState.DRAINING
-    again.submit(make_endpoints(4), 1)
-    assert again.published["e3"][0] == EngineState.DRAINING and again.logged_codes("members-refused") == [
-        ("generation-back",)
-    ]
-    again.submit(make_endpoints(4), 2)
-    assert again.logged_codes("members-refused")[-1] == ("generation-same",)
-    assert again.submit(make_endpoints(4), 3).ready_names() == {"e0", "e1", "e2", "e3"}
+    restarted = harness.restart()
+    assert restarted.published["e3"][0] == EngineState.DRAINING
+    restarted.submit(make_endpoints(4), 1)
+    assert restarted.published["e3"][0] == EngineState.DRAINING and restarted.logged_codes(
+        "members-refused"
+    ) == [("generation-back",)]
+    restarted.submit(make_endpoints(4), 2)
+    assert restarted.logged_codes("members-refused")[-1] == ("generation-same",)
+    assert restarted.submit(make_endpoints(4), 3).ready_names() == {"e0", "e1", "e2", "e3"}
 
 
 def test_a_removed_endpoint_drains_until_idle_or_timed_out() -> None:
@@ -38,7 +38,7 @@
     harness.submit(make_endpoints(4)).submit(make_endpoints(3))
     harness.advance_time(31 * TICKS_PER_SECOND, is_busy=lambda name: True)
     assert "e3" not in harness.published
-    # Listed again, it is no longer the process that was known: it counts as started now.
+    # An engine that is listed again after its removal counts as started now.
     started = harness.now // 10
     harness.submit(make_endpoints(4))
     assert harness.published["e3"][0] == EngineState.READY and harness.published["e3"][3] == started
@@ -60,23 +60,23 @@
     assert 8 < midway < 20 and harness.pause()
     harness.advance_time(20 * TICKS_PER_SECOND)
     assert len(harness.ready_names()) == midway
-    again = harness.restart()
-    again.advance_time(20 * TICKS_PER_SECOND)
-    # A restart does not go on by itself.
-    assert len(again.ready_names()) == midway and again.endpoint_list.rollout.is_paused
-    assert again.confirm(again.generation)
-    again.advance_time(20 * TICKS_PER_SECOND)
-    assert len(again.ready_names()) == 8
-    again.submit(make_endpoints(20)).submit(make_endpoints(8))
-    again.advance_time(TICKS_PER_SECOND)
-    history = again.endpoint_list.generations.history
+    restarted = harness.restart()
+    restarted.advance_time(20 * TICKS_PER_SECOND)
+    # A restart does not resume a paused rollout.
+    assert len(restarted.ready_names()) == midway and restarted.endpoint_list.rollout.is_paused
+    assert restarted.confirm(restarted.generation)
+    restarted.advance_time(20 * TICKS_PER_SECOND)
+    assert len(restarted.ready_names()) == 8
+    restarted.submit(make_endpoints(20)).submit(make_endpoints(8))
+    restarted.advance_time(TICKS_PER_SECOND)
+    history = restarted.endpoint_list.generations.history
     full = next(number for number in history if len(history[number].snapshot.endpoints) == 20)
-    assert len(again.ready_names()) < 20 and again.rollback(full)
-    assert len(again.ready_names()) == 20 and again.endpoint_list.generations.rollback_of == full
-    again.submit(make_endpoints(8))
-    assert len(again.ready_names()) == 20  # the file still has the content that was rolled back
-    assert again.restart().submit(make_endpoints(8)).ready_names() == again.ready_names()
-    assert len(again.submit(make_endpoints(19)).ready_names()) == 19
+    assert len(restarted.ready_names()) < 20 and restarted.rollback(full)
+    assert len(restarted.ready_names()) == 20 and restarted.endpoint_list.generations.rollback_of == full
+    restarted.submit(make_endpoints(8))
+    assert len(restarted.ready_names()) == 20  # the document still has the content that was rolled back
+    assert restarted.restart().submit(make_endpoints(8)).ready_names() == restarted.ready_names()
+    assert len(restarted.submit(make_endpoints(19)).ready_names()) == 19
 
 
 def test_weights_rise_in_steps_or_at_once_by_policy() -> None:
@@ -89,12 +89,12 @@
         seen.append(harness.published["e1"][1])
         harness.advance_time(TICKS_PER_SECOND)
     assert seen == [0.2, 0.4, 0.8] and harness.published["e1"][1] == 1.0
-    calm = (
+    without_limit = (
         ListHarness(weight_factor_severity=Severity.NOTE)
         .submit([make_endpoint(n, weight=0.1) for n in range(4)])
         .submit(make_endpoints(4))
     )
-    assert calm.published["e1"][1] == 1.0
+    assert without_limit.published["e1"][1] == 1.0
 
 
 def test_the_weight_of_an_endpoint_in_slow_start_rises_in_steps() -> None:
@@ -110,13 +110,13 @@
     assert harness.published["e4"][1] == 1.0
 
 
-def test_the_first_list_is_warm_and_a_restart_keeps_start_times() -> None:
+def test_the_first_list_has_no_slow_start_and_a_restart_keeps_start_times() -> None:
     harness = ListHarness().submit(make_endpoints(4))
     assert {started for *_, started in harness.published.values()} == {0}
     harness.submit(make_endpoints(5))
-    began = harness.published["e4"][3]
-    assert began == harness.now // 10
-    assert harness.restart().published["e4"][3] == began
+    started_ms = harness.published["e4"][3]
+    assert started_ms == harness.now // 10
+    assert harness.restart().published["e4"][3] == started_ms
 
 
 def test_drains_outlast_a_clock_step_between_runs() -> None:
@@ -125,12 +125,12 @@
     assert harness.published["e3"][0] == harness.published["e4"][0] == EngineState.DRAINING
     for step in (-3600 * TICKS_PER_SECOND, 3600 * TICKS_PER_SECOND):
         harness.now += step
-        again = harness.restart()
+        restarted = harness.restart()
         assert (
-            again.published["e3"][0] == again.published["e4"][0] == EngineState.DRAINING
-            and len(again.ready_names()) == 3
+            restarted.published["e3"][0] == restarted.published["e4"][0] == EngineState.DRAINING
+            and len(restarted.ready_names()) == 3
         )
-        again.advance_time(29 * TICKS_PER_SECOND)
-        assert again.published["e3"][0] == EngineState.DRAINING
-        again.advance_time(2 * TICKS_PER_SECOND)
-        assert "e3" not in again.published and again.published["e4"][0] == EngineState.DRAINING
+        restarted.advance_time(29 * TICKS_PER_SECOND)
+        assert restarted.published["e3"][0] == EngineState.DRAINING
+        restarted.advance_time(2 * TICKS_PER_SECOND)
+        assert "e3" not in restarted.published and restarted.published["e4"][0] == EngineState.DRAINING
--- a/tests/endpoints/test_simulated_deploy.py
+++ b/tests/endpoints/test_simulated_deploy.py
@@ -1,10 +1,10 @@
-"""A rolling deploy in virtual time, its list from a watched file."""
+"""Tests a rolling deploy in virtual time with the endpoint list from a watched file."""
 
 from wickvane.rehearsal.script import read_text
 from wickvane.rehearsal.world import play
 
 
-def test_a_simulated_rolling_deploy_by_file_serves_as_one_by_stream() -> None:
+def test_a_simulated_rolling_deploy_by_file_serves_as_well_as_by_stream() -> None:
     served = {}
     for lists in ("stream", "file"):
         day = play(
--- a/tests/endpoints/test_stored_journal.py
+++ b/tests/endpoints/test_stored_journal.py
@@ -1,4 +1,4 @@
-"""State folders written by commit c5b2902 are recovered with their literal generations."""
+"""Tests that state folders written by commit c5b2902 are recovered with their literal generations."""
 
 import shutil
 from pathlib import Path
@@ -26,21 +26,21 @@
 
 
 def recover(folder: Path) -> EndpointList:
-    """The endpoint list that the journal in a state folder describes."""
+    """Returns the endpoint list recovered from the journal in a state folder."""
     records, size, _ = read_journal(str(folder))
-    assert size == (folder / "journal.wickvane").stat().st_size  # no record was cut off
+    assert size == (folder / "journal.wickvane").stat().st_size  # all records are valid
     endpoint_list = EndpointList(TOPOLOGY, ChangePolicy())
     recover_records(endpoint_list, records)
     return endpoint_list
 
 
 def contents(endpoints: dict[str, Endpoint]) -> dict[str, tuple[EngineState, float]]:
-    """State and weight by name."""
+    """Returns the state and weight of each endpoint by name."""
     return {name: (endpoint.state, endpoint.weight) for name, endpoint in endpoints.items()}
 
 
 def generations(endpoint_list: EndpointList) -> dict[int, tuple]:
-    """Content digest, time and author of each generation that can be rolled back to."""
+    """Returns the digest, time and author of each generation in the history."""
     return {
         number: (generation.snapshot.digest, generation.at, generation.author)
         for number, generation in endpoint_list.generations.history.items()
@@ -56,7 +56,7 @@
 
 
 def test_single_records_give_the_literal_generations() -> None:
-    """Every kind of record is in the journal: a rollback to 1 is current, 9 waits for its confirmation."""
+    """The journal has every kind of record; a rollback to 1 is current, and 9 waits for its confirmation."""
     endpoint_list = recover(FIXTURES / "records")
     assert generations(endpoint_list) == GENERATIONS
     history = {
@@ -103,8 +103,8 @@
     ]
 
 
-def test_a_checkpoint_and_a_record_behind_it_give_the_literal_generations() -> None:
-    """The compacted journal holds the same history, and generation 11 after it."""
+def test_a_checkpoint_and_a_record_after_it_give_the_literal_generations() -> None:
+    """The compacted journal has the same history, followed by generation 11."""
     endpoint_list = recover(FIXTURES / "compacted")
     assert generations(endpoint_list) == GENERATIONS | {
         11: ("888c001e559bb21a", 17_000_000_918_000, "file of root")
@@ -116,8 +116,8 @@
 
 
 @pytest.mark.parametrize("name", ["records", "compacted"])
-def test_a_recovered_list_writes_the_same_bytes_as_the_journal_holds(name: str, tmp_path: Path) -> None:
-    """Records that are read and written again keep their bytes, and the journal can be appended to."""
+def test_decoded_records_are_encoded_to_the_same_bytes(name: str, tmp_path: Path) -> None:
+    """Records that are decoded and encoded again keep their bytes, and the journal can be appended to."""
     written = (FIXTURES / name / "journal.wickvane").read_bytes()
     found, _, _ = parse_journal(written)
     data = MAGIC
@@ -141,12 +141,13 @@
     "name, generation, digest", [("records", 7, "c1b8b6aa3f8bde74"), ("compacted", 11, "888c001e559bb21a")]
 )
 def test_the_status_file_agrees_with_the_journal(name: str, generation: int, digest: str) -> None:
-    """status.json of that commit has the fields that the command reads."""
+    """The status.json of that commit has the fields that the command reads."""
     status = orjson.loads((FIXTURES / name / "status.json").read_bytes())
     endpoint_list = recover(FIXTURES / name)
     assert (status["generation"], status["digest"]) == (generation, digest)
     endpoint_list.start(NOW)
     recovered = status_document(endpoint_list)
-    # A held change is held again when its file is read; until a file agrees, the list counts as old.
+    # A held change is not recovered but held again when its file is read, and a recovered list is stale
+    # (`old`) until a file agrees with it.
     shared = [field for field in recovered if field not in ("held", "old")]
     assert {field: status[field] for field in shared} == {field: recovered[field] for field in shared}
--- a/tests/endpoints/test_validation.py
+++ b/tests/endpoints/test_validation.py
@@ -1,4 +1,4 @@
-"""Validation of changes: the code past each limit, and what follows by the policy."""
+"""Tests the validation of changes: the code for each exceeded limit, and the consequence by the policy."""
 
 import orjson
 import pytest
@@ -38,7 +38,7 @@
         ),
     ],
 )
-def test_each_change_past_a_limit_has_its_code(after: list[Endpoint], code: str) -> None:
+def test_each_change_that_exceeds_a_limit_has_its_code(after: list[Endpoint], code: str) -> None:
     before = make_endpoints(9) + [make_endpoint(9, kind="new")]
     harness = ListHarness(
         load=64.0, load_fraction_severity=Severity.HOLD, weight_factor_severity=Severity.HOLD
@@ -52,11 +52,11 @@
     )
     assert any(code in codes for codes in codes_logged)
     if code != "address-taken-over":
-        assert harness.ready_names() == {f"e{n}" for n in range(10)}  # whole or not at all
+        assert harness.ready_names() == {f"e{n}" for n in range(10)}  # a change is never applied in part
 
 
 @pytest.mark.parametrize("severity", list(Severity), ids=["note", "steps", "hold", "refuse"])
-def test_the_policy_decides_what_follows_past_a_limit(severity: Severity) -> None:
+def test_the_policy_decides_the_consequence_of_an_exceeded_limit(severity: Severity) -> None:
     harness = (
         ListHarness(removed_fraction_severity=severity, step_interval=TICKS_PER_SECOND)
         .submit(make_endpoints(10))
@@ -68,7 +68,7 @@
     )
 
 
-def test_the_cost_of_a_change_does_not_depend_on_the_list() -> None:
+def test_the_cost_of_a_change_does_not_depend_on_the_length_of_the_list() -> None:
     harness = ListHarness(removed_fraction_severity=Severity.NOTE).submit(make_endpoints(5000))
     written = 0
     document = make_snapshot(0, make_endpoints(5000))
