--- a/wickvane/endpoints/validation.py
+++ b/wickvane/endpoints/validation.py
@@ -1,7 +1,7 @@
-"""Validation of a change against the current list, the settings and the current load; free of I/O.
+"""Validates a change against the current list, the settings and the current load; free of I/O.
 
-Every check looks at the engines that change, and at totals that are kept up with them, so that it costs what
-the change costs. Times are ticks.
+Every check uses only the engines that change and totals that are updated with them, so that its cost depends
+on the size of the change, not of the list. Times are ticks.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,27 +15,27 @@
 from wickvane.endpoints.topology import Topology
 from wickvane.events import EngineState
 
-NAMES_IN_MESSAGE = 5
+MAX_NAMES_IN_MESSAGE = 5
 MAX_ENDPOINT_FINDINGS = 20
 ROUNDING_TOLERANCE = 1e-9  # of a weight factor
 
 LocationOf = Callable[[str], Location]
 
 
-class Move(NamedTuple):
-    """One engine's change: as it is published, as it is wanted; None where it is not listed."""
+class EndpointChange(NamedTuple):
+    """One engine as it is published now, and as it would be after the change; None if it is not listed."""
 
     current: Endpoint | None
-    wanted: Endpoint | None
+    desired: Endpoint | None
 
 
-Moves = dict[str, Move]
+EndpointChanges = dict[str, EndpointChange]
 
 
 def check_endpoints(
     topology: Topology, endpoints: Iterable[Endpoint], location_of: LocationOf
 ) -> list[Finding]:
-    """Findings on endpoints that are new or changed: their kinds and zones are those of the settings."""
+    """Returns findings on new or changed endpoints whose kind or zone is not in the settings."""
     findings = []
     for endpoint in endpoints:
         location = location_of(endpoint.name)
@@ -49,90 +49,93 @@
 
 
 def check_listed(names: Iterable[str], listed: Iterable[str], location_of: LocationOf) -> list[Finding]:
-    """Notes on overrides of engines that the coordinator does not list."""
+    """Returns notes on overrides of engines that the coordinator does not list."""
     findings = [
         Finding("not-listed", Severity.NOTE, "the coordinator does not list it", *location_of(name), name)
         for name in names
         if name not in listed
     ]
-    return findings[:NAMES_IN_MESSAGE]
+    return findings[:MAX_NAMES_IN_MESSAGE]
 
 
 def check_change(
     limits: ChangeLimits,
     before: CapacityTotals,
-    moves: Moves,
+    changes: EndpointChanges,
     now: int,
     load: float | None,
     location_of: LocationOf,
 ) -> list[Finding]:
-    """Findings on a change.
+    """Returns findings on a change.
 
-    before: totals of the published list. load: threads that the pool's queries occupy, None where unknown.
+    before: totals of the published list. load: number of threads that the pool's queries occupy, None if
+    unknown.
     """
-    effect = _effect_of(limits, before, moves, now, location_of)
-    after = effect.totals
+    impact = _impact_of(limits, before, changes, now, location_of)
+    after = impact.totals
     if not after.ready_count:
         text = "no engine would be ready"
-        return [*effect.address_findings, Finding("empty", limits.empty_severity, text)]
+        return [*impact.address_findings, Finding("empty", limits.empty_severity, text)]
     if not before.ready_count:
-        return effect.address_findings  # the first list is compared with nothing
+        return impact.address_findings  # the first list has no previous list to be compared with
     return [
-        *effect.address_findings,
-        *_check_removed_fraction(limits, before, effect.removed),
-        *_check_capacity(limits, before, effect, now, load),
+        *impact.address_findings,
+        *_check_removed_fraction(limits, before, impact.removed),
+        *_check_capacity(limits, before, impact, now, load),
         *_check_groups(limits, before, after),
         *(
-            _weight_jump(limits, moves[name], name, location_of)
-            for name in effect.weight_jumps[:NAMES_IN_MESSAGE]
+            _weight_jump(limits, changes[name], name, location_of)
+            for name in impact.weight_jumps[:MAX_NAMES_IN_MESSAGE]
         ),
     ]
 
 
 @dataclass(slots=True)
-class _ChangeEffect:
-    """What a change does, all names sorted."""
+class _ChangeImpact:
+    """The impact of a change; all names are sorted."""
 
     totals: CapacityTotals
-    removed: list[str] = field(default_factory=list)  # ready before, and not after
+    removed: list[str] = field(default_factory=list)  # ready before the change and not after it
     weight_jumps: list[str] = field(default_factory=list)
     address_findings: list[Finding] = field(default_factory=list)
 
 
-def _effect_of(
-    limits: ChangeLimits, before: CapacityTotals, moves: Moves, now: int, location_of: LocationOf
-) -> _ChangeEffect:
-    effect = _ChangeEffect(before.copy())
-    for name in sorted(moves):
-        current, wanted = moves[name]
+def _impact_of(
+    limits: ChangeLimits, before: CapacityTotals, changes: EndpointChanges, now: int, location_of: LocationOf
+) -> _ChangeImpact:
+    impact = _ChangeImpact(before.copy())
+    for name in sorted(changes):
+        current, desired = changes[name]
         if current is not None:
-            effect.totals.remove(current)
-        if wanted is not None:
-            effect.totals.add(wanted, now)
-        if stops_taking_queries(current, wanted):
-            effect.removed.append(name)
-        elif _is_weight_jump(limits, current, wanted):
-            effect.weight_jumps.append(name)
-        if wanted is not None and (current is None or current.address != wanted.address):
-            effect.address_findings += _check_address(name, wanted, moves, location_of)
-    return effect
-
-
-def _is_weight_jump(limits: ChangeLimits, current: Endpoint | None, wanted: Endpoint | None) -> bool:
-    if current is None or wanted is None or not current.state == wanted.state == EngineState.READY:
+            impact.totals.remove(current)
+        if desired is not None:
+            impact.totals.add(desired, now)
+        if stops_taking_queries(current, desired):
+            impact.removed.append(name)
+        elif _is_weight_jump(limits, current, desired):
+            impact.weight_jumps.append(name)
+        if desired is not None and (current is None or current.address != desired.address):
+            impact.address_findings += _check_address(name, desired, changes, location_of)
+    return impact
+
+
+def _is_weight_jump(limits: ChangeLimits, current: Endpoint | None, desired: Endpoint | None) -> bool:
+    if current is None or desired is None or not current.state == desired.state == EngineState.READY:
         return False
-    factor = wanted.weight / current.weight
+    factor = desired.weight / current.weight
     return max(factor, 1 / factor) > limits.weight_factor * (1 + ROUNDING_TOLERANCE)
 
 
-def _check_address(name: str, wanted: Endpoint, moves: Moves, location_of: LocationOf) -> list[Finding]:
-    """A note on an address that another engine gives up in the same change, or still drains at."""
-    for other, (current, following) in moves.items():
+def _check_address(
+    name: str, desired: Endpoint, changes: EndpointChanges, location_of: LocationOf
+) -> list[Finding]:
+    """Returns a note if another engine gives up the address in the same change or still drains there."""
+    for other, (current, other_desired) in changes.items():
         if (
             other != name
             and current is not None
-            and current.address == wanted.address
-            and (following is None or following.address != wanted.address)
+            and current.address == desired.address
+            and (other_desired is None or other_desired.address != desired.address)
         ):
             text = f"its address was that of {other}"
             return [Finding("address-taken-over", Severity.NOTE, text, *location_of(name), name)]
@@ -153,16 +156,16 @@
 
 
 def _names_in(names: list[str]) -> str:
-    more = f" and {len(names) - NAMES_IN_MESSAGE} more" if len(names) > NAMES_IN_MESSAGE else ""
-    return ", ".join(names[:NAMES_IN_MESSAGE]) + more
+    more = f" and {len(names) - MAX_NAMES_IN_MESSAGE} more" if len(names) > MAX_NAMES_IN_MESSAGE else ""
+    return ", ".join(names[:MAX_NAMES_IN_MESSAGE]) + more
 
 
 def _check_capacity(
-    limits: ChangeLimits, before: CapacityTotals, effect: _ChangeEffect, now: int, load: float | None
+    limits: ChangeLimits, before: CapacityTotals, impact: _ChangeImpact, now: int, load: float | None
 ) -> list[Finding]:
-    if load is None or not effect.removed:
+    if load is None or not impact.removed:
         return []
-    cores_left = effect.totals.warm_cores(now)
+    cores_left = impact.totals.warm_cores(now)
     if load <= limits.load_fraction * cores_left:
         return []
     text = (
@@ -184,9 +187,9 @@
     ]
 
 
-def _weight_jump(limits: ChangeLimits, move: Move, name: str, location_of: LocationOf) -> Finding:
+def _weight_jump(limits: ChangeLimits, change: EndpointChange, name: str, location_of: LocationOf) -> Finding:
     text = (
-        f"its weight goes from {move.current.weight:g} to {move.wanted.weight:g}, by more than "
+        f"its weight goes from {change.current.weight:g} to {change.desired.weight:g}, by more than "
         f"{limits.weight_factor:g} times"
     )
     return Finding("weight-jump", limits.weight_factor_severity, text, *location_of(name), name)
