--- a/tests/xds_service/test_stream.py
+++ b/tests/xds_service/test_stream.py
@@ -13,7 +13,7 @@
 from wickvane.xds.messages import DeltaDiscoveryRequest, DiscoveryRequest
 from wickvane.xds.node_access import NodeAccess
 from wickvane.xds.placement import Placement
-from wickvane.xds.stream import MAX_REQUESTS
+from wickvane.xds.stream import MAX_REQUESTS_PER_WINDOW
 from xds_service.plain_proxy import (
     CDS,
     DELTA,
@@ -220,7 +220,7 @@
     control_plane.apply_endpoint_event(0, 1, True, [entry("e1")])
     stream = control_plane.streams[control_plane.open_stream(0, SOTW)]
     with pytest.raises(StreamProtocolError, match="too many requests"):
-        for n in range(MAX_REQUESTS + 1):
+        for n in range(MAX_REQUESTS_PER_WINDOW + 1):
             stream.receive(n // 1000, DiscoveryRequest(EDS, "", "stale", [f"x{n}"], "refused" * 1000))
     stream = control_plane.streams[control_plane.open_stream(0, DELTA)]
     with pytest.raises(StreamProtocolError, match="too many resource"):
--- a/wickvane/xds/__init__.py
+++ b/wickvane/xds/__init__.py
@@ -1,1 +1,1 @@
-"""The control service: placement decisions for other proxies, over xDS."""
+"""The control service: an xDS management server that sends placement decisions to other proxies."""
--- a/wickvane/xds/catalog.py
+++ b/wickvane/xds/catalog.py
@@ -1,4 +1,4 @@
-"""All resources as they are now, by type and name, with their versions; free of I/O."""
+"""The current resources by type and name, with their versions. The module does no I/O."""
 
 from collections import deque
 from collections.abc import Collection, Iterable, Mapping
@@ -10,14 +10,16 @@
 from wickvane.xds.resource_types import ResourceType
 from wickvane.xds.resource_version import DIGEST_BYTES, ResourceVersion, digest_of, parse_version
 
-STREAM_INDEX_BITS = 29  # of an index: the coordinator's number, below that of watched files
-MAX_CHANGE_LOG = 4096  # changes a type; a stream that is further behind compares all resources
+# In an index with two sources, the lower bits are the coordinator's number, the upper ones that of the files.
+STREAM_INDEX_BITS = 29
+MAX_LOGGED_CHANGES = 4096  # for each type; a stream that is further behind compares all resources
 
 
 class CachedResource(NamedTuple):
-    """A resource as it is now.
+    """The current state of a resource.
 
-    changed_at: generation of its last change; drained_at: of the last one that took an endpoint from it.
+    changed_at: generation of its last change; drained_at: generation of the last change that removed an
+    endpoint from it because of a drain.
     """
 
     version: str
@@ -34,8 +36,9 @@
 class Catalog:
     """The resources of all types.
 
-    generation: grows by one with each set of changes; index: of the endpoint event that all of it follows
-    from; has_two_sources: the index combines those of a coordinator and of watched files.
+    generation: grows by one with each set of changes; index: index of the newest endpoint event that the
+    resources are derived from; has_two_sources: the index combines the numbers of a coordinator and of
+    watched files.
     """
 
     def __init__(self, epoch: str = "0") -> None:
@@ -44,29 +47,32 @@
         self.generation = 0
         self.has_two_sources = False
         self.resources: list[Map] = [Map() for _ in ResourceType]
-        self.name_changes = [0 for _ in ResourceType]  # how often names came or went
+        self.name_changes = [0 for _ in ResourceType]  # how often names were added or removed
         self._change_logs: list[deque[_Change]] = [deque() for _ in ResourceType]
-        self._forgotten_generations = [0 for _ in ResourceType]  # up to this, changes are not in the log
+        self._truncated_generations = [0 for _ in ResourceType]  # newest generation dropped from the log
         self._type_versions: dict[tuple[ResourceType, frozenset[str]], str] = {}
 
     def _source_indexes(self, index: int) -> tuple[int, ...]:
-        """The index of each source. Where files override what a coordinator lists, one instance may be ahead
-        by the file and another by the stream, and neither list is the newer one."""
+        """The index of each source.
+
+        If files override the coordinator's list, one instance may be ahead by the files and another by the
+        coordinator's stream; then neither list is the newer one.
+        """
         return divmod(index, 1 << STREAM_INDEX_BITS) if self.has_two_sources else (index,)
 
     def is_behind(self, index: int) -> bool:
-        """Whether a list of that index knows of an event that this one does not."""
-        theirs = self._source_indexes(index)
-        ours = self._source_indexes(self.index)
-        return any(their_index > our_index for their_index, our_index in zip(theirs, ours))
+        """Whether a list with this index includes an event that the catalog does not include."""
+        other_indexes = self._source_indexes(index)
+        own_indexes = self._source_indexes(self.index)
+        return any(other_index > own_index for other_index, own_index in zip(other_indexes, own_indexes))
 
-    def merged_index(self, one: int, other: int) -> int:
-        """The least index that is behind neither of two."""
+    def merged_index(self, first: int, second: int) -> int:
+        """The smallest index that is behind neither of two indexes."""
         if not self.has_two_sources:
-            return max(one, other)
-        one_file, one_stream = self._source_indexes(one)
-        other_file, other_stream = self._source_indexes(other)
-        return max(one_file, other_file) << STREAM_INDEX_BITS | max(one_stream, other_stream)
+            return max(first, second)
+        first_file, first_stream = self._source_indexes(first)
+        second_file, second_stream = self._source_indexes(second)
+        return max(first_file, second_file) << STREAM_INDEX_BITS | max(first_stream, second_stream)
 
     def update(
         self,
@@ -75,17 +81,18 @@
         removed: Iterable[tuple[ResourceType, str]] = (),
         drained: Collection[str] = frozenset(),
     ) -> bool:
-        """Takes in encoded resources; whether anything differs from before.
+        """Stores encoded resources, and returns whether anything has changed.
 
-        drained: names of EDS resources that lost an endpoint to a drain.
+        drained: names of EDS resources from which a drain removed an endpoint.
         """
         self.index = max(self.index, index)
         self._type_versions.clear()
         generation = self.generation + 1
         has_changed = False
-        for resource_type, found in bodies.items():
-            resource_index = index if resource_type == ResourceType.EDS else 0  # others follow from settings
-            if self._update_type(resource_type, resource_index, generation, found, drained):
+        for resource_type, bodies_by_name in bodies.items():
+            # Resources of the other types are derived from the settings alone.
+            resource_index = index if resource_type == ResourceType.EDS else 0
+            if self._update_type(resource_type, resource_index, generation, bodies_by_name, drained):
                 has_changed = True
         for resource_type, name in removed:
             if name in self.resources[resource_type]:
@@ -126,31 +133,34 @@
     def _log_change(self, resource_type: ResourceType, generation: int, name: str) -> None:
         log = self._change_logs[resource_type]
         log.append(_Change(generation, name))
-        while len(log) > MAX_CHANGE_LOG:
-            self._forgotten_generations[resource_type] = log.popleft().generation
+        while len(log) > MAX_LOGGED_CHANGES:
+            self._truncated_generations[resource_type] = log.popleft().generation
 
     def changed_since(self, resource_type: ResourceType, generation: int) -> Collection[str] | None:
-        """Names that changed after a generation, None where that is too long ago to tell."""
+        """The names that changed after a generation; None if the log no longer reaches back that far."""
         if generation >= self.generation:
             return ()
-        if generation < self._forgotten_generations[resource_type] or generation == 0:
+        if generation < self._truncated_generations[resource_type] or generation == 0:
             return None
-        found = set()
+        names = set()
         for change in reversed(self._change_logs[resource_type]):
             if change.generation <= generation:
                 break
-            found.add(change.name)
-        return found
+            names.add(change.name)
+        return names
 
     def type_version(self, resource_type: ResourceType, names: frozenset[str]) -> str:
-        """The version of a state-of-the-world response with these names: the newest index, and a digest of
-        all. Computed once for all streams that subscribe to the same."""
+        """The version of a state-of-the-world response with these names: the newest index and a digest of all
+        their contents.
+
+        It is computed once for all streams that subscribe to the same names.
+        """
         key = resource_type, names
-        found = self._type_versions.get(key)
-        if found is None:
-            found = self._compute_type_version(resource_type, names)
-            self._type_versions[key] = found
-        return found
+        version = self._type_versions.get(key)
+        if version is None:
+            version = self._compute_type_version(resource_type, names)
+            self._type_versions[key] = version
+        return version
 
     def _compute_type_version(self, resource_type: ResourceType, names: frozenset[str]) -> str:
         resources = self.resources[resource_type]
@@ -162,6 +172,6 @@
                 version = parse_version(resource.version)
                 newest_index = max(newest_index, version.index)
                 content.update(f"{name}={version.digest}\n".encode())
-        # An endpoint list is as new as its newest event, whichever of the resources that changed.
+        # The index of an endpoint list is that of its newest event, whichever resources that event changed.
         index = self.index if resource_type == ResourceType.EDS else newest_index
         return str(ResourceVersion(self.epoch, index, content.hexdigest()))
--- a/wickvane/xds/command.py
+++ b/wickvane/xds/command.py
@@ -1,4 +1,6 @@
-"""`wickvane control status`: what each proxy holds, by the service's own client status discovery (CSDS)."""
+"""`wickvane control status`: shows the configuration that each proxy holds, from the client status discovery
+service (CSDS) of the control service.
+"""
 
 import json
 import sys
@@ -11,19 +13,20 @@
 
 from wickvane.xds.resource_types import RESOURCE_TYPE_BY_URL, ResourceType
 
-TIMEOUT_S = 5.0
+FETCH_TIMEOUT_S = 5.0
 METHOD = "/envoy.service.status.v3.ClientStatusDiscoveryService/FetchClientStatus"
 TLS_FILE_COUNT = 3  # authority, certificate, key
-DEFAULT_WIDTH = 160  # characters, where the output is no terminal
+DEFAULT_WIDTH = 160  # characters, if the output is not a terminal
 COLUMNS = ("node", "type", "version", "state", "lag_ms", "sent", "refused", "late", "why")
-FILE_COLUMNS = ("generation", "digest")  # where the endpoint list is from watched files
+FILE_COLUMNS = ("generation", "digest")  # if the endpoint list comes from watched files
 FILE_COLUMNS_AFTER = "state"
 
 
 def fetch_client_status(address: str, tls: str | None = None) -> list[dict[str, Any]]:
-    """A row for each node and resource type, from the service at the address.
+    """Returns a row for each node and resource type, from the service at the address.
 
-    tls: paths of authority, certificate and key, with commas between. Raises OSError without an answer.
+    tls: paths of authority, certificate and key, separated by commas. Raises OSError if the service does not
+    answer or a file cannot be read.
     """
     with _open_channel(address, tls) as channel:
         call = channel.unary_unary(
@@ -32,7 +35,7 @@
             csds_pb2.ClientStatusResponse.FromString,
         )
         try:
-            response = call(csds_pb2.ClientStatusRequest(), timeout=TIMEOUT_S)
+            response = call(csds_pb2.ClientStatusRequest(), timeout=FETCH_TIMEOUT_S)
         except grpc.RpcError as error:
             raise OSError(f"{error.code().name}: {error.details()}") from None
     return [row for config in response.config for row in _rows(config)]
@@ -43,7 +46,7 @@
         return grpc.insecure_channel(address)
     contents = [Path(path).read_bytes() for path in tls.split(",")]
     if len(contents) != TLS_FILE_COUNT:
-        raise OSError("--tls wants three files")
+        raise OSError("--tls needs three files: authority, certificate and key")
     authority, certificate, key = contents
     return grpc.secure_channel(address, grpc.ssl_channel_credentials(authority, key, certificate))
 
@@ -64,7 +67,7 @@
 
 
 def status(address: str, tls: str | None, as_json: bool, out: TextIO = sys.stdout) -> int:
-    """Prints the status of all proxies; the exit code."""
+    """Prints the status of all proxies and returns the exit code."""
     try:
         rows = fetch_client_status(address, tls)
     except OSError as error:
--- a/wickvane/xds/control_plane.py
+++ b/wickvane/xds/control_plane.py
@@ -1,7 +1,7 @@
-"""All discovery streams of one instance and what they are served: endpoint events in, responses out; free of
-I/O.
+"""The control plane of one instance: turns endpoint events into responses for all its discovery streams.
 
-The shell takes from `ready_streams` the streams that may have something to send. Times are ticks.
+The module does no I/O. The caller reads from `ready_streams` the streams that may have a response to send.
+Times are ticks.
 """
 
 from collections.abc import Collection, Iterable
@@ -28,15 +28,17 @@
 from wickvane.xds.resources import ResourceBuilder
 from wickvane.xds.stream import DiscoveryStream
 
-RETIREMENT_TIME = 50_000  # ticks; obsolete resources stay no longer for streams that do not acknowledge
-RETIREMENT_POLL = 1_000  # ticks
-MAX_ACK_LATENCY = 100_000  # ticks; a slower proxy holds back no slow start, and its endpoints' TTL ends
-ACK_LATENCY_DECAY = 600_000  # ticks
+# Obsolete resources are removed after this time even if a stream has not acknowledged routes without them.
+MAX_RETIREMENT_TICKS = 50_000
+RETIREMENT_POLL_TICKS = 1_000
+# A slower proxy does not delay slow start any further; the TTL of its endpoints expires instead.
+MAX_ACK_LATENCY_TICKS = 100_000
+ACK_LATENCY_DECAY_TICKS = 600_000
 
 
 @dataclass(slots=True)
 class ControlPlaneCounters:
-    """What an instance has done since its start."""
+    """Counters of an instance since its start."""
 
     endpoint_events: int = 0
     updates: int = 0
@@ -46,7 +48,7 @@
     load_reports: int = 0
 
     def counts(self) -> dict[str, int]:
-        """The counts by the names that the log has."""
+        """The counts by their names in the log."""
         return {
             "list-events": self.endpoint_events,
             "updates": self.updates,
@@ -59,15 +61,15 @@
 
 @dataclass(slots=True)
 class AckLatency:
-    """The latency of the slowest proxy, which decays once that proxy is faster or gone."""
+    """The latency of the slowest proxy, which decays after that proxy becomes faster or disconnects."""
 
     latency: int = 0
     measured_at: int = 0
 
     def observe(self, now: int, slowest: int) -> float:
-        """Takes in the slowest of all streams; the latency to reckon with, in ticks."""
-        decayed = self.latency * max(0.0, 1 - (now - self.measured_at) / ACK_LATENCY_DECAY)
-        bounded = min(MAX_ACK_LATENCY, slowest)
+        """Records the latency of the slowest stream, and returns the latency to assume, in ticks."""
+        decayed = self.latency * max(0.0, 1 - (now - self.measured_at) / ACK_LATENCY_DECAY_TICKS)
+        bounded = min(MAX_ACK_LATENCY_TICKS, slowest)
         if slowest >= decayed:
             self.latency = bounded
             self.measured_at = now
@@ -75,17 +77,17 @@
 
 
 class Retirement(NamedTuple):
-    """Obsolete resources, which go once no routes name them, or at that time."""
+    """Obsolete resources, which are removed when no routes name them any longer, or at `until`."""
 
     until: int
     resources: list[tuple[ResourceType, str]]
 
 
 class ControlPlane:
-    """One instance's decisions.
+    """The discovery decisions of one instance.
 
-    resource_builder: encodes what the placement holds; grace: ticks within which proxies must have a drain;
-    ttl: time to live of endpoints in ticks, 0 for none; epoch: of the endpoint lists' numbering.
+    resource_builder: encodes the placement as resources; grace: ticks within which proxies must acknowledge a
+    drain; ttl: time to live of endpoints in ticks, 0 for none; epoch: epoch of the endpoint lists' numbering.
     """
 
     def __init__(
@@ -126,41 +128,44 @@
         entries: Iterable[tuple],
         readmitted: Collection[str] = (),
     ) -> None:
-        """Takes in an event of the endpoint list (wickvane.xds.endpoint_snapshot.apply_event)."""
+        """Applies an event of the endpoint list (see wickvane.xds.endpoint_snapshot.apply_event)."""
         self._counters.endpoint_events += 1
         snapshot, events = apply_event(
             self.snapshot, now, index, is_complete, entries, self.removal_limit, readmitted
         )
         self._log_events += events
-        self._take_snapshot(now, snapshot)
+        self._apply_snapshot(now, snapshot)
 
     def restore(self, now: int, snapshot: EndpointSnapshot) -> None:
-        """Takes in a stored snapshot, before any event."""
+        """Applies a stored snapshot; must be called before any event is applied."""
         if snapshot.index > self.snapshot.index:
             self._log_events.append(SnapshotRestored(snapshot.index, len(snapshot.endpoints)))
-            self._take_snapshot(now, snapshot)
+            self._apply_snapshot(now, snapshot)
 
-    def _take_snapshot(self, now: int, snapshot: EndpointSnapshot) -> None:
+    def _apply_snapshot(self, now: int, snapshot: EndpointSnapshot) -> None:
         self.snapshot = snapshot
         self._publish(*self.placement.update(now, snapshot))
 
     def _publish(self, changed: Collection[str], drained: Collection[str]) -> None:
-        """Encodes changed clusters' endpoints; drained: those that lost an endpoint to a drain."""
+        """Encodes the endpoints of changed clusters and updates the catalog.
+
+        drained: the clusters from which a drain removed an endpoint.
+        """
         if not self.is_serving and not self.snapshot.ready():
-            return  # an instance that has just started sends no empty list
+            return  # an instance that has just started must not send an empty list
         bodies = {}
         if not self.is_serving:
             self.is_serving = True
             changed = self.placement.cluster_names()
             bodies = self._resource_builder.build_static(self.placement)
         bodies[ResourceType.EDS] = self._build_assignments(self._resource_builder, self.placement, changed)
-        # The index of endpoint resources is the list's, also where only weights have changed.
+        # The index of endpoint resources is the list's index, even if only weights have changed.
         if self.catalog.update(self.snapshot.index, bodies, drained=drained):
             self._counters.updates += 1
             self._counters.drains += bool(drained)
             self.ready_streams.update(self.streams)
         else:
-            # Only the index has changed: streams whose proxies were ahead of this instance look again.
+            # Only the index has changed: streams whose proxies were ahead of this instance are checked again.
             self.ready_streams.update(
                 number for number, stream in self.streams.items() if stream.endpoints.newer_index is not None
             )
@@ -172,11 +177,14 @@
         return {name: builder.build_assignment(name, placement.endpoints_of(name)) for name in clusters}
 
     def tick(self, now: int) -> int | None:
-        """Does what time alone brings; when to be called again, None for not before something happens."""
+        """Does the work that is due by time alone.
+
+        Returns when to call it again; None if nothing becomes due before the next event.
+        """
         snapshot, events = remove_overdue(self.snapshot, now)
         if events:
             self._log_events += events
-            self._take_snapshot(now, snapshot)
+            self._apply_snapshot(now, snapshot)
         next_step = self.placement.next_step()
         if next_step is not None and now >= next_step:
             self.placement.ack_latency = self._ack_latency_on_grid(now)
@@ -185,12 +193,15 @@
             self._retire(now)
         times = [self.placement.next_step(), next_removal_time(self.snapshot)]
         if self.retirement is not None:
-            times.append(now + RETIREMENT_POLL)
+            times.append(now + RETIREMENT_POLL_TICKS)
         return min((time for time in times if time is not None), default=None)
 
     def _ack_latency_on_grid(self, now: int) -> int:
-        """The slowest proxy's latency by its ACKs and by responses that it has not acknowledged, in steps of
-        the placement's grid, so that a small change of it moves no weight."""
+        """The slowest proxy's latency, from its ACKs and from responses that it has not acknowledged.
+
+        It is rounded up to a multiple of the placement's grid (to 0 below half a step), so that a small
+        change of the latency changes no weight.
+        """
         latencies = [
             max(stream.metrics.ack_latency, stream.endpoints.unacknowledged_time(now))
             for stream in self.streams.values()
@@ -199,11 +210,14 @@
         grid = self.placement.grid
         return 0 if latency < grid / 2 else int(-(-latency // grid) * grid)
 
-    # settings that change while it runs
+    # changes of settings at run time
 
     def change_settings(self, now: int, placement: Placement, resource_builder: ResourceBuilder) -> None:
-        """Takes in other table groups or resource groups: new resources are published at once, obsolete ones
-        retired once no routes name them."""
+        """Applies changed table groups or resource groups.
+
+        New resources are published at once; obsolete ones are removed after no routes name them (make before
+        break).
+        """
         placement.ack_latency = self.placement.ack_latency
         placement.update(now, self.snapshot)
         before = {
@@ -217,17 +231,20 @@
         bodies[ResourceType.EDS] = self._build_assignments(
             resource_builder, placement, placement.cluster_names()
         )
-        after = {(resource_type, name) for resource_type, found in bodies.items() for name in found}
+        after = {(resource_type, name) for resource_type, by_name in bodies.items() for name in by_name}
         self._retire(now, must_finish=True)
         obsolete = sorted(before - after)
         if obsolete:
-            self.retirement = Retirement(now + RETIREMENT_TIME, obsolete)
+            self.retirement = Retirement(now + MAX_RETIREMENT_TICKS, obsolete)
         self.catalog.update(self.snapshot.index, bodies)
         self.ready_streams.update(self.streams)
 
     def change_access(self, access: NodeAccess) -> None:
-        """Takes in other rules, for open streams too: resources that a node may no longer see are removed
-        from it, and streams of nodes that are no longer known end."""
+        """Applies changed node rules, to open streams too.
+
+        Resources that a node may no longer see are removed from it, and streams of nodes that are no longer
+        known are ended.
+        """
         self._access = access
         for stream in self.streams.values():
             if stream.node is not None:
@@ -235,12 +252,14 @@
         self.ready_streams.update(self.streams)
 
     def _retire(self, now: int, must_finish: bool = False) -> None:
-        """Removes obsolete resources once all routes without them are acknowledged, or their time is over."""
+        """Removes obsolete resources when all streams have answered the routes without them, or their time is
+        over.
+        """
         if self.retirement is None:
             return
         routes = (stream.subscriptions[ResourceType.RDS] for stream in self.streams.values())
         is_due = must_finish or now >= self.retirement.until
-        if is_due or all(subscription.is_settled() for subscription in routes):
+        if is_due or all(subscription.is_fully_answered() for subscription in routes):
             obsolete = self.retirement.resources
             self.retirement = None
             self.catalog.update(self.snapshot.index, {}, obsolete)
@@ -249,7 +268,7 @@
     # streams
 
     def open_stream(self, now: int, variant: Variant) -> int:
-        """A new stream's number. Raises StreamRejectedError."""
+        """Opens a stream and returns its number. Raises StreamRejectedError."""
         if len(self.streams) >= self._access.max_streams:
             self._counters.streams_rejected += 1
             raise StreamRejectedError("too many streams")
@@ -262,14 +281,14 @@
         return number
 
     def identify(self, number: int, node: str) -> None:
-        """Takes in the node that a stream's request names. Raises StreamRejectedError."""
+        """Sets or checks the node of a stream, as a request names it. Raises StreamRejectedError."""
         stream = self.streams[number]
         if stream.node is not None:
             if node and node != stream.node:
-                raise StreamRejectedError("another node on the same stream")
+                raise StreamRejectedError("the stream's requests name different nodes")
             return
         if not node or len(node) > MAX_NODE_CHARACTERS:
-            raise StreamRejectedError("a node without a name, or with too long a one")
+            raise StreamRejectedError("the node's name is missing or too long")
         if not self._access.is_known(node):
             raise StreamRejectedError(f"node {node} is not known here")
         open_count = sum(other.node == node for other in self.streams.values())
@@ -284,39 +303,39 @@
         )
 
     def close_stream(self, number: int) -> None:
-        """Forgets a stream."""
+        """Removes a stream."""
         stream = self.streams.pop(number, None)
         self.ready_streams.discard(number)
         if stream is not None:
             self._log_events += [OnStream(event, stream.node, None) for event in stream.take_log_events()]
 
     def next_response(self, number: int, now: int) -> DiscoveryResponse | None:
-        """The response that a stream is to be sent now. Raises StreamProtocolError."""
+        """The response to send on a stream now, None if there is none. Raises StreamProtocolError."""
         stream = self.streams[number]
         response = stream.next_response(now)
         for event in stream.take_log_events():
             self._log_events.append(OnStream(event, stream.node, number))
         return response
 
-    # what proxies report, what operators see
+    # load reports, log and status
 
     def report_load(self, now: int, key: LoadKey, succeeded: int, failed: int, in_progress: int) -> None:
-        """Takes in a load report: requests that ended since the last one, and those in progress."""
+        """Records a load report: requests that ended since the last report, and those in progress."""
         self._load_reports.record(now, key, succeeded, failed, in_progress)
         self._counters.load_reports += 1
 
     def requests_in_progress(self, now: int) -> float | None:
-        """Requests in progress at all endpoints, None where no proxy reports."""
+        """Requests in progress at all endpoints, None if no proxy reports."""
         return self._load_reports.requests_in_progress(now)
 
     def take_log_events(self) -> list[LogEvent]:
-        """What is to be logged since the last call."""
+        """Returns the events to log since the last call."""
         events = self._log_events
         self._log_events = []
         return events
 
     def status(self, now: int) -> dict[str, Any]:
-        """What operators see, by the names that log and client status have."""
+        """The status for operators, by the names of the log and of the client status."""
         return {
             "index": self.snapshot.index,
             "old": self.snapshot.is_restored,
--- a/wickvane/xds/delta.py
+++ b/wickvane/xds/delta.py
@@ -1,4 +1,4 @@
-"""Subscriptions of the incremental variant: each response has the resources that have changed or are gone."""
+"""Subscriptions of the incremental (delta) variant: each response lists changed and removed resources."""
 
 from collections.abc import Collection
 from typing import Any
@@ -15,12 +15,12 @@
 
     def __init__(self, *context: Any) -> None:
         super().__init__(*context)
-        self._held_versions: dict[str, str] = {}  # by name: what the proxy holds, or was sent
-        self._unresolved_names: set[str] = set()  # subscribed to, and there is no such resource
+        self._held_versions: dict[str, str] = {}  # by name: versions that the proxy holds or was sent
+        self._unresolved_names: set[str] = set()  # subscribed names without a resource
         self._rejected: dict[str, tuple[str, str] | None] = {}  # by name: content that the proxy rejected
 
     def receive(self, now: int, request: DeltaDiscoveryRequest) -> None:
-        """Takes in a request. Raises StreamProtocolError."""
+        """Processes a request. Raises StreamProtocolError."""
         is_first = not self.is_subscribed
         self.is_subscribed = True
         if is_first:
@@ -31,7 +31,7 @@
             self._unsubscribe(name)
         self._check_count(self._names, "resource names")
         if request.response_nonce:
-            self.settle(now, request.response_nonce, request.error)
+            self.handle_ack_or_nack(now, request.response_nonce, request.error)
         if is_first or request.subscribe:
             self.needs_full_check = True
         if is_first or request.subscribe or request.unsubscribe:
@@ -41,7 +41,7 @@
         self._check_count(request.initial_versions, "resource versions")
         self._held_versions = dict(request.initial_versions)
         for version in request.initial_versions.values():
-            self._note_held_version(version)
+            self._record_held_version(version)
         self._is_wildcard = not request.subscribe
 
     def _subscribe(self, name: str, is_first: bool) -> None:
@@ -52,7 +52,8 @@
         if name not in self._catalog.resources[self.resource_type]:
             self._unresolved_names.add(name)
         if not is_first:
-            # Subscribed to again, it is sent again though the proxy holds it (xDS protocol, incremental).
+            # A resource that is subscribed to again must be sent again, even if the proxy holds it (xDS
+            # protocol, incremental variant).
             self._held_versions.pop(name, None)
 
     def _unsubscribe(self, name: str) -> None:
@@ -63,12 +64,12 @@
         self._held_versions.pop(name, None)
         self._rejected.pop(name, None)
 
-    def _remember_rejected(self, sent: SentResponse) -> None:
+    def _record_rejected(self, sent: SentResponse) -> None:
         for name, version in zip(sent.names, sent.resource_versions):
             self._rejected[name] = content_of(version)
             self._held_versions.pop(name, None)
 
-    def _forget_rejected(self, sent: SentResponse) -> None:
+    def _clear_rejected(self, sent: SentResponse) -> None:
         for name in sent.names if self._rejected else ():
             self._rejected.pop(name, None)
 
@@ -76,7 +77,7 @@
         return bool(self._rejected)
 
     def _has_new_names(self) -> bool:
-        return False  # names that were subscribed to need a full check
+        return False  # newly subscribed names set needs_full_check instead
 
     def _compare_all(self) -> tuple[Collection[str], Collection[str]]:
         return self._differences(self.visible_names(), self._held_versions)
@@ -97,7 +98,7 @@
         return names, removed
 
     def _is_outdated(self, name: str, resource: CachedResource) -> bool:
-        """Whether the proxy lacks the content, and has not rejected it."""
+        """Whether the proxy does not hold the resource's content and has not rejected it."""
         held = self._held_versions.get(name)
         if held == resource.version:
             return False
@@ -106,11 +107,11 @@
         return content not in (held_content, self._rejected.get(name))
 
     def drained_names(self, pending: PendingChange) -> tuple[str, ...]:
-        """The resources that lost an endpoint; others of the change follow."""
+        """The resources from which a drain removed an endpoint; the rest of the change is sent later."""
         resources = self._catalog.resources[self.resource_type]
         return tuple(name for name in pending.names if resources[name].drained_at > self.sent_generation)
 
-    def _note_sent(self, nonce: str, change: PendingChange, resource_versions: tuple[str, ...]) -> str:
+    def _record_sent(self, nonce: str, change: PendingChange, resource_versions: tuple[str, ...]) -> str:
         self._held_versions.update(zip(change.names, resource_versions))
         for name in change.removed:
             self._held_versions.pop(name, None)
@@ -121,5 +122,5 @@
     def _held_names(self) -> Collection[str]:
         return self._held_versions
 
-    def _note_heartbeat(self, nonce: str) -> str:
+    def _record_heartbeat(self, nonce: str) -> str:
         return str(self._catalog.index)
--- a/wickvane/xds/encoder.py
+++ b/wickvane/xds/encoder.py
@@ -1,7 +1,7 @@
-"""Encodes discovery responses; what is the same for many streams is encoded once.
+"""Encodes discovery responses; a response that is the same for many streams is encoded once.
 
-Of a response only the nonce is a stream's own, and it is appended: the fields of a protobuf message may come
-in any order.
+Only the nonce differs between streams. It is appended to the encoded response, since the fields of a protobuf
+message may be in any order.
 """
 
 from envoy.service.discovery.v3 import discovery_pb2
@@ -25,7 +25,7 @@
         self._cached_generation = -1
 
     def encode(self, variant: Variant, response: DiscoveryResponse, ttl: int) -> bytes:
-        """The response's bytes; ttl: time to live of endpoints in ticks, 0 for none."""
+        """Returns the encoded response; ttl: time to live of endpoints in ticks, 0 for none."""
         if self._cached_generation != self._catalog.generation or len(self._cache) > MAX_CACHED_RESPONSES:
             self._cache = {}
             self._cached_generation = self._catalog.generation
--- a/wickvane/xds/endpoint_snapshot.py
+++ b/wickvane/xds/endpoint_snapshot.py
@@ -1,10 +1,11 @@
-"""The endpoint list as proxies are to know it, and what one event may change of it; free of I/O.
+"""The endpoint list that is published to proxies, and the changes that one event may make to it.
 
-A snapshot is immutable and shares what has not changed with the one before (persistent maps). A drained
-endpoint never becomes ready again but as a process that started later, in a later event. A complete list that
-leaves out more ready endpoints than the limit allows is more often a mistake (an empty answer, a lost list)
-than the truth; an endpoint that is listed as draining or gone is always taken out, since nothing new may be
-sent there.
+The module does no I/O. A snapshot is immutable and shares unchanged parts with the previous one (persistent
+maps). A drained endpoint becomes ready again only if a later event lists it with a later process start.
+
+A complete list that omits more ready endpoints than the limit allows is more often a mistake (an empty
+answer, a lost list) than correct, so its removals are limited. An endpoint that is listed as draining or gone
+is always taken out of service, since no new requests may be sent to it.
 
 Times are ticks.
 """
@@ -29,7 +30,7 @@
 
 
 class ExcessAction(Enum):
-    """What is done with endpoints that a complete list leaves out past the limit; values: of the document."""
+    """What to do with endpoints that a complete list omits beyond the limit; values: the document's words."""
 
     REMOVE = "take"
     HOLD = "hold"
@@ -39,8 +40,8 @@
 class Endpoint(NamedTuple):
     """An engine's endpoint.
 
-    index: of the last event that named it; started_at: 0 for unknown; draining_since: when this instance
-    learned that it drains, 0 while it is ready.
+    index: index of the last event that listed it; started_at: start of its process, 0 if unknown;
+    draining_since: when this instance learned that the endpoint is draining, 0 while it is ready.
     """
 
     name: str
@@ -61,7 +62,7 @@
 
 
 class Removal(NamedTuple):
-    """An endpoint that is gone: the event's index, and when its process started."""
+    """An endpoint that has been removed: the event's index, and when its process started."""
 
     index: int
     started_at: int
@@ -70,9 +71,10 @@
 class EndpointSnapshot(NamedTuple):
     """All endpoints as of one event.
 
-    index: of the newest event in it; removed: Removal by name, so that none of them comes back; missing:
-    ready endpoints that a complete list left out and that are kept for now, by name with the time until
-    which; is_restored: it comes from disk, and no event has confirmed it since.
+    index: index of the newest event applied; removed: Removal by name, which prevents their readmission;
+    missing: names of ready endpoints that a complete list omitted and that are kept for now, with the time
+    until which they are kept; is_restored: the snapshot was read from disk, and no event has confirmed it
+    since.
     """
 
     index: int = 0
@@ -82,15 +84,15 @@
     is_restored: bool = False
 
     def ready(self) -> list[Endpoint]:
-        """The endpoints that new requests may be sent to."""
+        """The endpoints to which new requests may be sent."""
         return [endpoint for endpoint in self.endpoints.values() if endpoint.is_ready]
 
 
 class RemovalLimit(NamedTuple):
-    """How many ready endpoints one complete list may leave out.
+    """How many ready endpoints one complete list may remove.
 
-    max_share: of the ready ones; min_count: so many may always go; duration: for which the others are held,
-    or the pause between two steps.
+    max_share: maximum fraction of the ready endpoints; min_count: number of endpoints that may always be
+    removed; duration: time for which the others are held, or the pause between two steps.
     """
 
     max_share: float = 0.5
@@ -99,7 +101,7 @@
     duration: int = 600_000
 
     def allowed(self, ready_count: int) -> int:
-        """How many of so many ready endpoints may go at once."""
+        """The maximum number of endpoints to remove at once, given the number of ready endpoints."""
         return max(self.min_count, int(self.max_share * ready_count))
 
 
@@ -115,10 +117,11 @@
     limit: RemovalLimit,
     readmitted: Collection[str] = (),
 ) -> tuple[EndpointSnapshot, list[SnapshotEvent]]:
-    """The snapshot after an event of the endpoint list, and what is to be logged.
+    """Returns the snapshot after an event of the endpoint list, and the events to log.
 
-    entries: (name, address, state, zone, kind, cell, started, weight) each, as coordinator events are read,
-    started in milliseconds; readmitted: names that were drained by hand and may be ready again.
+    entries: tuples (name, address, state, zone, kind, cell, started, weight) as read from coordinator events,
+    started in milliseconds; readmitted: names of endpoints that an operator has drained and that may be ready
+    again.
     """
     if index <= snapshot.index and not (snapshot.is_restored and index == snapshot.index):
         return snapshot, [StaleEventIgnored(index, snapshot.index)]
@@ -126,12 +129,12 @@
     for entry in entries:
         change.apply_entry(entry, readmitted)
     if is_complete:
-        change.apply_absences(limit)
+        change.remove_unlisted(limit)
     return change.finish(), change.log_events
 
 
 class _SnapshotChange:
-    """One event's change of a snapshot."""
+    """The change of a snapshot by one event."""
 
     def __init__(self, snapshot: EndpointSnapshot, now: int, index: int) -> None:
         self._now = now
@@ -139,13 +142,13 @@
         self._endpoints = snapshot.endpoints.mutate()
         self._removed = snapshot.removed
         self._missing = snapshot.missing
-        self._named: set[str] = set()
+        self._listed: set[str] = set()
         self.log_events: list[SnapshotEvent] = []
 
     def apply_entry(self, entry: tuple, readmitted: Collection[str]) -> None:
-        """Takes in what the event says of one endpoint."""
+        """Applies the event's entry for one endpoint."""
         name, address, state, zone, kind, cell, started, weight = entry
-        self._named.add(name)
+        self._listed.add(name)
         started_at = int(started * TICKS_PER_MILLISECOND)
         known = self._endpoints.get(name)
         if state == EngineState.GONE:
@@ -170,37 +173,37 @@
         self._missing = _without(self._missing, name)
 
     def _may_be_ready(self, name: str, started_at: int, known: Endpoint | None) -> bool:
-        """Whether it is new, ready already, or a later process under a name that has drained."""
+        """Whether the endpoint is new, already ready, or a later process of a drained endpoint's name."""
         if known is not None:
             return known.is_ready or started_at > known.started_at
         removal = self._removed.get(name)
         return removal is None or started_at > removal[1]
 
-    def apply_absences(self, limit: RemovalLimit) -> None:
-        """Takes out endpoints that a complete list does not name, ready ones within the limit."""
+    def remove_unlisted(self, limit: RemovalLimit) -> None:
+        """Removes the endpoints that a complete list omits, ready ones only within the limit."""
         endpoints = self._endpoints.finish()
-        absent = sorted(name for name in endpoints if name not in self._named)
-        lost = [name for name in absent if endpoints[name].is_ready]
-        # Nothing new may be sent to a draining endpoint, so that its removal needs no limit.
-        going = [name for name in absent if not endpoints[name].is_ready]
+        unlisted = sorted(name for name in endpoints if name not in self._listed)
+        unlisted_ready = [name for name in unlisted if endpoints[name].is_ready]
+        # No new requests may be sent to a draining endpoint, so its removal needs no limit.
+        unlisted_draining = [name for name in unlisted if not endpoints[name].is_ready]
         ready_count = sum(endpoint.is_ready for endpoint in endpoints.values())
-        kept = self._keep_past_limit(lost, ready_count, limit)
+        kept = self._keep_over_limit(unlisted_ready, ready_count, limit)
         self._endpoints = endpoints.mutate()
-        for name in going + [name for name in lost if name not in kept]:
+        for name in unlisted_draining + [name for name in unlisted_ready if name not in kept]:
             self._removed = self._removed.set(name, Removal(self._index, endpoints[name].started_at))
             del self._endpoints[name]
             self._missing = _without(self._missing, name)
 
-    def _keep_past_limit(self, lost: list[str], ready_count: int, limit: RemovalLimit) -> set[str]:
-        """The lost endpoints that stay for now."""
+    def _keep_over_limit(self, unlisted_ready: list[str], ready_count: int, limit: RemovalLimit) -> set[str]:
+        """Returns the unlisted ready endpoints to keep for now, and records them as missing."""
         allowed = limit.allowed(ready_count)
-        is_within_limit = len(lost) <= allowed and self._named
-        if not lost or limit.action is ExcessAction.REMOVE or is_within_limit:
+        is_within_limit = len(unlisted_ready) <= allowed and self._listed
+        if not unlisted_ready or limit.action is ExcessAction.REMOVE or is_within_limit:
             return set()
         is_held = limit.action is ExcessAction.HOLD
-        kept = lost if is_held else lost[allowed:]
+        kept = unlisted_ready if is_held else unlisted_ready[allowed:]
         self.log_events.append(
-            RemovalLimited(self._index, len(lost), ready_count, len(kept), limit.action.value)
+            RemovalLimited(self._index, len(unlisted_ready), ready_count, len(kept), limit.action.value)
         )
         for position, name in enumerate(kept):
             steps = 1 if is_held else 1 + position // allowed
@@ -209,7 +212,7 @@
         return set(kept)
 
     def finish(self) -> EndpointSnapshot:
-        """The snapshot after the event."""
+        """Returns the snapshot after the event."""
         removed = self._removed
         while len(removed) > MAX_REMEMBERED_REMOVALS:
             removed = removed.delete(min(removed, key=removed.get))
@@ -217,7 +220,7 @@
 
 
 def remove_overdue(snapshot: EndpointSnapshot, now: int) -> tuple[EndpointSnapshot, list[SnapshotEvent]]:
-    """The snapshot without missing endpoints whose time is over, and what is to be logged."""
+    """Returns the snapshot without the missing endpoints whose time is over, and the events to log."""
     due = sorted(name for name, until in snapshot.missing.items() if now >= until)
     if not due:
         return snapshot, []
@@ -234,7 +237,7 @@
 
 
 def next_removal_time(snapshot: EndpointSnapshot) -> int | None:
-    """When remove_overdue() has something to do, None for never."""
+    """When remove_overdue() next has an endpoint to remove, None if there is none."""
     return min(snapshot.missing.values(), default=None)
 
 
--- a/wickvane/xds/errors.py
+++ b/wickvane/xds/errors.py
@@ -4,11 +4,11 @@
 
 
 class StreamRejectedError(WickvaneError):
-    """A stream is not admitted: its node is unknown, or there are too many streams."""
+    """A stream is rejected, for example because its node is unknown or there are too many streams."""
 
 
 class StreamProtocolError(WickvaneError):
-    """A stream breaks the xDS protocol or exceeds a limit, and is ended."""
+    """A stream violates the xDS protocol or exceeds a limit, and is ended."""
 
 
 class SnapshotError(WickvaneError):
--- a/wickvane/xds/extension.py
+++ b/wickvane/xds/extension.py
@@ -1,4 +1,4 @@
-"""The node `control` of the parts document: the one place that knows its names."""
+"""Reads the node `control` of the extensions document. Only this module uses the names in that node."""
 
 from typing import Any, NamedTuple
 
@@ -12,13 +12,13 @@
 MAX_PROXIES = 10_000
 MAX_STREAMS = 100_000
 MAX_STREAMS_PER_NODE = 1000
-DEFAULT_STALL_TIMEOUT = 100_000  # ticks
-IPV4_LOOPBACK = "127."
-IPV6_LOOPBACK = "::1"
+DEFAULT_STALL_TIMEOUT_TICKS = 100_000
+IPV4_LOOPBACK_PREFIX = "127."
+IPV6_LOOPBACK_ADDRESS = "::1"
 
 
 class TlsFiles(NamedTuple):
-    """Paths of the files of mutual TLS."""
+    """Paths of the files for mutual TLS; authority: the certificate of the certificate authority."""
 
     authority: str
     certificate: str
@@ -28,9 +28,9 @@
 class ControlSettings(NamedTuple):
     """The settings of the control service.
 
-    table_groups: from 0 up to this; proxy_count: that share the engines at most, from which their circuit
-    breakers follow; ttl: of endpoints in ticks, 0 for none; stall_timeout: ticks within which a proxy must
-    read a response.
+    table_groups: the highest table group; proxy_count: the maximum number of proxies that share the engines,
+    which determines their circuit breakers; ttl: time to live of endpoints in ticks, 0 for none;
+    stall_timeout: ticks within which a proxy must read a response.
     """
 
     listen: tuple[str, int]
@@ -46,13 +46,11 @@
 
 
 def read(node: Any) -> ControlSettings:
-    """The settings in a node. Raises parts.InvalidDocumentError."""
+    """Reads the settings from a node. Raises parts.InvalidDocumentError."""
     listen = node.value("listen", parts.address, required=True)
     tls = _read_tls(node)
     if tls is None and not _is_loopback(listen[0]):
-        raise node.error(
-            "a node tls, or an address of this machine's own", ":".join(map(str, listen)), "listen"
-        )
+        raise node.error("a node tls, or a loopback address", ":".join(map(str, listen)), "listen")
     rules = _read_node_rules(node)
     removal_limit = _read_removal_limit(node)
     return ControlSettings(
@@ -69,7 +67,7 @@
             node.value("streams-a-node", parts.integer(1, MAX_STREAMS_PER_NODE), 4),
         ),
         tls,
-        node.value("stall", parts.duration("100ms", "10m"), DEFAULT_STALL_TIMEOUT),
+        node.value("stall", parts.duration("100ms", "10m"), DEFAULT_STALL_TIMEOUT_TICKS),
     )
 
 
@@ -80,11 +78,11 @@
     return value
 
 
-_PATTERN = parts.ValueType("a pattern of node names (128 characters at most)", _read_pattern)
+_PATTERN = parts.ValueType("a pattern of node names (at most 128 characters)", _read_pattern)
 
 
 def _is_loopback(host: str) -> bool:
-    return host.startswith(IPV4_LOOPBACK) or host == IPV6_LOOPBACK
+    return host.startswith(IPV4_LOOPBACK_PREFIX) or host == IPV6_LOOPBACK_ADDRESS
 
 
 def _read_tls(node: Any) -> TlsFiles | None:
@@ -114,11 +112,11 @@
     if not child:
         return default
     actions = (ExcessAction.HOLD, ExcessAction.REMOVE_IN_STEPS, ExcessAction.REMOVE)
-    action_word = parts.choice(*(action.value for action in actions))
+    action_type = parts.choice(*(action.value for action in actions))
     limit = RemovalLimit(
         child.property("share", parts.number(0.01, 1), default.max_share),
         child.property("least", parts.integer(1, 10_000), default.min_count),
-        ExcessAction(child.property("past", action_word, default.action.value)),
+        ExcessAction(child.property("past", action_type, default.action.value)),
         child.property("time", parts.duration("1s", "24h"), default.duration),
     )
     child.reject_unknown()
--- a/wickvane/xds/load_reports.py
+++ b/wickvane/xds/load_reports.py
@@ -1,13 +1,13 @@
-"""What proxies report by the load reporting service (LRS); free of I/O."""
+"""The load that proxies report to the load reporting service (LRS). The module does no I/O."""
 
 from typing import NamedTuple
 
-FRESH_TIME = 300_000  # ticks; a proxy that has not reported since says nothing of the present load
-MAX_REPORTS = 20_000  # endpoints of a cluster of a node; past it the one reported longest ago is dropped
+MAX_REPORT_AGE_TICKS = 300_000  # an older report does not describe the current load
+MAX_REPORTS = 20_000  # one for each node, cluster and endpoint; beyond it the oldest report is dropped
 
 
 class LoadKey(NamedTuple):
-    """What a report is about."""
+    """The node that reported, and the cluster and endpoint that its report is about."""
 
     node: str
     cluster: str
@@ -24,13 +24,13 @@
 
 
 class LoadReports:
-    """The last report of each node on each endpoint."""
+    """The last report of each node on each endpoint of each cluster."""
 
     def __init__(self) -> None:
         self._loads: dict[LoadKey, EndpointLoad] = {}
 
     def record(self, now: int, key: LoadKey, succeeded: int, failed: int, in_progress: int) -> None:
-        """Takes in a report: requests that ended since the last one, and those in progress."""
+        """Records a report: requests that ended since the last report, and those in progress."""
         if key not in self._loads and len(self._loads) >= MAX_REPORTS:
             self._loads.pop(next(iter(self._loads)))
         before = self._loads.pop(key, None)
@@ -40,6 +40,10 @@
         self._loads[key] = EndpointLoad(succeeded, failed, in_progress, now)
 
     def requests_in_progress(self, now: int) -> float | None:
-        """Requests in progress at all endpoints by fresh reports, None where there is no such report."""
-        fresh = [load.in_progress for load in self._loads.values() if now - load.reported_at <= FRESH_TIME]
-        return float(sum(fresh)) if fresh else None
+        """Requests in progress at all endpoints by recent reports, None if there is no recent report."""
+        recent = [
+            load.in_progress
+            for load in self._loads.values()
+            if now - load.reported_at <= MAX_REPORT_AGE_TICKS
+        ]
+        return float(sum(recent)) if recent else None
--- a/wickvane/xds/log_events.py
+++ b/wickvane/xds/log_events.py
@@ -1,4 +1,7 @@
-"""What the decisions report for the log, and the one place that knows the log's event names and fields."""
+"""The events that the decisions report for the log.
+
+Only this module defines their names and fields in the log.
+"""
 
 from dataclasses import dataclass
 from typing import Any, NamedTuple
@@ -10,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StaleEventIgnored:
-    """An endpoint event is no newer than the snapshot."""
+    """An endpoint event is not newer than the snapshot and was ignored."""
 
     index: int
     snapshot_index: int
@@ -18,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointNotReadmitted:
-    """An endpoint that has drained is listed as ready again without being a later process."""
+    """A drained endpoint is listed as ready again without a later process start, and was not readmitted."""
 
     name: str
     index: int
@@ -26,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RemovalLimited:
-    """A complete list leaves out more ready endpoints than the limit allows."""
+    """A complete list omits more ready endpoints than the limit allows."""
 
     index: int
     missing_count: int
@@ -37,14 +40,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MissingEndpointsRemoved:
-    """The time is over for which endpoints missing from a complete list were kept."""
+    """Endpoints missing from a complete list were removed after the time for which they were kept."""
 
     names: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotRestored:
-    """The endpoints are those of a stored snapshot."""
+    """The endpoints were restored from a stored snapshot."""
 
     index: int
     endpoint_count: int
@@ -52,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyAhead:
-    """A proxy holds content of a newer endpoint list than this instance knows."""
+    """A proxy holds content of an endpoint list that is newer than this instance's list."""
 
     resource_type: ResourceType
     held_index: int
@@ -61,14 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyAheadResolved:
-    """This instance has caught up with the list that a proxy holds content of."""
+    """This instance has caught up with the endpoint list whose content a proxy holds."""
 
     index: int
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseNacked:
-    """A proxy has rejected a response."""
+    """A proxy has rejected a response (NACK)."""
 
     resource_type: ResourceType
     version: str
@@ -88,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OnStream:
-    """An event of one discovery stream; stream: its number, None once it is closed."""
+    """An event of one discovery stream; stream: number of the stream, None after it is closed."""
 
     event: StreamEvent
     node: str | None
@@ -100,14 +103,14 @@
 
 
 class LogRecord(NamedTuple):
-    """An event as the log has it."""
+    """An event as it is written to the log."""
 
     name: str
     fields: dict[str, Any]
 
 
 def to_log_record(event: LogEvent) -> LogRecord:
-    """The name and fields under which operators see an event."""
+    """The name and fields of an event in the log."""
     match event:
         case OnStream():
             name, fields = _stream_record(event.event)
--- a/wickvane/xds/messages.py
+++ b/wickvane/xds/messages.py
@@ -1,4 +1,4 @@
-"""Discovery requests and responses as the decisions see them, apart from their encoding."""
+"""Discovery requests and responses, independent of their encoding."""
 
 from collections.abc import Collection, Mapping
 from enum import Enum
@@ -8,14 +8,14 @@
 
 
 class Variant(Enum):
-    """The variant of the xDS protocol that a stream speaks; values: as status and log show them."""
+    """The variant of the xDS protocol that a stream uses; values: the words in status and log."""
 
-    SOTW = "sotw"  # the state of the world
+    SOTW = "sotw"  # state of the world
     DELTA = "delta"  # incremental
 
 
 class DiscoveryRequest(NamedTuple):
-    """A state-of-the-world request: an ACK, a NACK, or a subscription; error: the reason of a NACK."""
+    """A state-of-the-world request: an ACK, a NACK or a subscription; error: reason of a NACK."""
 
     resource_type: ResourceType
     version: str
@@ -25,7 +25,7 @@
 
 
 class DeltaDiscoveryRequest(NamedTuple):
-    """An incremental request; initial_versions: by name, what the proxy holds from an earlier stream."""
+    """An incremental request; initial_versions: by name, the versions held from an earlier stream."""
 
     resource_type: ResourceType
     response_nonce: str
@@ -36,10 +36,10 @@
 
 
 class DiscoveryResponse(NamedTuple):
-    """A response to be sent.
+    """A response to send.
 
-    names: of the resources in it, with their bodies unless it is a heartbeat; removed: names (incremental);
-    is_drain: it takes an endpoint from the proxy.
+    names: names of the resources in it, sent with their bodies unless it is a heartbeat; removed: names of
+    removed resources (incremental variant only); is_drain: a drain removes an endpoint from the proxy.
     """
 
     resource_type: ResourceType
@@ -52,7 +52,7 @@
 
 
 class SentResponse(NamedTuple):
-    """A response in flight: its proxy has neither acknowledged nor rejected it yet."""
+    """A response in flight: the proxy has neither acknowledged nor rejected it yet."""
 
     nonce: str
     sent_at: int
--- a/wickvane/xds/placement.py
+++ b/wickvane/xds/placement.py
@@ -27,19 +27,19 @@
 MAX_BACKUP_ENDPOINTS = 3  # of priority 1
 MAX_FIRST_ENDPOINTS = 9  # of priority 0, however many are in slow start
 SLOW_START_STEPS = 4  # in which a weight rises
-WEIGHT_OF_CORE = 100
+WEIGHT_PER_CORE = 100
 NO_TABLE_GROUP = 0  # queries that name no table group count as this one, as with a dispatcher
 FULL_UPDATE_THRESHOLD = 32  # endpoints changed at once, from which all clusters are computed anew
 MAX_EJECTION_PERCENT = 50  # more than that failing at once is no fault of single engines
 CHOICE_COUNT = 3  # endpoints of which the one with the fewest requests is chosen
 DEFAULT_RETRY_BUDGET = 0.2  # of the requests in progress, where the settings have no retry budget
 MAX_CONCURRENCY = 1000
-CONCURRENCY_UPDATE_INTERVAL = 1_000  # ticks
-MIN_ROUND_TRIP = 10  # ticks
+CONCURRENCY_UPDATE_INTERVAL_TICKS = 1_000  # ticks
+MIN_ROUND_TRIP_TICKS = 10  # ticks
 # The part of the latency objective at which the median round trip shows overload, and the tolerance over it.
-ROUND_TRIP_PART = 0.25
+ROUND_TRIP_FRACTION = 0.25
 ROUND_TRIP_TOLERANCE = 0.1
-WARM_TOLERANCE = 1e-6  # of a sum of parts that is to reach FIRST_ENGINES
+CAPACITY_SUM_TOLERANCE = 1e-6  # of a sum of parts that is to reach FIRST_ENGINES
 
 
 class PlacedEndpoint(NamedTuple):
@@ -226,10 +226,10 @@
             table_group
             for name in names
             for table_group, position in self._order.positions(name)
-            if position < self._reach(table_group)
+            if position < self._scan_length(table_group)
         }
 
-    def _reach(self, table_group: int) -> int:
+    def _scan_length(self, table_group: int) -> int:
         """How many endpoints of the order any class looks at, those that are passed over included."""
         wanted = MAX_FIRST_ENDPOINTS + MAX_BACKUP_ENDPOINTS
         found = dict.fromkeys(self.engine_classes, 0)
@@ -272,7 +272,7 @@
         """When weights may rise, None where no endpoint is in slow start."""
         return (self.updated_at // self.grid + 1) * self.grid if self._slow_start_ends else None
 
-    def _usable_part(self, endpoint: Endpoint) -> float:
+    def _usable_fraction(self, endpoint: Endpoint) -> float:
         """The part of its cores that may be used now, by slow start."""
         if not endpoint.started_at:
             return 1.0
@@ -285,8 +285,8 @@
         steps = max(0, int(age * SLOW_START_STEPS / duration))
         return warm_part(steps * duration // SLOW_START_STEPS, self.deployment.slow_start_fraction, duration)
 
-    def _weight(self, endpoint: Endpoint, usable_part: float) -> int:
-        return max(1, round(WEIGHT_OF_CORE * self._cores(endpoint) * endpoint.weight * usable_part))
+    def _weight(self, endpoint: Endpoint, usable_fraction: float) -> int:
+        return max(1, round(WEIGHT_PER_CORE * self._cores(endpoint) * endpoint.weight * usable_fraction))
 
     def _cores(self, endpoint: Endpoint) -> int:
         kind = self._kind_numbers.get(endpoint.kind, -1)
@@ -317,7 +317,7 @@
         """A cluster's endpoints, those of priority 0 first."""
         found: list[PlacedEndpoint] = []
         first_count = 0
-        warm_sum = 0.0
+        capacity_sum = 0.0
         for _, name in self._order.entries(table_group):
             endpoint = self._endpoints.get(name)
             # A draining endpoint is left out, since whether a client knows that health status is uncertain:
@@ -326,15 +326,17 @@
                 continue
             if not self._is_allowed(engine_class, endpoint):
                 continue
-            is_backup = warm_sum > FIRST_ENGINES - WARM_TOLERANCE or first_count >= MAX_FIRST_ENDPOINTS
+            is_backup = (
+                capacity_sum > FIRST_ENGINES - CAPACITY_SUM_TOLERANCE or first_count >= MAX_FIRST_ENDPOINTS
+            )
             if is_backup and len(found) - first_count >= MAX_BACKUP_ENDPOINTS:
                 break
-            usable_part = self._usable_part(endpoint)
-            weight = self._weight(endpoint, usable_part)
+            usable_fraction = self._usable_fraction(endpoint)
+            weight = self._weight(endpoint, usable_fraction)
             found.append(PlacedEndpoint(name, endpoint.address, endpoint.zone or "", int(is_backup), weight))
             if not is_backup:
                 first_count += 1
-                warm_sum += usable_part
+                capacity_sum += usable_fraction
         return tuple(found)
 
     def circuit_breakers(self, engine_class: str) -> CircuitBreakers:
@@ -354,8 +356,10 @@
 
 def adaptive_concurrency_of(group: ResourceGroup) -> AdaptiveConcurrency:
     """The limit for a resource group, by its latency objective: for proxies that know no best latency."""
-    round_trip = max(MIN_ROUND_TRIP, int(group.latency_objective * ROUND_TRIP_PART))
-    return AdaptiveConcurrency(MAX_CONCURRENCY, CONCURRENCY_UPDATE_INTERVAL, round_trip, ROUND_TRIP_TOLERANCE)
+    round_trip = max(MIN_ROUND_TRIP_TICKS, int(group.latency_objective * ROUND_TRIP_FRACTION))
+    return AdaptiveConcurrency(
+        MAX_CONCURRENCY, CONCURRENCY_UPDATE_INTERVAL_TICKS, round_trip, ROUND_TRIP_TOLERANCE
+    )
 
 
 def _differs(before: Endpoint, after: Endpoint) -> bool:
--- a/wickvane/xds/resource_types.py
+++ b/wickvane/xds/resource_types.py
@@ -1,12 +1,12 @@
-"""The resource types that the service offers, with their type URLs."""
+"""The xDS resource types that the service offers, with their type URLs."""
 
 from enum import IntEnum
 
-WILDCARD = "*"  # the resource name that subscribes to all of a type
+WILDCARD = "*"  # the resource name that subscribes to all resources of a type
 
 
 class ResourceType(IntEnum):
-    """A type of xDS resource; the values are row numbers of per-type tables."""
+    """A type of xDS resource; the values are the indexes of lists with one element for each type."""
 
     CDS = 0
     EDS = 1
@@ -20,7 +20,7 @@
 
     @property
     def allows_wildcard(self) -> bool:
-        """Whether state-of-the-world requests may subscribe to all, and responses list all resources."""
+        """Whether state-of-the-world requests may subscribe to all resources, and responses list all."""
         return self in (ResourceType.CDS, ResourceType.LDS)
 
 
--- a/wickvane/xds/resource_version.py
+++ b/wickvane/xds/resource_version.py
@@ -1,10 +1,10 @@
-"""Resource versions: text that follows from the content, so that all instances give the same one.
+"""Resource versions: a text derived from the content, so that all instances produce the same version.
 
     EPOCH.INDEX.DIGEST
 
-The index of the newest endpoint event that the resource follows from is ahead of the digest, so that older
-content can be told from newer where a proxy comes from another instance. Endpoint lists that are numbered
-anew get another epoch; versions of different epochs are not ordered.
+INDEX is that of the newest endpoint event from which the resource is derived. It precedes the digest, so that
+older and newer content can be distinguished when a proxy reconnects from another instance. An endpoint list
+that is renumbered needs another epoch; versions of different epochs are not ordered.
 """
 
 from hashlib import blake2b
@@ -15,7 +15,7 @@
 
 
 class ResourceVersion(NamedTuple):
-    """The parts of a version; str() writes it."""
+    """The parts of a version; str() returns its text."""
 
     epoch: str
     index: int
@@ -26,7 +26,7 @@
 
 
 def parse_version(text: str) -> ResourceVersion | None:
-    """The parts of a version of this service, None of any other text."""
+    """The parts of a version, None if the text is not a version of this service."""
     parts = text.split(".")
     if len(parts) != 3:
         return None
@@ -37,7 +37,7 @@
 
 
 def content_of(text: str) -> tuple[str, str] | None:
-    """Epoch and digest: what two versions of the same content share, whatever their index."""
+    """Epoch and digest of a version, which are equal for equal content whatever the index."""
     version = parse_version(text)
     return version and (version.epoch, version.digest)
 
--- a/wickvane/xds/resources.py
+++ b/wickvane/xds/resources.py
@@ -38,8 +38,8 @@
 
 TABLE_GROUP_HEADER = "x-wickvane-table"  # the table group's number, set by the proxy's client or filter
 NANOSECONDS_PER_TICK = 100_000
-CONNECT_TIMEOUT = 2_500  # ticks
-OUTLIER_INTERVAL = 2_500  # ticks
+CONNECT_TIMEOUT_TICKS = 2_500  # ticks
+OUTLIER_INTERVAL_TICKS = 2_500  # ticks
 CONSECUTIVE_5XX = 5
 CONSECUTIVE_GATEWAY_FAILURES = 3
 ENFORCING_PERCENT = 100
@@ -119,7 +119,7 @@
             eds_cluster_config=cluster_pb2.Cluster.EdsClusterConfig(eds_config=_aggregated_source()),
         )
         cluster.load_balancing_policy.CopyFrom(self._cluster_policy())
-        set_duration(cluster.connect_timeout, CONNECT_TIMEOUT)
+        set_duration(cluster.connect_timeout, CONNECT_TIMEOUT_TICKS)
         cluster.circuit_breakers.thresholds.append(self._thresholds(limits))
         cluster.outlier_detection.CopyFrom(self._outlier_detection(limits))
         if self._has_load_reporting:
@@ -154,7 +154,7 @@
         outlier.max_ejection_percent.value = MAX_EJECTION_PERCENT
         set_duration(outlier.base_ejection_time, limits.base_ejection)
         set_duration(outlier.max_ejection_time, limits.max_ejection)
-        set_duration(outlier.interval, OUTLIER_INTERVAL)
+        set_duration(outlier.interval, OUTLIER_INTERVAL_TICKS)
         return outlier
 
     def build_assignment(self, name: str, endpoints: Iterable[PlacedEndpoint]) -> bytes:
--- a/wickvane/xds/server.py
+++ b/wickvane/xds/server.py
@@ -34,7 +34,7 @@
 from wickvane.xds.tls import server_credentials
 
 MAX_REQUEST_BYTES = 4 << 20
-DEFAULT_GRACE_MS = 2000  # within which proxies must have a drain
+DEFAULT_DRAIN_GRACE_MS = 2000  # within which proxies must have a drain
 MIN_TICK_DELAY_S = 0.001
 SHUTDOWN_GRACE_S = 0.2
 JOIN_TIMEOUT_S = 1.0
@@ -53,12 +53,12 @@
 class Server:
     """The control service.
 
-    found: the configuration as JSON; settings: the parts document's node `control`; log_to: a file
+    found: the configuration as JSON; settings: the parts document's node `control`; log_descriptor: a file
     descriptor; members: the parts document's node `members`, where it has one.
     """
 
     def __init__(
-        self, found: dict[str, Any], settings: ControlSettings, log_to: int = 1, members: Any = None
+        self, found: dict[str, Any], settings: ControlSettings, log_descriptor: int = 1, members: Any = None
     ) -> None:
         from wickvane.net.service import parse_config
 
@@ -66,7 +66,7 @@
         self.settings = settings
         self.clock = Clock()
         self.counters = Counters()
-        self.log = Log(log_to, self.clock)
+        self.log = Log(log_descriptor, self.clock)
         self.ready = threading.Event()
         self.loop: asyncio.AbstractEventLoop | None = None
         self.members = None
@@ -330,4 +330,4 @@
 def _grace_of(found: dict[str, Any]) -> int:
     """Ticks within which proxies must have a drain."""
     obligations = found["settings"].get("obligations", {})
-    return int(obligations.get("stop_sending_within_ms", DEFAULT_GRACE_MS) * TICKS_PER_MILLISECOND)
+    return int(obligations.get("stop_sending_within_ms", DEFAULT_DRAIN_GRACE_MS) * TICKS_PER_MILLISECOND)
--- a/wickvane/xds/services.py
+++ b/wickvane/xds/services.py
@@ -69,7 +69,7 @@
             check_identity(context, node)
 
 
-def _keep_bytes(data: bytes) -> bytes:
+def _unchanged_bytes(data: bytes) -> bytes:
     return data
 
 
@@ -90,10 +90,10 @@
             "envoy.service.discovery.v3.AggregatedDiscoveryService",
             {
                 "StreamAggregatedResources": grpc.stream_stream_rpc_method_handler(
-                    self._serve_sotw, discovery_pb2.DiscoveryRequest.FromString, _keep_bytes
+                    self._serve_sotw, discovery_pb2.DiscoveryRequest.FromString, _unchanged_bytes
                 ),
                 "DeltaAggregatedResources": grpc.stream_stream_rpc_method_handler(
-                    self._serve_delta, discovery_pb2.DeltaDiscoveryRequest.FromString, _keep_bytes
+                    self._serve_delta, discovery_pb2.DeltaDiscoveryRequest.FromString, _unchanged_bytes
                 ),
             },
         )
--- a/wickvane/xds/sotw.py
+++ b/wickvane/xds/sotw.py
@@ -24,7 +24,7 @@
         if nonce and not is_first and nonce != self.last_nonce:
             # It answers a response that another has overtaken, and its names are outdated.
             self._metrics.stale += 1
-            self.settle(now, nonce, request.error)
+            self.handle_ack_or_nack(now, nonce, request.error)
             return
         self._check_count(request.resource_names, "resource names")
         self._subscribe(now, request, is_first)
@@ -43,12 +43,12 @@
         self._is_wildcard = is_wildcard
         self._names = names
         if is_first and request.version:
-            self._note_held_version(request.version)
+            self._record_held_version(request.version)
             self._visible_names = None
             if self._holds_present_version(request.version):
                 has_more = False
         if request.response_nonce and not is_first:
-            self.settle(now, request.response_nonce, request.error)
+            self.handle_ack_or_nack(now, request.response_nonce, request.error)
         if has_more or has_fewer:
             self._visible_names = None
         if is_first:
@@ -69,12 +69,12 @@
         self._has_response = True
         return True
 
-    def _remember_rejected(self, sent: SentResponse) -> None:
+    def _record_rejected(self, sent: SentResponse) -> None:
         # Which of the resources were rejected is not known: all go again with the next change.
         self._rejected = content_of(sent.version)
         self.needs_full_check = True
 
-    def _forget_rejected(self, sent: SentResponse) -> None:
+    def _clear_rejected(self, sent: SentResponse) -> None:
         self._rejected = None
 
     def _has_rejected(self) -> bool:
@@ -110,12 +110,12 @@
         """All names: a response is the whole of its change."""
         return pending.names
 
-    def note_nothing_pending(self) -> None:
+    def mark_up_to_date(self) -> None:
         """The proxy has all of the catalog's present generation."""
-        super().note_nothing_pending()
+        super().mark_up_to_date()
         self._new_names.clear()
 
-    def _note_sent(self, nonce: str, change: PendingChange, resource_versions: tuple[str, ...]) -> str:
+    def _record_sent(self, nonce: str, change: PendingChange, resource_versions: tuple[str, ...]) -> str:
         version = self.type_version()
         self.last_nonce = nonce
         self._new_names.clear()
@@ -124,6 +124,6 @@
     def _held_names(self) -> Collection[str]:
         return self.visible_names()
 
-    def _note_heartbeat(self, nonce: str) -> str:
+    def _record_heartbeat(self, nonce: str) -> str:
         self.last_nonce = nonce
         return self.type_version()
--- a/wickvane/xds/stream.py
+++ b/wickvane/xds/stream.py
@@ -28,10 +28,10 @@
 
 SEND_ORDER = (ResourceType.CDS, ResourceType.EDS, ResourceType.LDS, ResourceType.RDS)
 MAX_NAME_CHARACTERS = 512
-MIN_RESPONSE_INTERVAL = 500  # ticks between two responses of a type, drains excepted
-MAX_REQUESTS = 20_000  # in one window
-REQUEST_WINDOW = 100_000  # ticks
-NAMES_PER_REQUEST = 100  # so many names count as one request more
+MIN_RESPONSE_INTERVAL_TICKS = 500  # ticks between two responses of a type, drains excepted
+MAX_REQUESTS_PER_WINDOW = 20_000  # in one window
+REQUEST_WINDOW_TICKS = 100_000  # ticks
+NAMES_COUNTED_AS_A_REQUEST = 100  # so many names count as one request more
 MAX_DRAIN_RESENDS = 2
 SUBSCRIPTION_CLASSES = {Variant.SOTW: SotwSubscription, Variant.DELTA: DeltaSubscription}
 
@@ -45,11 +45,11 @@
 
     def check(self, now: int, names: Collection[str]) -> None:
         """Counts a request with these names. Raises StreamProtocolError past a limit."""
-        if now - self._window_start > REQUEST_WINDOW:
+        if now - self._window_start > REQUEST_WINDOW_TICKS:
             self._count = 0
             self._window_start = now
-        self._count += 1 + len(names) // NAMES_PER_REQUEST
-        if self._count > MAX_REQUESTS:
+        self._count += 1 + len(names) // NAMES_COUNTED_AS_A_REQUEST
+        if self._count > MAX_REQUESTS_PER_WINDOW:
             raise StreamProtocolError("too many requests")
         if any(len(name) > MAX_NAME_CHARACTERS for name in names):
             raise StreamProtocolError("a resource name is too long")
@@ -130,14 +130,14 @@
             if change.names or change.removed or subscription.lacks_first_response():
                 return subscription.make_response(now, self._next_nonce(), change)
             if subscription.is_subscribed and not subscription.is_proxy_ahead():
-                subscription.note_nothing_pending()
+                subscription.mark_up_to_date()
         return self._heartbeat(now)
 
     def _must_wait(self, now: int, subscription: Subscription) -> bool:
         if subscription.in_flight:
             return True
         has_sent = subscription.last_sent_at and subscription.sent_generation
-        if has_sent and now < subscription.last_sent_at + MIN_RESPONSE_INTERVAL:
+        if has_sent and now < subscription.last_sent_at + MIN_RESPONSE_INTERVAL_TICKS:
             return True
         clusters = self.subscriptions[ResourceType.CDS]
         is_routes = subscription.resource_type == ResourceType.RDS
@@ -193,7 +193,7 @@
         """When next_response(), which has nothing now, may have something though nothing else happens; None
         for never."""
         times = [
-            subscription.last_sent_at + MIN_RESPONSE_INTERVAL
+            subscription.last_sent_at + MIN_RESPONSE_INTERVAL_TICKS
             for subscription in self.subscriptions
             if subscription.is_subscribed and not subscription.in_flight
         ]
--- a/wickvane/xds/subscription.py
+++ b/wickvane/xds/subscription.py
@@ -108,7 +108,7 @@
 
     # requests
 
-    def _note_held_version(self, text: str) -> None:
+    def _record_held_version(self, text: str) -> None:
         """The proxy holds a resource from an earlier stream."""
         self._had_resources = True
         version = parse_version(text)
@@ -118,7 +118,7 @@
         self.newer_index = catalog.merged_index(self.newer_index or 0, version.index)
         self._report(ProxyAhead(self.resource_type, version.index, catalog.index))
 
-    def settle(self, now: int, nonce: str, error: str | None) -> None:
+    def handle_ack_or_nack(self, now: int, nonce: str, error: str | None) -> None:
         """Takes in an ACK, or a NACK with its reason; all responses sent before are settled too."""
         position = next((n for n, sent in enumerate(self.in_flight) if sent.nonce == nonce), None)
         if position is None:
@@ -132,7 +132,7 @@
         else:
             self._metrics.nacked += 1
             self.nack_reason = error[:MAX_REASON_CHARACTERS]
-            self._remember_rejected(sent)
+            self._record_rejected(sent)
             self._report(ResponseNacked(self.resource_type, sent.version, self.nack_reason))
 
     def _acknowledge(self, sent: SentResponse) -> None:
@@ -140,17 +140,17 @@
         self._acknowledged_generation = sent.generation
         self._acknowledged_version = sent.version
         self.nack_reason = None
-        self._forget_rejected(sent)
+        self._clear_rejected(sent)
         drain = self.unacknowledged_drain
         if drain is not None and sent.generation >= drain.generation:
             self.unacknowledged_drain = None
 
     @abstractmethod
-    def _remember_rejected(self, sent: SentResponse) -> None:
+    def _record_rejected(self, sent: SentResponse) -> None:
         """Notes content so that it is not sent again."""
 
     @abstractmethod
-    def _forget_rejected(self, sent: SentResponse) -> None:
+    def _clear_rejected(self, sent: SentResponse) -> None:
         """Notes that the proxy has accepted a response."""
 
     @abstractmethod
@@ -234,7 +234,7 @@
     def drained_names(self, pending: PendingChange) -> tuple[str, ...]:
         """Of a pending change with a drain, the names that go ahead of all else."""
 
-    def note_nothing_pending(self) -> None:
+    def mark_up_to_date(self) -> None:
         """The proxy has all of the catalog's present generation."""
         self.sent_generation = self._catalog.generation
         self.needs_full_check = self.needs_full_check and self._has_rejected()
@@ -250,7 +250,7 @@
         resource_versions = tuple(resources[name].version for name in change.names)
         if change.is_drain and self.unacknowledged_drain is None:
             self.unacknowledged_drain = UnacknowledgedDrain(catalog.generation, now)
-        version = self._note_sent(nonce, change, resource_versions)
+        version = self._record_sent(nonce, change, resource_versions)
         self.sent_generation = catalog.generation
         self.needs_full_check = not is_complete
         self._has_response = True
@@ -267,7 +267,7 @@
         )
 
     @abstractmethod
-    def _note_sent(self, nonce: str, change: PendingChange, resource_versions: tuple[str, ...]) -> str:
+    def _record_sent(self, nonce: str, change: PendingChange, resource_versions: tuple[str, ...]) -> str:
         """Notes what the proxy will hold; the response's version."""
 
     def in_flight_names(self) -> tuple[str, ...]:
@@ -292,18 +292,18 @@
     def make_heartbeat(self, now: int, nonce: str, names: tuple[str, ...]) -> DiscoveryResponse:
         """A response that renews the resources' time to live, without their bodies."""
         self._heartbeat_at = now
-        version = self._note_heartbeat(nonce)
+        version = self._record_heartbeat(nonce)
         resources = self._catalog.resources[self.resource_type]
         existing = tuple(name for name in names if name in resources)
         return DiscoveryResponse(self.resource_type, nonce, version, existing, is_heartbeat=True)
 
     @abstractmethod
-    def _note_heartbeat(self, nonce: str) -> str:
+    def _record_heartbeat(self, nonce: str) -> str:
         """Notes the nonce; the heartbeat's version."""
 
     # what operators see
 
-    def is_settled(self) -> bool:
+    def is_fully_answered(self) -> bool:
         """Whether the proxy has acknowledged or rejected all of the catalog's present generation."""
         if not self.is_subscribed:
             return True
@@ -317,7 +317,7 @@
         """What operators see, by the names of the client status."""
         return {
             "version": self._acknowledged_version,
-            "synced": self.is_settled() and self.nack_reason is None,
+            "synced": self.is_fully_answered() and self.nack_reason is None,
             "refused": self.nack_reason,
             "ahead": self.newer_index is not None,
             "behind_ms": to_milliseconds(self.unacknowledged_time(now)) if self.in_flight else 0.0,
