--- a/wickvane/xds/placement.py
+++ b/wickvane/xds/placement.py
@@ -1,16 +1,17 @@
-"""Which engines take a table group's queries, in which order and with what weight: from the endpoint list and
-the settings; free of I/O and of xDS messages.
+"""Computes the endpoints of each cluster, with their priorities and weights, from the endpoint list and the
+settings.
 
-A cluster is a table group for those resource groups that may use the same engines. Its endpoints are the
-first of the table group's shared hash order, at priority 0, weighted by the cores that they may use now; the
-next ones of the order follow at priority 1, for when those fail. The order, the number of first endpoints,
-slow start and the bound on threads are those of wickvane.scheduling.
+A cluster is one table group for all resource groups that may use the same engines. The first endpoints of the
+table group's shared hash order have priority 0 and are weighted by the cores that they may currently use. The
+next endpoints of the order have priority 1 and are used if the first ones fail. The order, the number of
+first endpoints, slow start and the bound on threads are those of wickvane.scheduling.
 
-An engine in slow start counts for a part, so that a cluster takes as many first endpoints as make up
-FIRST_ENGINES warm ones. Its part is read at the last point of a grid of time that all instances share, less
-the latency of the slowest proxy: what a proxy holds never exceeds what the engine may be sent.
+An endpoint in slow start counts as the fraction of its capacity that may be used. A cluster takes first
+endpoints until their fractions add up to FIRST_ENGINES. The fraction is computed for the last point of a time
+grid that all instances share, minus the latency of the slowest proxy, so that the weight that a proxy holds
+never exceeds what the engine may currently be sent.
 
-Times are ticks.
+The module does no I/O and uses no xDS messages. Times are ticks.
 """
 
 from bisect import bisect_left, insort
@@ -24,22 +25,22 @@
 from wickvane.scheduling.slow_start import warm_part
 from wickvane.xds.endpoint_snapshot import Endpoint, EndpointSnapshot
 
-MAX_BACKUP_ENDPOINTS = 3  # of priority 1
-MAX_FIRST_ENDPOINTS = 9  # of priority 0, however many are in slow start
+MAX_BACKUP_ENDPOINTS = 3  # with priority 1
+MAX_FIRST_ENDPOINTS = 9  # with priority 0, even if more are needed because some are in slow start
 SLOW_START_STEPS = 4  # in which a weight rises
 WEIGHT_PER_CORE = 100
-NO_TABLE_GROUP = 0  # queries that name no table group count as this one, as with a dispatcher
-FULL_UPDATE_THRESHOLD = 32  # endpoints changed at once, from which all clusters are computed anew
-MAX_EJECTION_PERCENT = 50  # more than that failing at once is no fault of single engines
-CHOICE_COUNT = 3  # endpoints of which the one with the fewest requests is chosen
-DEFAULT_RETRY_BUDGET = 0.2  # of the requests in progress, where the settings have no retry budget
+NO_TABLE_GROUP = 0  # the table group of queries that name none, as in a dispatcher
+FULL_UPDATE_THRESHOLD = 32  # if more endpoints change at once, all clusters are recomputed
+MAX_EJECTION_PERCENT = 50  # if more endpoints fail at once, the cause is not in single engines
+CHOICE_COUNT = 3  # endpoints drawn, of which the one with the fewest requests is chosen
+DEFAULT_RETRY_BUDGET = 0.2  # fraction of the requests in progress, if the settings have no retry budget
 MAX_CONCURRENCY = 1000
-CONCURRENCY_UPDATE_INTERVAL_TICKS = 1_000  # ticks
-MIN_ROUND_TRIP_TICKS = 10  # ticks
-# The part of the latency objective at which the median round trip shows overload, and the tolerance over it.
+CONCURRENCY_UPDATE_INTERVAL_TICKS = 1_000
+MIN_ROUND_TRIP_TICKS = 10
+# Fraction of the latency objective above which the median round trip indicates overload, and its tolerance.
 ROUND_TRIP_FRACTION = 0.25
 ROUND_TRIP_TOLERANCE = 0.1
-CAPACITY_SUM_TOLERANCE = 1e-6  # of a sum of parts that is to reach FIRST_ENGINES
+CAPACITY_SUM_TOLERANCE = 1e-6  # for the comparison of a sum of fractions with FIRST_ENGINES
 
 
 class PlacedEndpoint(NamedTuple):
@@ -53,10 +54,11 @@
 
 
 class CircuitBreakers(NamedTuple):
-    """What a proxy limits by itself in one cluster.
+    """The limits that a proxy itself enforces in one cluster.
 
-    max_requests: in progress; max_pending: waiting for a connection; retry_budget: share of those in
-    progress; base_ejection, max_ejection: ticks for which an endpoint that fails is ejected.
+    max_requests: maximum number of requests in progress; max_pending: maximum number of requests that wait
+    for a connection; retry_budget: retries as a fraction of the requests in progress; base_ejection,
+    max_ejection: first and maximum time in ticks for which a failing endpoint is ejected.
     """
 
     max_requests: int
@@ -67,8 +69,11 @@
 
 
 class AdaptiveConcurrency(NamedTuple):
-    """A limit on a resource group's requests in progress that binds under overload: it shrinks while the
-    median round trip exceeds the given one by more than the tolerance, and grows while it is under."""
+    """A limit on a resource group's requests in progress that takes effect under overload.
+
+    It shrinks while the median round trip exceeds `round_trip` by more than the tolerance, and grows while
+    the median is lower.
+    """
 
     max_concurrency: int
     update_interval: int
@@ -95,7 +100,7 @@
         self._orders: dict[int, list[tuple]] = {table_group: [] for table_group in table_groups}
 
     def add(self, names: Sequence[str]) -> None:
-        """Adds endpoints that are not in the order."""
+        """Adds endpoints; none of them may already be in the order."""
         for table_group, order in self._orders.items():
             places = [(hash_place(name.encode(), table_group), name) for name in names]
             if len(places) > FULL_UPDATE_THRESHOLD:
@@ -116,20 +121,20 @@
         return bisect_left(self._orders[table_group], (hash_place(name.encode(), table_group), name))
 
     def positions(self, name: str) -> Iterator[tuple[int, int]]:
-        """Each table group with the position that the endpoint has or would have."""
+        """Yields each table group with the position that the endpoint has or would have in it."""
         for table_group in self._orders:
             yield table_group, self._position(table_group, name)
 
     def entries(self, table_group: int) -> Sequence[tuple]:
-        """The endpoints in a table group's order: (hash, name) each."""
+        """The endpoints in a table group's order, as tuples (hash, name)."""
         return self._orders[table_group]
 
 
 class Placement:
-    """The endpoints of each cluster, kept up to date with the endpoint list.
+    """The endpoints of each cluster, updated incrementally with the endpoint list.
 
-    proxy_count: that share the engines; kinds, zones: their names by number; ack_latency: ticks, of the
-    slowest proxy.
+    proxy_count: number of proxies that share the engines; kinds, zones: their names by number; ack_latency:
+    the slowest proxy's latency in ticks; grid: step of the time grid for weights, in ticks.
     """
 
     def __init__(
@@ -143,7 +148,7 @@
     ) -> None:
         self.deployment = deployment
         self.table_groups = sorted({NO_TABLE_GROUP, *table_groups})
-        # Resource groups that may use the same engines are one class, by the name of the first of them.
+        # Resource groups that may use the same engines form a class, named after the first of them.
         self.engine_classes: dict[str, EngineFilter] = {}
         self.class_of: dict[str, str] = {}
         self.adaptive_concurrency: dict[str, AdaptiveConcurrency] = {}
@@ -157,7 +162,7 @@
         self._threads_per_request: dict[str, int] = {}
         self._endpoints: dict[str, Endpoint] = {}
         self._order = HashOrder(self.table_groups)
-        self._slow_start_ends: dict[str, int] = {}  # by name: when its weight no longer rises
+        self._slow_start_ends: dict[str, int] = {}  # by name: when its weight stops rising
         self._classify(group_names)
 
     def _classify(self, group_names: Sequence[str]) -> None:
@@ -186,34 +191,37 @@
     # the endpoint list
 
     def update(self, now: int, snapshot: EndpointSnapshot) -> tuple[set[str], set[str]]:
-        """Takes in the endpoint list; clusters whose endpoints have changed, and those of them that lost one
-        to a drain."""
+        """Applies the endpoint list.
+
+        Returns the names of clusters whose endpoints have changed, and of those from which a drain removed an
+        endpoint.
+        """
         before = self._endpoints
         after = snapshot.endpoints
         self.updated_at = max(self.updated_at, now)
-        lost = [name for name in before if name not in after]
-        new = [name for name in after if name not in before]
+        removed = [name for name in before if name not in after]
+        added = [name for name in after if name not in before]
         modified = [name for name in after if name in before and _differs(before[name], after[name])]
         drained = {
             name
-            for name in lost + modified
+            for name in removed + modified
             if before[name].is_ready and (name not in after or not after[name].is_ready)
         }
-        if len(lost) + len(new) + len(modified) > FULL_UPDATE_THRESHOLD:
-            self._replace_endpoints(after, lost, new)
+        if len(removed) + len(added) + len(modified) > FULL_UPDATE_THRESHOLD:
+            self._replace_endpoints(after, removed, added)
             affected = set(self.table_groups)
         else:
-            affected = self._affected_by(lost)
-            self._remove(lost)
-            self._order.add(new)
+            affected = self._affected_by(removed)
+            self._remove(removed)
+            self._order.add(added)
             affected |= self._affected_by(modified)
             self._endpoints = dict(after)
-            affected |= self._affected_by(new + modified)
+            affected |= self._affected_by(added + modified)
         return self._recompute(affected, drained)
 
-    def _replace_endpoints(self, after: dict[str, Endpoint], lost: list[str], new: list[str]) -> None:
-        self._remove(lost)
-        self._order.add(new)
+    def _replace_endpoints(self, after: dict[str, Endpoint], removed: list[str], added: list[str]) -> None:
+        self._remove(removed)
+        self._order.add(added)
         self._endpoints = dict(after)
 
     def _remove(self, names: Iterable[str]) -> None:
@@ -221,7 +229,7 @@
             self._order.remove(name)
 
     def _affected_by(self, names: Iterable[str]) -> set[int]:
-        """Table groups where a change of these endpoints may matter: where they are early enough."""
+        """Table groups in which these endpoints are early enough in the order for a change to matter."""
         return {
             table_group
             for name in names
@@ -230,7 +238,7 @@
         }
 
     def _scan_length(self, table_group: int) -> int:
-        """How many endpoints of the order any class looks at, those that are passed over included."""
+        """How many endpoints of the order must be examined to fill the clusters of all classes."""
         wanted = MAX_FIRST_ENDPOINTS + MAX_BACKUP_ENDPOINTS
         found = dict.fromkeys(self.engine_classes, 0)
         unsatisfied = len(found)
@@ -256,7 +264,7 @@
     # slow start
 
     def step(self, now: int) -> tuple[set[str], set[str]]:
-        """Raises the weights of endpoints in slow start; changed clusters as from update()."""
+        """Raises the weights of endpoints in slow start; returns the same as update()."""
         self.updated_at = max(self.updated_at, now)
         warming_up = [name for name in self._slow_start_ends if name in self._endpoints]
         if len(warming_up) > FULL_UPDATE_THRESHOLD:
@@ -269,11 +277,11 @@
         return self._recompute(affected, set())
 
     def next_step(self) -> int | None:
-        """When weights may rise, None where no endpoint is in slow start."""
+        """When weights may next rise, None if no endpoint is in slow start."""
         return (self.updated_at // self.grid + 1) * self.grid if self._slow_start_ends else None
 
     def _usable_fraction(self, endpoint: Endpoint) -> float:
-        """The part of its cores that may be used now, by slow start."""
+        """The fraction of the endpoint's capacity that slow start currently allows."""
         if not endpoint.started_at:
             return 1.0
         duration = self.deployment.slow_start_duration
@@ -320,8 +328,8 @@
         capacity_sum = 0.0
         for _, name in self._order.entries(table_group):
             endpoint = self._endpoints.get(name)
-            # A draining endpoint is left out, since whether a client knows that health status is uncertain:
-            # proxies complete their requests there, and send no new ones.
+            # A draining endpoint is omitted instead of marked as draining, since not every client may support
+            # that health status. Proxies complete their requests on it and send no new ones.
             if endpoint is None or endpoint.state != EngineState.READY or endpoint.address is None:
                 continue
             if not self._is_allowed(engine_class, endpoint):
@@ -340,14 +348,17 @@
         return tuple(found)
 
     def circuit_breakers(self, engine_class: str) -> CircuitBreakers:
-        """The scheduler's bound on threads for a cluster's first endpoints, shared by all proxies, its retry
-        budget, and for how long endpoints that fail are ejected. They follow from the settings alone, so that
-        no change of the endpoint list changes them."""
+        """The circuit breakers for a class of engines.
+
+        They apply the scheduler's bound on threads to a cluster's first endpoints, divided among all proxies,
+        and its retry budget and ejection times. They depend on the settings alone, so that no change of the
+        endpoint list changes them.
+        """
         deployment = self.deployment
         kinds = self.engine_classes[engine_class].kinds
         cores = [count for kind, count in enumerate(deployment.cores) if kinds is None or kind in kinds]
         threads = BOUND_THREADS * FIRST_ENGINES * max(cores, default=1) / self._proxy_count
-        # At least one, as an idle engine may always be sent a query.
+        # The minimum is one, since an idle engine may always be sent a query.
         max_requests = max(1, int(threads / self._threads_per_request[engine_class]))
         has_budget = deployment.retry_budget_window
         retry_budget = deployment.retry_budget_ratio if has_budget else DEFAULT_RETRY_BUDGET
@@ -355,7 +366,9 @@
 
 
 def adaptive_concurrency_of(group: ResourceGroup) -> AdaptiveConcurrency:
-    """The limit for a resource group, by its latency objective: for proxies that know no best latency."""
+    """The limit for a resource group, derived from its latency objective because proxies do not know its best
+    latency.
+    """
     round_trip = max(MIN_ROUND_TRIP_TICKS, int(group.latency_objective * ROUND_TRIP_FRACTION))
     return AdaptiveConcurrency(
         MAX_CONCURRENCY, CONCURRENCY_UPDATE_INTERVAL_TICKS, round_trip, ROUND_TRIP_TOLERANCE
@@ -363,7 +376,7 @@
 
 
 def _differs(before: Endpoint, after: Endpoint) -> bool:
-    """Whether two states of an endpoint differ in more than when they were learnt."""
+    """Whether two states of an endpoint differ in more than the index and time at which they were learnt."""
     if before is after:
         return False
     return before._replace(index=0, draining_since=0) != after._replace(index=0, draining_since=0)
--- a/wickvane/xds/resources.py
+++ b/wickvane/xds/resources.py
@@ -1,6 +1,6 @@
-"""Encodes the placement as xDS v3 resources (envoy.config.*.v3); it decides nothing.
+"""Encodes the placement as xDS v3 resources (envoy.config.*.v3); it makes no decisions.
 
-Serialized deterministically, since versions follow from the bytes.
+Resources are serialized deterministically, since their versions are derived from the bytes.
 """
 
 from collections.abc import Collection, Iterable
@@ -38,8 +38,8 @@
 
 TABLE_GROUP_HEADER = "x-wickvane-table"  # the table group's number, set by the proxy's client or filter
 NANOSECONDS_PER_TICK = 100_000
-CONNECT_TIMEOUT_TICKS = 2_500  # ticks
-OUTLIER_INTERVAL_TICKS = 2_500  # ticks
+CONNECT_TIMEOUT_TICKS = 2_500
+OUTLIER_INTERVAL_TICKS = 2_500
 CONSECUTIVE_5XX = 5
 CONSECUTIVE_GATEWAY_FAILURES = 3
 ENFORCING_PERCENT = 100
@@ -65,7 +65,7 @@
 
 
 def _load_balancing_policy(*messages: Message) -> cluster_pb2.LoadBalancingPolicy:
-    """Policies of which a client takes the first that it knows."""
+    """A list of policies, of which a client uses the first that it supports."""
     policy = cluster_pb2.LoadBalancingPolicy()
     for message in messages:
         config = policy.policies.add().typed_extension_config
@@ -75,14 +75,14 @@
 
 
 def _aggregated_source() -> config_source_pb2.ConfigSource:
-    """Resources that are to be fetched on the same aggregated stream."""
+    """The configuration source of resources that are fetched on the same aggregated stream (ADS)."""
     return config_source_pb2.ConfigSource(
         ads=config_source_pb2.AggregatedConfigSource(), resource_api_version=config_source_pb2.V3
     )
 
 
 class ResourceBuilder:
-    """Encodes resources; has_load_reporting: whether proxies are to report their load to this service."""
+    """Encodes resources; has_load_reporting: whether proxies should report their load to this service."""
 
     def __init__(self, has_load_reporting: bool = True) -> None:
         self._has_load_reporting = has_load_reporting
@@ -90,14 +90,14 @@
     def belongs_to(
         self, placement: Placement, resource_type: ResourceType, name: str, groups: Collection[str]
     ) -> bool:
-        """Whether a resource belongs to one of these resource groups."""
+        """Whether a resource belongs to one of the resource groups."""
         if resource_type in (ResourceType.LDS, ResourceType.RDS):
             return name in groups
         engine_class = name.partition("/")[0]
         return any(placement.class_of.get(group) == engine_class for group in groups)
 
     def build_static(self, placement: Placement) -> dict[ResourceType, dict[str, bytes]]:
-        """The resources that follow from the settings alone, by type and name."""
+        """The resources that depend on the settings alone, by type and name."""
         clusters = {}
         for engine_class in placement.engine_classes:
             limits = placement.circuit_breakers(engine_class)
@@ -128,7 +128,7 @@
 
     @staticmethod
     def _cluster_policy() -> cluster_pb2.LoadBalancingPolicy:
-        """Least requests by weight, for clients without it round robin by weight of localities."""
+        """Weighted least request; clients without it use round robin, weighted by locality."""
         least_request = least_request_pb2.LeastRequest()
         least_request.choice_count.value = CHOICE_COUNT
         by_locality = wrr_locality_pb2.WrrLocality()
@@ -158,7 +158,7 @@
         return outlier
 
     def build_assignment(self, name: str, endpoints: Iterable[PlacedEndpoint]) -> bytes:
-        """A cluster's load assignment."""
+        """Encodes a cluster's load assignment."""
         assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=name)
         localities: dict[tuple[int, str, int], list[endpoint_components_pb2.LbEndpoint]] = {}
         for placed in endpoints:
@@ -169,7 +169,7 @@
             )
             endpoint.endpoint.hostname = placed.name
             endpoint.load_balancing_weight.value = placed.weight
-            # Endpoints of one weight are a locality, for clients that know weights of localities alone.
+            # Endpoints of equal weight form a locality, for clients that support only weights of localities.
             key = placed.priority, placed.zone, placed.weight
             localities.setdefault(key, []).append(endpoint)
         for (priority, zone, weight), members in sorted(localities.items()):
@@ -181,8 +181,11 @@
         return _encode(assignment)
 
     def _build_listener(self, group: str, limit: AdaptiveConcurrency) -> bytes:
-        """A resource group's listener, by its name: `xds:///GROUP` for a gRPC client, an API listener for
-        proxies with listeners of their own."""
+        """Encodes a resource group's listener, which has the group's name.
+
+        It is the target `xds:///GROUP` of a gRPC client, and an API listener for proxies that have their own
+        listeners.
+        """
         manager = hcm_pb2.HttpConnectionManager(
             stat_prefix=group,
             rds=hcm_pb2.Rds(route_config_name=group, config_source=_aggregated_source()),
@@ -195,7 +198,7 @@
         set_duration(gradient.min_rtt_calc_params.fixed_value, limit.round_trip)
         gradient.min_rtt_calc_params.buffer.value = PERCENT * limit.tolerance
         filter_config = concurrency_pb2.AdaptiveConcurrency(gradient_controller_config=gradient)
-        # A client that has no such filter goes without it.
+        # The filter is optional: a client that does not support it ignores it.
         manager.http_filters.append(
             hcm_pb2.HttpFilter(
                 name="adaptive-concurrency", is_optional=True, typed_config=_pack(filter_config)
@@ -209,7 +212,10 @@
 
     @staticmethod
     def _build_routes(group: str, placement: Placement) -> bytes:
-        """Routes by the table group's header; requests without one go to the cluster of no table group."""
+        """Encodes the routes, selected by the table group's header.
+
+        Requests without the header are routed to the cluster of NO_TABLE_GROUP.
+        """
         engine_class = placement.class_of[group]
         host = route_components_pb2.VirtualHost(name=group, domains=["*"])
         for table_group in placement.table_groups:
--- a/wickvane/xds/server.py
+++ b/wickvane/xds/server.py
@@ -1,4 +1,4 @@
-"""The control service as a program: its port, the endpoint list's sources, signals, the log.
+"""The control service as a program: its gRPC server, the sources of the endpoint list, signals and the log.
 
 One event loop owns the control plane and all streams.
 """
@@ -34,7 +34,7 @@
 from wickvane.xds.tls import server_credentials
 
 MAX_REQUEST_BYTES = 4 << 20
-DEFAULT_DRAIN_GRACE_MS = 2000  # within which proxies must have a drain
+DEFAULT_DRAIN_GRACE_MS = 2000  # within which proxies must acknowledge a drain
 MIN_TICK_DELAY_S = 0.001
 SHUTDOWN_GRACE_S = 0.2
 JOIN_TIMEOUT_S = 1.0
@@ -53,16 +53,20 @@
 class Server:
     """The control service.
 
-    found: the configuration as JSON; settings: the parts document's node `control`; log_descriptor: a file
-    descriptor; members: the parts document's node `members`, where it has one.
+    config_json: the configuration; settings: the node `control` of the extensions document; log_descriptor:
+    file descriptor of the log; members: the node `members` of the extensions document, None if there is none.
     """
 
     def __init__(
-        self, found: dict[str, Any], settings: ControlSettings, log_descriptor: int = 1, members: Any = None
+        self,
+        config_json: dict[str, Any],
+        settings: ControlSettings,
+        log_descriptor: int = 1,
+        members: Any = None,
     ) -> None:
         from wickvane.net.service import parse_config
 
-        config = parse_config(found, (), members)
+        config = parse_config(config_json, (), members)
         self.settings = settings
         self.clock = Clock()
         self.counters = Counters()
@@ -71,8 +75,8 @@
         self.loop: asyncio.AbstractEventLoop | None = None
         self.members = None
         self._members_settings = members
-        self._name = found.get("name") or "control"
-        self._seed = found.get("seed", 0)
+        self._name = config_json.get("name") or "control"
+        self._seed = config_json.get("seed", 0)
         self._coordinator_address = config.coordinator
         self._known_events = config.known
         self._coordinator: Coordinator | None = None
@@ -82,7 +86,7 @@
         self.control_plane = ControlPlane(
             build_placement(config.registry, settings),
             ResourceBuilder(),
-            _grace_of(found),
+            _drain_grace_of(config_json),
             settings.access,
             settings.removal_limit,
             settings.ttl,
@@ -111,15 +115,15 @@
 
     # the endpoint list
 
-    def file_source(self, registry: Any, part: Any) -> Any:
-        """The source of an endpoint list from watched files."""
+    def file_source(self, registry: Any, settings: Any) -> Any:
+        """Creates the source of an endpoint list from watched files; settings: of the node `members`."""
         from wickvane.endpoints.file_source import FileSource
         from wickvane.endpoints.topology import topology_of
 
         return FileSource(
-            part,
+            settings,
             topology_of(registry),
-            self.listed,
+            self.on_endpoint_event,
             self.clock,
             self.log,
             self.counters,
@@ -128,8 +132,13 @@
             self._name,
         )
 
-    def listed(self, index: int, is_complete: bool, entries: list[tuple], readmitted: Any = ()) -> None:
-        """Takes in an endpoint event, from the thread of the coordinator or of watched files."""
+    def on_endpoint_event(
+        self, index: int, is_complete: bool, entries: list[tuple], readmitted: Any = ()
+    ) -> None:
+        """Schedules an endpoint event on the event loop.
+
+        It is called from the thread of the coordinator or of the watched files.
+        """
         self.loop.call_soon_threadsafe(self._apply_event, index, is_complete, entries, readmitted)
 
     def _apply_event(self, index: int, is_complete: bool, entries: list[tuple], readmitted: Any = ()) -> None:
@@ -145,7 +154,7 @@
             self._snapshot_writer.schedule(self.loop)
 
     def tick(self) -> None:
-        """Has the control plane do what time brings, and schedules the next time."""
+        """Does the control plane's work that is due, and schedules the next call."""
         if self._next_tick is not None:
             self._next_tick.cancel()
             self._next_tick = None
@@ -171,10 +180,10 @@
             self.log.line(name, **fields)
             self.counters.add(name)
 
-    def _log_counters(self, why: str) -> None:
+    def _log_counters(self, reason: str) -> None:
         self.log.line(
             "counters",
-            why=why,
+            why=reason,
             cpu_s=time.process_time(),
             **self.control_plane.status(self.clock.now()),
             **({"members": self.members.status()} if self.members else {}),
@@ -184,7 +193,7 @@
     # lifecycle
 
     async def serve(self) -> None:
-        """Serves until stop() is called. Raises ConfigError where it cannot listen."""
+        """Serves until stop() is called. Raises ConfigError if it cannot listen."""
         self.loop = asyncio.get_running_loop()
         self._stopped = asyncio.Event()
         grpc_server = grpc.aio.server(options=list(GRPC_OPTIONS.items()))
@@ -218,13 +227,13 @@
         return address
 
     async def _load_endpoints(self) -> None:
-        """Takes in the stored snapshot and the configuration's list, before the first proxy connects."""
+        """Applies the stored snapshot and the configuration's list, before the first proxy connects."""
         stored = self._snapshot_writer.load()
         if stored is not None:
             self.control_plane.restore(self.clock.now(), stored)
         known_index, known_events = self._known_events
         if self._coordinator_address:
-            on_event = self.members.apply_stream_event if self.members else self.listed
+            on_event = self.members.apply_stream_event if self.members else self.on_endpoint_event
             self._coordinator = Coordinator(
                 self._coordinator_address, (0, []), on_event, self._seed, self.log, self.counters
             )
@@ -244,7 +253,7 @@
         self._snapshot_writer.save_now()
         await grpc_server.stop(SHUTDOWN_GRACE_S)
         if self._coordinator_thread:
-            # The counters are to be the last line of the log.
+            # Wait for the coordinator's thread, so that the counters are the last line of the log.
             await asyncio.to_thread(self._coordinator_thread.join, JOIN_TIMEOUT_S)
         self._log_counters("exit")
 
@@ -253,9 +262,10 @@
         self.loop.call_soon_threadsafe(self._stopped.set)
 
     def reload(self, config_path: str, parts_path: str) -> None:
-        """Takes in a changed configuration and parts document, completely or not at all.
+        """Applies a changed configuration and extensions document, completely or not at all.
 
-        Table groups, resource groups, node rules, the removal limit and the coordinator may change.
+        Table groups, resource groups, node rules, the removal limit, the proxy count and the coordinator may
+        change.
         """
         from wickvane.net.service import configuration, parse_config
 
@@ -281,22 +291,22 @@
         self._after_change(has_new_snapshot=False)
 
     def _read_settings(self, parts_path: str) -> ControlSettings:
-        """The document's settings. Raises parts.InvalidDocumentError where they need a restart."""
+        """Reads the document's settings. Raises parts.InvalidDocumentError if they need a restart."""
         from wickvane import parts
 
         document = parts.read(parts_path)
         settings = document.get("control")
         if document.get("members") != self._members_settings:
-            raise parts.InvalidDocumentError("members: a change of it needs a restart")
+            raise parts.InvalidDocumentError("members: a change needs a restart")
         reloadable = dict.fromkeys(RELOADABLE_FIELDS)
         if settings is None or settings._replace(**reloadable) != self.settings._replace(**reloadable):
             raise parts.InvalidDocumentError(
-                "control: listen, epoch, tls, snapshot, stall and time-to-live need a restart"
+                "control: a change of listen, epoch, tls, snapshot, stall or time-to-live needs a restart"
             )
         return settings
 
     def run(self, config_path: str, parts_path: str) -> int:
-        """Serves until a signal ends the program; its exit code."""
+        """Serves until a signal ends the program, and returns its exit code."""
         log_thread = Threads(self.log, self.counters).needed(self.log.run, "log")
 
         async def main() -> None:
@@ -316,7 +326,7 @@
 
 
 def build_placement(registry: Any, settings: ControlSettings) -> Placement:
-    """The placement of the configuration's deployment."""
+    """Creates the placement for the configuration's deployment."""
     return Placement(
         registry.deployment,
         registry.group_names,
@@ -327,7 +337,7 @@
     )
 
 
-def _grace_of(found: dict[str, Any]) -> int:
-    """Ticks within which proxies must have a drain."""
-    obligations = found["settings"].get("obligations", {})
+def _drain_grace_of(config_json: dict[str, Any]) -> int:
+    """Ticks within which proxies must acknowledge a drain."""
+    obligations = config_json["settings"].get("obligations", {})
     return int(obligations.get("stop_sending_within_ms", DEFAULT_DRAIN_GRACE_MS) * TICKS_PER_MILLISECOND)
--- a/wickvane/xds/services.py
+++ b/wickvane/xds/services.py
@@ -1,6 +1,8 @@
-"""The gRPC services that proxies call: aggregated discovery, load reporting, client status.
+"""The gRPC services that proxies call: aggregated discovery (ADS), load reporting (LRS) and client status
+discovery (CSDS).
 
-A discovery stream has one task that reads and one that writes, and the writer waits for its own proxy alone.
+Each discovery stream has one task that reads and one that writes, so that a slow proxy blocks only the writer
+of its own stream.
 """
 
 import asyncio
@@ -37,14 +39,14 @@
 MAX_NODE_CHARACTERS = 256
 MAX_CLUSTER_CHARACTERS = 512
 MAX_ENDPOINT_CHARACTERS = 128
-NO_ENDPOINT = ""  # of load statistics of a whole locality
+NO_ENDPOINT = ""  # in load statistics of a whole locality
 STREAM_METADATA = ("stream", "variant", "lag_ms", "sent", "acknowledged", "refused", "told-again", "late")
 
 Context = grpc.aio.ServicerContext
 
 
 class EndReason(Enum):
-    """Why a discovery stream has ended; values: as the log has them."""
+    """Why a discovery stream has ended; values: the words in the log."""
 
     CLOSED = "closed"
     REJECTED = "refused"
@@ -54,7 +56,7 @@
 
 @dataclass(slots=True)
 class ServiceContext:
-    """What the services share; log_events: writes the decisions' events to the log."""
+    """The objects that the services share; log_events: writes the control plane's events to the log."""
 
     control_plane: ControlPlane
     clock: Clock
@@ -64,7 +66,7 @@
     has_mutual_tls: bool
 
     def check_identity(self, context: Context, node: str) -> None:
-        """With mutual TLS, whether the certificate is the node's. Raises StreamRejectedError."""
+        """With mutual TLS, checks that the certificate is the node's. Raises StreamRejectedError."""
         if self.has_mutual_tls:
             check_identity(context, node)
 
@@ -74,7 +76,10 @@
 
 
 class DiscoveryService:
-    """The aggregated discovery service; stall_timeout: seconds within which a proxy must read a response."""
+    """The aggregated discovery service (ADS).
+
+    stall_timeout: seconds within which a proxy must read a response.
+    """
 
     def __init__(self, service: ServiceContext, stall_timeout: float) -> None:
         self._service = service
@@ -85,7 +90,7 @@
         self._wake_events: dict[int, asyncio.Event] = {}
 
     def handler(self) -> grpc.GenericRpcHandler:
-        """What the gRPC server calls."""
+        """The RPC handlers to register with the gRPC server."""
         return grpc.method_handlers_generic_handler(
             "envoy.service.discovery.v3.AggregatedDiscoveryService",
             {
@@ -99,7 +104,7 @@
         )
 
     def wake_ready_streams(self) -> None:
-        """Wakes the streams that may have something to send."""
+        """Wakes the streams that may have a response to send."""
         ready = self._control_plane.ready_streams
         for number in sorted(ready):
             if number in self._wake_events:
@@ -127,7 +132,10 @@
             await self._reject(context, grpc.StatusCode.RESOURCE_EXHAUSTED, error)
         except TimeoutError:
             reason = EndReason.STALLED
-            await context.abort(grpc.StatusCode.DEADLINE_EXCEEDED, "it neither asks nor reads")
+            await context.abort(
+                grpc.StatusCode.DEADLINE_EXCEEDED,
+                "the proxy neither sent requests nor read responses in time",
+            )
         except asyncio.CancelledError:
             reason = EndReason.LOST
             raise
@@ -177,7 +185,7 @@
 
     def _receive(self, stream: DiscoveryStream, request: Any) -> None:
         resource_type = RESOURCE_TYPE_BY_URL.get(request.type_url)
-        if resource_type is not None:  # nothing is ever sent of types that are not served
+        if resource_type is not None:  # requests for types that are not served are ignored
             decode = decode_sotw if stream.variant is Variant.SOTW else decode_delta
             stream.receive(self._clock.now(), decode(resource_type, request))
 
@@ -199,7 +207,7 @@
         while True:
             wake_event.clear()
             if reader.done():
-                await reader  # raises the error that it ended by
+                await reader  # raises the error that ended it, if any
                 return
             now = self._clock.now()
             response = self._control_plane.next_response(stream.number, now)
@@ -213,7 +221,7 @@
 
     @staticmethod
     async def _wait(stream: DiscoveryStream, now: int, wake_event: asyncio.Event) -> None:
-        """Waits until the stream may have something to send."""
+        """Waits until the stream may have a response to send."""
         next_time = stream.next_response_time(now)
         timeout = None if next_time is None else max(MIN_WAIT_S, to_seconds(next_time - now))
         try:
@@ -236,7 +244,7 @@
 
 
 def decode_sotw(resource_type: ResourceType, request: discovery_pb2.DiscoveryRequest) -> DiscoveryRequest:
-    """A state-of-the-world request as the decisions see it."""
+    """Converts a state-of-the-world request from protobuf."""
     return DiscoveryRequest(
         resource_type,
         request.version_info,
@@ -249,7 +257,7 @@
 def decode_delta(
     resource_type: ResourceType, request: discovery_pb2.DeltaDiscoveryRequest
 ) -> DeltaDiscoveryRequest:
-    """An incremental request as the decisions see it."""
+    """Converts an incremental request from protobuf."""
     return DeltaDiscoveryRequest(
         resource_type,
         request.response_nonce,
@@ -267,7 +275,7 @@
         self._service = service
 
     def handler(self) -> grpc.GenericRpcHandler:
-        """What the gRPC server calls."""
+        """The RPC handlers to register with the gRPC server."""
         return grpc.method_handlers_generic_handler(
             "envoy.service.load_stats.v3.LoadReportingService",
             {
@@ -316,25 +324,25 @@
 
 
 def _endpoint_stats(locality: Any) -> list[tuple[str, Any]]:
-    """The statistics of each endpoint by address, or those of the whole locality where there are none."""
-    found = []
+    """The statistics of each endpoint by address, or those of the whole locality if there are none."""
+    statistics = []
     for stats in locality.upstream_endpoint_stats:
         address = stats.address.socket_address
-        found.append((f"{address.address}:{address.port_value}", stats))
-    if not found:
-        found.append((NO_ENDPOINT, locality))
-    return found
+        statistics.append((f"{address.address}:{address.port_value}", stats))
+    if not statistics:
+        statistics.append((NO_ENDPOINT, locality))
+    return statistics
 
 
 class ClientStatusService:
-    """The client status discovery service (CSDS); endpoint_source: of watched files, where there are any."""
+    """The client status discovery service (CSDS); endpoint_source: watched files, None if there are none."""
 
     def __init__(self, service: ServiceContext, endpoint_source: Any = None) -> None:
         self._service = service
         self._endpoint_source = endpoint_source
 
     def handler(self) -> grpc.GenericRpcHandler:
-        """What the gRPC server calls."""
+        """The RPC handlers to register with the gRPC server."""
         return grpc.method_handlers_generic_handler(
             "envoy.service.status.v3.ClientStatusDiscoveryService",
             {
@@ -367,12 +375,14 @@
 def _add_type_status(
     config: csds_pb2.ClientConfig, resource_type: ResourceType, status: dict[str, Any]
 ) -> None:
-    found = config.generic_xds_configs.add(type_url=resource_type.type_url, version_info=status["version"])
+    xds_config = config.generic_xds_configs.add(
+        type_url=resource_type.type_url, version_info=status["version"]
+    )
     if status["synced"]:
-        found.config_status = csds_pb2.SYNCED
+        xds_config.config_status = csds_pb2.SYNCED
     elif status["refused"]:
-        found.config_status = csds_pb2.ERROR
+        xds_config.config_status = csds_pb2.ERROR
     else:
-        found.config_status = csds_pb2.STALE
+        xds_config.config_status = csds_pb2.STALE
     if status["refused"]:
-        found.error_state.details = status["refused"]
+        xds_config.error_state.details = status["refused"]
--- a/wickvane/xds/simulated_proxies.py
+++ b/wickvane/xds/simulated_proxies.py
@@ -1,11 +1,13 @@
-"""Simulates proxies that only follow xDS, behind the dispatchers' own interface, free of I/O.
-
-benchmarks/control.py compares them with dispatchers. A simulated proxy does what the resources say and a
-proxy of the published API can do: of a cluster's endpoints of priority 0, three are drawn and the one with
-the fewest requests over its weight is chosen; those of priority 1 take over as endpoints of priority 0 are
-ejected; a limit on a cluster's requests, past which it rejects at once; endpoints that fail three times in a
-row are ejected. It has no queue and does not retry: a retry budget counts requests in progress, not those
-sent in a window, and cannot keep rule 7.
+"""Simulates proxies that only follow xDS, behind the scheduler's interface.
+
+benchmarks/control.py compares them with dispatchers. A simulated proxy follows the resources, as far as a
+proxy with the published API can: it draws three of a cluster's endpoints with priority 0 and chooses the one
+with the fewest requests relative to its weight; endpoints with priority 1 take over as endpoints with
+priority 0 are ejected; requests beyond the cluster's limit are rejected at once; an endpoint that fails three
+times in a row is ejected. A simulated proxy has no queue and does not retry, because an xDS retry budget
+counts the requests in progress, not those sent in a window, and cannot guarantee rule 7 (the retry budget).
+
+The module does no I/O.
 """
 
 from math import sqrt
@@ -35,14 +37,17 @@
 OVERPROVISIONING_FACTOR = 1.4
 CONSECUTIVE_FAILURES = 3
 TABLE_GROUP_COUNT = 20
-MIN_STEP = 0.5
-MAX_STEP = 2.0
+MIN_GRADIENT = 0.5
+MAX_GRADIENT = 2.0
 PERCENT = 100
 
 
 class GradientLimit:
-    """The adaptive concurrency filter as its documentation says: a limit on requests in progress that moves
-    by the wanted round trip over the measured one, and by its own square root."""
+    """The adaptive concurrency filter, as its documentation describes it.
+
+    The limit on requests in progress is multiplied by the ratio of the target round trip to the measured one,
+    and raised by the square root of the result.
+    """
 
     def __init__(self, settings: AdaptiveConcurrency) -> None:
         self.in_progress = 0
@@ -52,11 +57,11 @@
         self._updated_at = 0
 
     def is_full(self) -> bool:
-        """Whether no further request is admitted."""
+        """Whether further requests are rejected."""
         return self.in_progress >= int(self._limit)
 
     def end_request(self, now: int, round_trip: int) -> None:
-        """Takes in the round trip of a request that has ended."""
+        """Records the round trip of a request that has ended."""
         self.in_progress -= 1
         self._round_trips.append(round_trip)
         if now < self._updated_at + self._settings.update_interval:
@@ -65,10 +70,10 @@
         median = self._round_trips[len(self._round_trips) // 2]
         self._round_trips = []
         self._updated_at = now
-        wanted = self._settings.round_trip * (1 + self._settings.tolerance)
-        step = max(MIN_STEP, min(MAX_STEP, wanted / max(1, median)))
-        grown = step * self._limit + sqrt(step * self._limit)
-        self._limit = max(1.0, min(self._settings.max_concurrency, grown))
+        target = self._settings.round_trip * (1 + self._settings.tolerance)
+        gradient = max(MIN_GRADIENT, min(MAX_GRADIENT, target / max(1, median)))
+        new_limit = gradient * self._limit + sqrt(gradient * self._limit)
+        self._limit = max(1.0, min(self._settings.max_concurrency, new_limit))
 
 
 class _OpenQuery(NamedTuple):
@@ -77,7 +82,7 @@
 
 
 class SimulatedProxies:
-    """One proxy in place of a dispatcher."""
+    """One simulated proxy, which replaces a dispatcher's scheduler."""
 
     def __init__(self, seed: int, deployment: Deployment) -> None:
         self._deployment = deployment
@@ -103,7 +108,9 @@
         self._gradients = [GradientLimit(self._placement.adaptive_concurrency[name]) for name in group_names]
 
     def round(self, now: int, events: list[Any], out: Any) -> None:
-        """Takes in events and writes commands, as wickvane.scheduling.scheduler.Scheduler.round()."""
+        """Applies events and writes commands, with the interface of
+        wickvane.scheduling.scheduler.Scheduler.round().
+        """
         next_step = self._placement.next_step()
         if next_step is not None and now >= next_step:
             self._placement.step(now)
@@ -155,7 +162,7 @@
         out.start_attempt(event.query, self._numbers[name], 0, FOREVER)
 
     def _choose(self, now: int, cluster: str) -> str | None:
-        """The endpoint that a request is sent to, None where there is none."""
+        """The endpoint to which a request is sent, None if there is none."""
         placed = self._placement.endpoints_of(cluster)
         ejected = [endpoint for endpoint in placed if self._ejected_until.get(endpoint.name, 0) > now]
         if len(ejected) * PERCENT > MAX_EJECTION_PERCENT * len(placed):
--- a/wickvane/xds/snapshot_store.py
+++ b/wickvane/xds/snapshot_store.py
@@ -1,11 +1,11 @@
-"""The stored endpoint snapshot: one file, complete or not there.
+"""Stores the endpoint snapshot in one file, which is either complete or absent.
 
     wickvane-list 1 CHECKSUM LENGTH\\n
-    as many bytes of JSON
+    LENGTH bytes of JSON
 
-The checksum is BLAKE2b of 16 bytes over the JSON. The file is written beside the old one, synced to disk and
-renamed over it, so that a crash at any byte leaves the old one. This module alone knows the JSON's field
-names.
+The checksum is BLAKE2b with 16 bytes over the JSON. A new file is written next to the old one, synced to disk
+and renamed over it, so that a crash at any byte leaves the old file intact. Only this module uses the JSON's
+field names.
 """
 
 import os
@@ -28,22 +28,22 @@
 
 
 def encode_snapshot(snapshot: EndpointSnapshot) -> bytes:
-    """The file's bytes."""
+    """Returns the content of the file."""
     body = orjson.dumps(_to_json(snapshot))
     return MAGIC + _checksum(body) + b" %d\n" % len(body) + body
 
 
 def decode_snapshot(data: bytes) -> EndpointSnapshot:
-    """The snapshot in a file's bytes, marked as restored. Raises SnapshotError."""
-    head, newline, body = data.partition(b"\n")
-    words = head.removeprefix(MAGIC).split(b" ")
-    if not newline or not head.startswith(MAGIC) or len(words) != 2 or not words[1].isdigit():
-        raise SnapshotError("it does not begin as a snapshot")
+    """Decodes the content of a file to a snapshot that is marked as restored. Raises SnapshotError."""
+    header, newline, body = data.partition(b"\n")
+    words = header.removeprefix(MAGIC).split(b" ")
+    if not newline or not header.startswith(MAGIC) or len(words) != 2 or not words[1].isdigit():
+        raise SnapshotError("the file does not start with a snapshot header")
     checksum, length = words
     if len(body) != int(length[:MAX_LENGTH_DIGITS]):
-        raise SnapshotError(f"it has {len(body)} octets of {length[:MAX_LENGTH_DIGITS].decode()}")
+        raise SnapshotError(f"the body has {len(body)} bytes, expected {length[:MAX_LENGTH_DIGITS].decode()}")
     if _checksum(body) != checksum:
-        raise SnapshotError("its checksum is another one")
+        raise SnapshotError("the checksum does not match")
     try:
         return _from_json(orjson.loads(body))
     except (ValueError, orjson.JSONDecodeError) as error:
@@ -67,7 +67,7 @@
 
 
 def load_snapshot(folder: str | Path) -> EndpointSnapshot | None:
-    """The snapshot that was saved, None where none was. Raises SnapshotError."""
+    """Returns the saved snapshot, None if there is none. Raises SnapshotError."""
     try:
         with open(os.path.join(folder, FILE_NAME), "rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
@@ -76,7 +76,7 @@
     except OSError as error:
         raise SnapshotError(error.strerror) from None
     if len(data) > MAX_FILE_BYTES:
-        raise SnapshotError("it is too long")
+        raise SnapshotError("the file is too long")
     return decode_snapshot(data)
 
 
@@ -94,21 +94,21 @@
     }
 
 
-def _from_json(found: Any) -> EndpointSnapshot:
-    """Raises ValueError where it is no snapshot."""
+def _from_json(document: Any) -> EndpointSnapshot:
+    """Converts a JSON document to a snapshot. Raises ValueError if it is not a snapshot."""
     try:
-        if found["form"] != FORMAT_VERSION:
-            raise ValueError(f"form {found['form']} is not known")
-        endpoints = [_endpoint_from_json(row) for row in found["engines"]]
+        if document["form"] != FORMAT_VERSION:
+            raise ValueError(f"unknown format version {document['form']}")
+        endpoints = [_endpoint_from_json(row) for row in document["engines"]]
         return EndpointSnapshot(
-            index=int(found["index"]),
+            index=int(document["index"]),
             endpoints=Map({endpoint.name: endpoint for endpoint in endpoints}),
-            removed=Map({name: Removal(index, started_at) for name, index, started_at in found["gone"]}),
-            missing=Map({name: until for name, until in found["missing"]}),
+            removed=Map({name: Removal(index, started_at) for name, index, started_at in document["gone"]}),
+            missing=Map({name: until for name, until in document["missing"]}),
             is_restored=True,
         )
     except (KeyError, TypeError, IndexError) as error:
-        raise ValueError(f"no snapshot of a list: {error}") from None
+        raise ValueError(f"not an endpoint snapshot: {error}") from None
 
 
 def _endpoint_from_json(row: list) -> Endpoint:
--- a/wickvane/xds/snapshot_writer.py
+++ b/wickvane/xds/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Writes the endpoint snapshot to disk behind the event loop, at most a few times a second."""
+"""Writes the endpoint snapshot to disk in a thread, so that the event loop does not wait for the disk."""
 
 import asyncio
 import time
@@ -14,7 +14,10 @@
 
 
 class SnapshotWriter:
-    """The stored snapshot of one instance; folder: None for none; current: the snapshot to write."""
+    """The stored snapshot of one instance.
+
+    folder: None to store nothing; current: returns the snapshot to write.
+    """
 
     def __init__(
         self, folder: str | None, current: Callable[[], EndpointSnapshot], log: Log, counters: Counters
@@ -27,7 +30,7 @@
         self._saved_at = 0.0
 
     def schedule(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Has the snapshot written soon."""
+        """Schedules a write of the snapshot, MIN_SAVE_INTERVAL_S after the previous one at the earliest."""
         if self._folder and self._pending is None:
             pause = MIN_SAVE_INTERVAL_S - (time.monotonic() - self._saved_at)
             self._pending = loop.call_later(max(0.0, pause), self._save_in_thread, loop)
@@ -38,7 +41,7 @@
         loop.run_in_executor(None, self._save, self._current())
 
     def save_now(self) -> None:
-        """Writes the snapshot before it returns."""
+        """Writes the snapshot and returns after it is written."""
         if self._folder:
             self._save(self._current())
 
@@ -50,7 +53,7 @@
             self._log.line("snapshot-failed", why=error.strerror)
 
     def load(self) -> EndpointSnapshot | None:
-        """The stored snapshot, None where there is none that can be read."""
+        """Returns the stored snapshot, None if there is none or it cannot be read."""
         if not self._folder:
             return None
         try:
--- a/wickvane/xds/sotw.py
+++ b/wickvane/xds/sotw.py
@@ -1,4 +1,6 @@
-"""Subscriptions of the state-of-the-world variant: each response is the new state of what it names."""
+"""Subscriptions of the state-of-the-world variant: each response has the full new state of the resources that
+it names.
+"""
 
 from collections.abc import Collection
 from typing import Any
@@ -15,14 +17,14 @@
     def __init__(self, *context: Any) -> None:
         super().__init__(*context)
         self._new_names: set[str] = set()  # subscribed to since the last response
-        self._rejected: tuple[str, str] | None = None  # content of the response that the proxy rejected
+        self._rejected: tuple[str, str] | None = None  # content of the last rejected response
 
     def receive(self, now: int, request: DiscoveryRequest) -> None:
-        """Takes in a request. Raises StreamProtocolError."""
+        """Processes a request. Raises StreamProtocolError."""
         is_first = not self.is_subscribed
         nonce = request.response_nonce
         if nonce and not is_first and nonce != self.last_nonce:
-            # It answers a response that another has overtaken, and its names are outdated.
+            # The request answers an older response than the last one, so its resource names are outdated.
             self._metrics.stale += 1
             self.handle_ack_or_nack(now, nonce, request.error)
             return
@@ -45,7 +47,7 @@
         if is_first and request.version:
             self._record_held_version(request.version)
             self._visible_names = None
-            if self._holds_present_version(request.version):
+            if self._holds_current_version(request.version):
                 has_more = False
         if request.response_nonce and not is_first:
             self.handle_ack_or_nack(now, request.response_nonce, request.error)
@@ -59,8 +61,11 @@
             self._new_names |= names - names_before
         self._new_names &= names
 
-    def _holds_present_version(self, version: str) -> bool:
-        """Whether a reconnected proxy holds all of the present content; it is then not sent again."""
+    def _holds_current_version(self, version: str) -> bool:
+        """Whether a reconnected proxy holds all of the current content, which is then not sent again.
+
+        If it does, the current content is recorded as acknowledged.
+        """
         if content_of(version) != content_of(self.type_version()):
             return False
         self._acknowledged_version = version
@@ -70,7 +75,7 @@
         return True
 
     def _record_rejected(self, sent: SentResponse) -> None:
-        # Which of the resources were rejected is not known: all go again with the next change.
+        # It is not known which of the resources were rejected, so all are sent again with the next change.
         self._rejected = content_of(sent.version)
         self.needs_full_check = True
 
@@ -98,7 +103,7 @@
         return names
 
     def lacks_first_response(self) -> bool:
-        """Whether the proxy waits for a response though there is no listener or cluster for it."""
+        """Whether the proxy waits for a first response although there is no listener or cluster for it."""
         return (
             self.resource_type.allows_wildcard
             and self.is_subscribed
@@ -107,11 +112,11 @@
         )
 
     def drained_names(self, pending: PendingChange) -> tuple[str, ...]:
-        """All names: a response is the whole of its change."""
+        """All names of the change: a response contains the complete change."""
         return pending.names
 
     def mark_up_to_date(self) -> None:
-        """The proxy has all of the catalog's present generation."""
+        """Records that the proxy has all of the catalog's current generation."""
         super().mark_up_to_date()
         self._new_names.clear()
 
--- a/wickvane/xds/stream.py
+++ b/wickvane/xds/stream.py
@@ -1,17 +1,18 @@
-"""One proxy's aggregated discovery stream: which response it is sent next; free of I/O.
+"""One proxy's aggregated discovery stream (ADS): decides which response is sent next.
 
-Both variants of xDS v3 (state of the world, incremental). The order of responses:
+It supports both variants of xDS v3 (state of the world, incremental). The rules for the order of responses:
 
-    drains first       a change that takes an endpoint from the proxy goes ahead of all else, also while
-                       other responses are in flight
-    one in flight      of each type one response is in flight at a time; meanwhile changes gather, so that
-                       a list that flaps costs a slow proxy only the newest state, and none waits for another
-    make before break  clusters, their endpoints, listeners, routes; removals go the other way round
-                       (wickvane.xds.control_plane)
-    resent drains      a drain that is not acknowledged is sent again at a third and at two thirds of the
-                       grace period, and logged at two thirds
+    drains first       a change by which a drain removes an endpoint from the proxy is sent before all others,
+                       even while other responses are in flight
+    one in flight      one response of each type is in flight at a time; changes are collected meanwhile, so
+                       that a slow proxy is sent only the newest state of a flapping list, and no proxy waits
+                       for another one
+    make before break  clusters are sent first, then their endpoints, listeners and routes; removals are made
+                       in the reverse order (wickvane.xds.control_plane)
+    resent drains      a drain that is not acknowledged is sent again after one third and after two thirds of
+                       the grace period, and logged after two thirds
 
-Times are ticks.
+The module does no I/O. Times are ticks.
 """
 
 from collections.abc import Callable, Collection
@@ -28,23 +29,23 @@
 
 SEND_ORDER = (ResourceType.CDS, ResourceType.EDS, ResourceType.LDS, ResourceType.RDS)
 MAX_NAME_CHARACTERS = 512
-MIN_RESPONSE_INTERVAL_TICKS = 500  # ticks between two responses of a type, drains excepted
-MAX_REQUESTS_PER_WINDOW = 20_000  # in one window
-REQUEST_WINDOW_TICKS = 100_000  # ticks
-NAMES_COUNTED_AS_A_REQUEST = 100  # so many names count as one request more
+MIN_RESPONSE_INTERVAL_TICKS = 500  # between two responses of a type, except drains
+MAX_REQUESTS_PER_WINDOW = 20_000
+REQUEST_WINDOW_TICKS = 100_000
+NAMES_COUNTED_AS_A_REQUEST = 100  # each 100 names in a request count as one additional request
 MAX_DRAIN_RESENDS = 2
 SUBSCRIPTION_CLASSES = {Variant.SOTW: SotwSubscription, Variant.DELTA: DeltaSubscription}
 
 
 class RequestLimiter:
-    """The limits on what a proxy may request."""
+    """Limits the rate of a proxy's requests and the length of the names in them."""
 
     def __init__(self, now: int) -> None:
         self._count = 0
         self._window_start = now
 
     def check(self, now: int, names: Collection[str]) -> None:
-        """Counts a request with these names. Raises StreamProtocolError past a limit."""
+        """Counts a request with these names. Raises StreamProtocolError if it exceeds a limit."""
         if now - self._window_start > REQUEST_WINDOW_TICKS:
             self._count = 0
             self._window_start = now
@@ -59,7 +60,7 @@
     """One proxy's stream.
 
     is_visible(node, type, name): whether a node may see a resource; grace: ticks within which the proxy must
-    have a drain; ttl: time to live of endpoints in ticks, 0 for none.
+    acknowledge a drain; ttl: time to live of endpoints in ticks, 0 for none.
     """
 
     def __init__(
@@ -96,7 +97,7 @@
         return self._is_visible_to(self.node, resource_type, name)
 
     def receive(self, now: int, request: DiscoveryRequest | DeltaDiscoveryRequest) -> None:
-        """Takes in a request of the stream's variant. Raises StreamProtocolError."""
+        """Processes a request of the stream's variant. Raises StreamProtocolError."""
         match request:
             case DiscoveryRequest():
                 self._limiter.check(now, request.resource_names)
@@ -106,13 +107,16 @@
         self.subscriptions[request.resource_type].receive(now, request)
 
     def reset_visibility(self, is_node_unknown: bool) -> None:
-        """Which resources the node may see has changed, or the node is no longer known at all."""
+        """Must be called after the set of resources that the node may see has changed.
+
+        is_node_unknown: no rule matches the node any longer, and the stream is to be ended.
+        """
         self._is_node_unknown = is_node_unknown
         for subscription in self.subscriptions:
             subscription.reset_visibility()
 
     def next_response(self, now: int) -> DiscoveryResponse | None:
-        """The response to send now, None where there is none. Raises StreamProtocolError."""
+        """The response to send now, None if there is none. Raises StreamProtocolError."""
         if self._is_node_unknown:
             raise StreamProtocolError("this node is no longer known here")
         pending_endpoints = self.endpoints.pending()
@@ -154,7 +158,7 @@
         return self.endpoints.make_response(now, self._next_nonce(), change, is_complete)
 
     def _next_resend(self) -> int | None:
-        """When a drain is to be sent again, None for never."""
+        """When a drain must be sent again, None if no drain must be sent again."""
         drain = self.endpoints.unacknowledged_drain
         if drain is None or drain.resends >= MAX_DRAIN_RESENDS:
             return None
@@ -190,8 +194,10 @@
         return endpoints.make_heartbeat(now, self._next_nonce(), names)
 
     def next_response_time(self, now: int) -> int | None:
-        """When next_response(), which has nothing now, may have something though nothing else happens; None
-        for never."""
+        """When next_response() may next return a response if no event happens before; None for never.
+
+        It is called after next_response() has returned None.
+        """
         times = [
             subscription.last_sent_at + MIN_RESPONSE_INTERVAL_TICKS
             for subscription in self.subscriptions
@@ -205,13 +211,13 @@
         return min((time for time in times if time > now), default=None)
 
     def take_log_events(self) -> list[StreamEvent]:
-        """What is to be logged since the last call."""
+        """Returns the events to log since the last call."""
         events = self._log_events.copy()
         self._log_events.clear()
         return events
 
     def status(self, now: int) -> dict[str, dict]:
-        """What operators see, by type."""
+        """The status for operators, by type."""
         return {
             subscription.resource_type.name: subscription.status(now)
             for subscription in self.subscriptions
--- a/wickvane/xds/subscription.py
+++ b/wickvane/xds/subscription.py
@@ -1,8 +1,8 @@
-"""What one stream has subscribed to of one resource type, was sent, acknowledged and rejected; free of I/O.
+"""The subscription of one stream to one resource type: names, responses sent, ACKs and NACKs.
 
-The two variants of the protocol differ in how requests are read and changes are found: sotw.py and delta.py.
-Content that was rejected is not sent again until it changes; the proxy goes on with the last good one.
-Times are ticks.
+The two variants of the protocol differ in how requests are read and changes are found, see sotw.py and
+delta.py. Rejected content is not sent again until it changes; the proxy continues with the last content that
+it accepted. The module does no I/O. Times are ticks.
 """
 
 from abc import ABC, abstractmethod
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class StreamMetrics:
-    """What one stream has sent and received; ack_latency: ticks, of the slowest lately."""
+    """Counters of one stream; ack_latency: decaying maximum of the latency of ACKs and NACKs, in ticks."""
 
     sent: int = 0
     acknowledged: int = 0
@@ -36,7 +36,7 @@
     ack_latency: int = 0
 
     def counts(self) -> dict[str, int]:
-        """The counts by the names that status and log have."""
+        """The counts by their names in status and log."""
         return {
             "sent": self.sent,
             "acknowledged": self.acknowledged,
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class UnacknowledgedDrain:
-    """A drain that the proxy has not acknowledged; generation: of the first response with it."""
+    """A drain that the proxy has not acknowledged; generation: that of the first response with the drain."""
 
     generation: int
     since: int
@@ -57,7 +57,10 @@
 
 
 class PendingChange(NamedTuple):
-    """What a proxy lacks: names to send, names to remove, whether one of them takes an endpoint from it."""
+    """A change that a proxy has not been sent: names to send and names to remove.
+
+    is_drain: by one of the resources, a drain removes an endpoint from the proxy.
+    """
 
     names: tuple[str, ...] = ()
     removed: tuple[str, ...] = ()
@@ -89,9 +92,9 @@
         self.last_sent_at = 0
         self.last_nonce = ""
         self.in_flight: list[SentResponse] = []  # oldest first
-        self.needs_full_check = False  # all resources are to be compared, not those that changed
+        self.needs_full_check = False  # compare all resources, not only changed ones
         self.nack_reason: str | None = None
-        self.newer_index: int | None = None  # of a newer endpoint list that the proxy holds content of
+        self.newer_index: int | None = None  # index of a newer endpoint list whose content the proxy holds
         self.unacknowledged_drain: UnacknowledgedDrain | None = None
         self._catalog = catalog
         self._is_visible = is_visible
@@ -101,7 +104,7 @@
         self._names: set[str] = set()
         self._acknowledged_generation = -1
         self._acknowledged_version = ""
-        self._had_resources = False  # the proxy held some before this stream
+        self._had_resources = False  # the proxy held resources before this stream
         self._has_response = False
         self._visible_names: _VisibleNames | None = None
         self._heartbeat_at = 0
@@ -109,7 +112,7 @@
     # requests
 
     def _record_held_version(self, text: str) -> None:
-        """The proxy holds a resource from an earlier stream."""
+        """Records the version of a resource that the proxy holds from an earlier stream."""
         self._had_resources = True
         version = parse_version(text)
         catalog = self._catalog
@@ -119,7 +122,10 @@
         self._report(ProxyAhead(self.resource_type, version.index, catalog.index))
 
     def handle_ack_or_nack(self, now: int, nonce: str, error: str | None) -> None:
-        """Takes in an ACK, or a NACK with its reason; all responses sent before are settled too."""
+        """Processes an ACK, or a NACK with its reason (error).
+
+        All earlier responses in flight count as answered too.
+        """
         position = next((n for n, sent in enumerate(self.in_flight) if sent.nonce == nonce), None)
         if position is None:
             return
@@ -147,11 +153,11 @@
 
     @abstractmethod
     def _record_rejected(self, sent: SentResponse) -> None:
-        """Notes content so that it is not sent again."""
+        """Records rejected content, so that it is not sent again."""
 
     @abstractmethod
     def _clear_rejected(self, sent: SentResponse) -> None:
-        """Notes that the proxy has accepted a response."""
+        """Removes the record of rejected content after the proxy has accepted a response."""
 
     @abstractmethod
     def _has_rejected(self) -> bool:
@@ -165,12 +171,12 @@
     # pending changes
 
     def reset_visibility(self) -> None:
-        """Which resources the node may see has changed."""
+        """Must be called after the set of resources that the node may see has changed."""
         self._visible_names = None
         self.needs_full_check = self.is_subscribed
 
     def visible_names(self) -> frozenset[str]:
-        """Existing resources that it has subscribed to and may see."""
+        """Names of existing resources that the node has subscribed to and may see."""
         name_changes = self._catalog.name_changes[self.resource_type]
         if self._visible_names is None or self._visible_names.name_changes != name_changes:
             resources = self._catalog.resources[self.resource_type]
@@ -180,12 +186,14 @@
         return self._visible_names.names
 
     def type_version(self) -> str:
-        """The version of all that it may see of the type."""
+        """The version of all visible resources of the type."""
         return self._catalog.type_version(self.resource_type, self.visible_names())
 
     def is_proxy_ahead(self) -> bool:
-        """Whether the proxy knows a newer endpoint list than this instance: then it keeps what it has, since
-        an endpoint that has drained could come back by the older one."""
+        """Whether the proxy holds content of a newer endpoint list than this instance's list.
+
+        Then nothing is sent, because the older list could restore an endpoint that has drained.
+        """
         if self.newer_index is None or self.resource_type != ResourceType.EDS:
             return False
         if not self._catalog.is_behind(self.newer_index):
@@ -195,7 +203,7 @@
         return self.newer_index is not None
 
     def pending(self) -> PendingChange:
-        """What the proxy lacks now."""
+        """The change that the proxy has not been sent yet."""
         if not self.is_subscribed or self.is_proxy_ahead():
             return NO_CHANGE
         changed = self._catalog.changed_since(self.resource_type, self.sent_generation)
@@ -210,15 +218,15 @@
 
     @abstractmethod
     def _has_new_names(self) -> bool:
-        """Whether names were subscribed to since the last response, beyond what needs_full_check covers."""
+        """Whether names were subscribed to since the last response that needs_full_check does not cover."""
 
     @abstractmethod
     def _compare_all(self) -> tuple[Collection[str], Collection[str]]:
-        """Names to send and names to remove, by all resources."""
+        """Names to send and names to remove, found by comparing all resources."""
 
     @abstractmethod
     def _compare(self, changed: Collection[str]) -> tuple[Collection[str], Collection[str]]:
-        """Names to send and names to remove, by the names that have changed."""
+        """Names to send and names to remove, found by comparing only changed resources."""
 
     def _takes_endpoint(self, names: Collection[str]) -> bool:
         if self.resource_type != ResourceType.EDS or not (self.sent_generation or self._had_resources):
@@ -227,15 +235,15 @@
         return any(resources[name].drained_at > self.sent_generation for name in names)
 
     def lacks_first_response(self) -> bool:
-        """Whether the proxy waits for a response though there is no resource for it."""
+        """Whether the proxy waits for a first response although there is no resource for it."""
         return False
 
     @abstractmethod
     def drained_names(self, pending: PendingChange) -> tuple[str, ...]:
-        """Of a pending change with a drain, the names that go ahead of all else."""
+        """The names of a pending change with a drain that must be sent before all others."""
 
     def mark_up_to_date(self) -> None:
-        """The proxy has all of the catalog's present generation."""
+        """Records that the proxy has all of the catalog's current generation."""
         self.sent_generation = self._catalog.generation
         self.needs_full_check = self.needs_full_check and self._has_rejected()
 
@@ -244,7 +252,10 @@
     def make_response(
         self, now: int, nonce: str, change: PendingChange, is_complete: bool = True
     ) -> DiscoveryResponse:
-        """The response with a change, noted as in flight; is_complete: no more of the change follows."""
+        """Returns the response with a change and records it as in flight.
+
+        is_complete: the response contains the complete change; otherwise the rest is sent later.
+        """
         catalog = self._catalog
         resources: dict[str, CachedResource] = catalog.resources[self.resource_type]
         resource_versions = tuple(resources[name].version for name in change.names)
@@ -268,19 +279,19 @@
 
     @abstractmethod
     def _record_sent(self, nonce: str, change: PendingChange, resource_versions: tuple[str, ...]) -> str:
-        """Notes what the proxy will hold; the response's version."""
+        """Records what the proxy will hold, and returns the response's version."""
 
     def in_flight_names(self) -> tuple[str, ...]:
-        """Existing resources that are in a response in flight."""
+        """Names of existing resources that are in a response in flight."""
         names = {name for sent in self.in_flight for name in sent.names}
         return tuple(sorted(names & set(self._catalog.resources[self.resource_type])))
 
     def next_heartbeat(self, ttl: int) -> int:
-        """When the resources' time to live is to be renewed, a third of it after the last time."""
+        """When the resources' time to live must be renewed: one third of it after the last renewal."""
         return self._heartbeat_at + ttl // 3
 
     def heartbeat_names(self) -> tuple[str, ...]:
-        """Names of resources whose time to live the proxy counts."""
+        """Names of resources whose time to live must be renewed, none before the first ACK."""
         if self._acknowledged_generation < 0:
             return ()
         return tuple(sorted(self._held_names()))
@@ -290,7 +301,7 @@
         """Names of resources that the proxy holds."""
 
     def make_heartbeat(self, now: int, nonce: str, names: tuple[str, ...]) -> DiscoveryResponse:
-        """A response that renews the resources' time to live, without their bodies."""
+        """Returns a response without bodies, which renews the resources' time to live."""
         self._heartbeat_at = now
         version = self._record_heartbeat(nonce)
         resources = self._catalog.resources[self.resource_type]
@@ -299,22 +310,22 @@
 
     @abstractmethod
     def _record_heartbeat(self, nonce: str) -> str:
-        """Notes the nonce; the heartbeat's version."""
+        """Records the nonce, and returns the heartbeat's version."""
 
-    # what operators see
+    # status
 
     def is_fully_answered(self) -> bool:
-        """Whether the proxy has acknowledged or rejected all of the catalog's present generation."""
+        """Whether the proxy has acknowledged or rejected all of the catalog's current generation."""
         if not self.is_subscribed:
             return True
         return not self.in_flight and self.sent_generation >= self._catalog.generation
 
     def unacknowledged_time(self, now: int) -> int:
-        """For how long the oldest response in flight has not been acknowledged."""
+        """How long the oldest response in flight has not been answered, in ticks."""
         return now - self.in_flight[0].sent_at if self.in_flight else 0
 
     def status(self, now: int) -> dict[str, Any]:
-        """What operators see, by the names of the client status."""
+        """The status for operators, by the names of the client status."""
         return {
             "version": self._acknowledged_version,
             "synced": self.is_fully_answered() and self.nack_reason is None,
--- a/wickvane/xds/tls.py
+++ b/wickvane/xds/tls.py
@@ -1,4 +1,4 @@
-"""Mutual TLS of the service's port."""
+"""Mutual TLS for the service's port."""
 
 import os
 from collections.abc import Iterable
@@ -13,9 +13,10 @@
 
 
 def server_credentials(files: TlsFiles) -> grpc.ServerCredentials:
-    """Credentials that are read again whenever a file has changed; files that cannot be used change nothing.
+    """Returns credentials that are read again when a file has changed.
 
-    Raises OSError where the files cannot be read at the start.
+    If changed files cannot be used, the previous credentials remain in use. Raises OSError if the files
+    cannot be read at the start.
     """
 
     def modification_times() -> tuple[int, ...]:
@@ -48,7 +49,7 @@
 
 
 def check_identity(context: grpc.aio.ServicerContext, node: str) -> None:
-    """A node must be named as its certificate, or as something under that name.
+    """Checks that the node's name is a name in its certificate, or starts with such a name and a slash.
 
     Raises StreamRejectedError.
     """
