--- a/tests/cluster/test_guards.py
+++ b/tests/cluster/test_guards.py
@@ -92,7 +92,7 @@
     (a_suspicion_slept_through, "wickvane.cluster.node", "STALL_THRESHOLD", 1 << 60),
     (a_healed_partition, Membership, "accepts_failure", lambda self, now, member: True),
     (a_healed_partition, AntiEntropy, "reconnect", do_nothing),
-    (a_member_that_nobody_hears, FailureDetector, "is_unheard", lambda self, now: False),
+    (a_member_that_nobody_hears, FailureDetector, "is_unanswered", lambda self, now: False),
     (stalls, "wickvane.cluster.suspicion", "MIN_TIMEOUT", TICKS_PER_SECOND // 2),
     (
         a_clock_that_went_back,
--- a/tests/cluster/test_node.py
+++ b/tests/cluster/test_node.py
@@ -5,7 +5,7 @@
 from wickvane.cluster.gossip import entry_of
 from wickvane.cluster.member import ALIVE, SUSPECT
 from wickvane.cluster.message_sender import SEND_BURST, SEND_RATE
-from wickvane.cluster.messages import MAX_DATAGRAM, Message, MessageKind
+from wickvane.cluster.messages import MAX_DATAGRAM_SIZE, Message, MessageKind
 from wickvane.cluster.node import Node
 from wickvane.cluster.wire import Codec
 from wickvane.rehearsal.peers import Fleet
@@ -64,7 +64,7 @@
     for n in range(2_000):
         node.run_round(now, [message._replace(kind=MessageKind(n % 8), counter=n + 1)], transport)
     sizes = [len(codec.seal(sent)) for sent in transport.messages]
-    assert max(sizes) <= MAX_DATAGRAM and len(sizes) > 100
+    assert max(sizes) <= MAX_DATAGRAM_SIZE and len(sizes) > 100
     assert len(sizes) <= SEND_BURST + SEND_RATE * 21 and node.rejected["sent-too-much"]
 
 
--- a/tests/cluster/test_quorum.py
+++ b/tests/cluster/test_quorum.py
@@ -9,10 +9,10 @@
 from wickvane.cluster.quorum import (
     Partition,
     QuorumState,
+    count_members,
     divisor,
     find_partition,
     find_quorum_state,
-    take_census,
 )
 from wickvane.units import TICKS_PER_SECOND
 
@@ -29,7 +29,7 @@
         known = {member.name for member in table.members.values() if member.state != LEFT}
         assert divisor(configured, table) >= max(1, configured, len(known))
         assert divisor(configured, table) >= running
-        reachable, suspected, failed, _ = take_census(table)
+        reachable, suspected, failed, _ = count_members(table)
         own = find_partition(configured, reachable, suspected, failed, True)
         # Two sides of a partition that know of the same whole never both take themselves for the majority.
         whole = max(configured, reachable + suspected + failed)
--- a/wickvane/cluster/__init__.py
+++ b/wickvane/cluster/__init__.py
@@ -1,1 +1,2 @@
-"""Membership between dispatchers by SWIM over UDP: who is alive, who failed, and the quorum state."""
+"""Membership between dispatchers by SWIM over UDP: which members are alive or failed, and the quorum
+state."""
--- a/wickvane/cluster/anti_entropy.py
+++ b/wickvane/cluster/anti_entropy.py
@@ -1,7 +1,8 @@
-"""Anti-entropy: joining through seeds, push-pull sync with random members, and reconnecting to failed ones.
+"""Anti-entropy: joining through seeds, push-pull sync with random members, and reconnecting to failed
+members.
 
-Gossip reaches nearly all members; what it misses is found when two members compare digests and exchange the
-entries of the buckets that differ.
+Gossip reaches nearly all members. The remaining differences are found when two members compare digests and
+exchange the entries of the buckets that differ.
 """
 
 from collections.abc import Iterable, Sequence
@@ -13,21 +14,21 @@
 from wickvane.cluster.member import FAILED, JOINING, Member
 from wickvane.cluster.member_table import MemberTable
 from wickvane.cluster.message_sender import MessageSender
-from wickvane.cluster.messages import MAX_DATAGRAM, MAX_HEADER, Message, MessageKind
+from wickvane.cluster.messages import MAX_DATAGRAM_SIZE, MAX_HEADER_SIZE, Message, MessageKind
 from wickvane.units import TICKS_PER_SECOND
 
 SYNC_INTERVAL = 5 * TICKS_PER_SECOND
 RECONNECT_INTERVAL = 2 * TICKS_PER_SECOND
-SEED_INTERVAL = 30 * TICKS_PER_SECOND  # between requests to seeds where no member is known
+SEED_INTERVAL = 30 * TICKS_PER_SECOND  # between requests to seeds at whose addresses no member is known
 MIN_JOIN_BACKOFF = TICKS_PER_SECOND // 2
 MAX_JOIN_BACKOFF = 30 * TICKS_PER_SECOND
 SEEDS_PER_REQUEST = 3
-MAX_SYNC_DATAGRAMS = 6  # of entries, in one exchange
-JITTER = (0.75, 1.25)  # of an interval
+MAX_SYNC_DATAGRAMS = 6  # datagrams with entries in one exchange
+JITTER_FACTORS = (0.75, 1.25)  # bounds of the random factor of an interval
 
 
 class AntiEntropy:
-    """The exchanges of one dispatcher. seeds: addresses that are asked first."""
+    """The joins, syncs and reconnects of one dispatcher. seeds: the addresses through which it joins."""
 
     def __init__(
         self,
@@ -49,15 +50,15 @@
         self._reconnect_at = now + self._jittered(RECONNECT_INTERVAL)
 
     def _jittered(self, interval: int) -> int:
-        return int(interval * self._random.uniform(*JITTER))
+        return int(interval * self._random.uniform(*JITTER_FACTORS))
 
     def change_seeds(self, now: int, seeds: Sequence[str]) -> None:
-        """Takes other seeds, and asks them at once."""
+        """Replaces the seeds, and sends join requests at once."""
         self.seeds = list(seeds)
         self._join_at = min(self._join_at, now)
 
     def tick(self, now: int) -> None:
-        """Does all that is due."""
+        """Performs all actions that are due."""
         if self.seeds and now >= self._join_at:
             self.request_join(now)
         if now >= self._sync_at:
@@ -69,20 +70,22 @@
             self.reconnect()
 
     def next_at(self) -> int:
-        """When tick() is due next."""
+        """Returns when tick() is due next."""
         next_at = min(self._sync_at, self._reconnect_at)
         return min(next_at, self._join_at) if self.seeds else next_at
 
     def request_join(self, now: int) -> None:
-        """Asks seeds at whose addresses no member is known: with a growing backoff until a member is known,
-        then at intervals, since two clusters that started apart would otherwise never merge."""
+        """Sends a sync to seeds at whose addresses no member is known.
+
+        The interval is an exponential backoff until a member is known, and then SEED_INTERVAL, since two
+        clusters that formed separately would otherwise never merge."""
         living = self._table.living
         known_addresses = {member.address for member in living}
         unknown_seeds = [seed for seed in self.seeds if seed not in known_addresses]
-        is_alone = len(living) == 1
+        knows_no_other = len(living) == 1
         for seed in self._random.sample(unknown_seeds, min(SEEDS_PER_REQUEST, len(unknown_seeds))):
             self._sender.send_sync_to_address(seed)
-        if is_alone:
+        if knows_no_other:
             self._join_at = now + self._jittered(self._join_backoff)
             self._join_backoff = min(MAX_JOIN_BACKOFF, 2 * self._join_backoff)
         else:
@@ -90,8 +93,9 @@
             self._join_backoff = MIN_JOIN_BACKOFF
 
     def reconnect(self) -> None:
-        """Syncs with a failed member, which may only have been cut off: so two sides of a partition merge.
-        Without one, a dispatcher that has not joined yet syncs with any member."""
+        """Syncs with a failed member, which may only have been cut off, so that two partitions merge.
+
+        If no member has failed, a dispatcher that has not joined yet syncs with a random living member."""
         table = self._table
         failed = sorted(
             (member for member in table.dead if member.state == FAILED), key=lambda member: member.slot
@@ -103,7 +107,8 @@
             self._sender.send_sync(self._random.choice(others))
 
     def handle_sync(self, now: int, member: Member, message: Message) -> None:
-        """Another member's digest: sends the entries that it may lack, and the own digest where wanted."""
+        """Handles another member's digest: sends the entries that it may lack, and the own digest if
+        requested."""
         table = self._table
         if len(message.body) != DIGEST_SIZE:
             return
@@ -115,22 +120,22 @@
             self._send_entries(member, table.in_buckets(differing))
 
     def _send_entries(self, receiver: Member, members: Iterable[Member]) -> None:
-        """Sends entries in up to MAX_SYNC_DATAGRAMS full datagrams; the next sync sends the rest."""
-        page_room = MAX_DATAGRAM - MAX_HEADER - max_entry_size(self._table.local)
-        room = page_room
-        page: list[Member] = []
-        page_count = 0
+        """Sends entries in up to MAX_SYNC_DATAGRAMS full datagrams. Later syncs send the rest."""
+        batch_size = MAX_DATAGRAM_SIZE - MAX_HEADER_SIZE - max_entry_size(self._table.local)
+        remaining_size = batch_size
+        batch: list[Member] = []
+        batch_count = 0
         for member in members:
             size = max_entry_size(member)
-            if size > room:
-                self._sender.send(receiver, MessageKind.ENTRIES, required=page)
-                page = []
-                room = page_room
-                page_count += 1
-                if page_count == MAX_SYNC_DATAGRAMS:
+            if size > remaining_size:
+                self._sender.send(receiver, MessageKind.ENTRIES, required=batch)
+                batch = []
+                remaining_size = batch_size
+                batch_count += 1
+                if batch_count == MAX_SYNC_DATAGRAMS:
                     return
             if not member.is_local:
-                page.append(member)
-                room -= size
-        if page:
-            self._sender.send(receiver, MessageKind.ENTRIES, required=page)
+                batch.append(member)
+                remaining_size -= size
+        if batch:
+            self._sender.send(receiver, MessageKind.ENTRIES, required=batch)
--- a/wickvane/cluster/clock.py
+++ b/wickvane/cluster/clock.py
@@ -1,4 +1,4 @@
-"""The clocks of the cluster: ticks that do not step, and the epoch of a member that starts now."""
+"""The clocks of the cluster: a monotonic clock in ticks, and the epoch of a member that starts now."""
 
 import os
 
@@ -9,11 +9,11 @@
 
 
 def now() -> int:
-    """Ticks of a clock that does not step; it goes on while this process is suspended."""
+    """Returns the ticks of a monotonic clock, which also advances while this process is suspended."""
     return clock.monotonic_ns() // NANOSECONDS_PER_TICK
 
 
 def new_epoch() -> int:
-    """The epoch of a member that starts now: the time of day in ticks, and random bits below it."""
+    """Returns the epoch of a member that starts now: the wall clock in ticks, and random low bits."""
     ticks = clock.wall_ns() // NANOSECONDS_PER_TICK
     return ticks << 8 * EPOCH_RANDOM_BYTES | int.from_bytes(os.urandom(EPOCH_RANDOM_BYTES))
--- a/wickvane/cluster/digest.py
+++ b/wickvane/cluster/digest.py
@@ -1,4 +1,5 @@
-"""The anti-entropy digest: one sum a bucket over all living members, compared to find what differs."""
+"""The anti-entropy digest: one checksum for each bucket of living members, compared to find differing
+buckets."""
 
 from wickvane.cluster.member import BUCKET_COUNT, DEAD_STATES, Member, member_hash
 
@@ -8,14 +9,14 @@
 
 
 class BucketDigest:
-    """Sums of the hashes of living members, each in its current incarnation."""
+    """For each bucket the XOR of the hashes of its living members in their current incarnations."""
 
     def __init__(self):
         self.sums = [0] * BUCKET_COUNT
-        self._encoded: bytes | None = None  # kept until the next change
+        self._encoded: bytes | None = None  # cached until the next change
 
     def toggle(self, member: Member) -> None:
-        """Adds a living member to its bucket's sum, or removes it; a dead one is in none."""
+        """Adds a living member to its bucket's sum, or removes it. Does nothing for a dead member."""
         if member.state not in DEAD_STATES:
             value = member_hash(member.name, member.epoch, member.incarnation)
             self.sums[member.bucket] ^= value & SUM_MASK
@@ -27,13 +28,13 @@
         self._encoded = None
 
     def encode(self) -> bytes:
-        """The sums as they are sent."""
+        """Returns the sums as they are sent."""
         if self._encoded is None:
             self._encoded = b"".join(value.to_bytes(SUM_SIZE) for value in self.sums)
         return self._encoded
 
     def differing_buckets(self, encoded: bytes) -> list[int]:
-        """Buckets whose sums differ from those that another member sent."""
+        """Returns the buckets whose sums differ from those that another member sent."""
         own = self.encode()
         if encoded == own:
             return []
--- a/wickvane/cluster/event_log.py
+++ b/wickvane/cluster/event_log.py
@@ -3,7 +3,7 @@
 import time
 from collections import Counter, deque
 
-MAX_EVENTS_KEPT = 200
+MAX_RECENT_EVENTS = 200
 MAX_LINES_PER_PERIOD = 50
 
 
@@ -11,7 +11,7 @@
     """Writes events to the program's log, up to MAX_LINES_PER_PERIOD between two calls of flush()."""
 
     def __init__(self, log, counters):
-        self.recent: deque[dict] = deque(maxlen=MAX_EVENTS_KEPT)
+        self.recent: deque[dict] = deque(maxlen=MAX_RECENT_EVENTS)
         self._log = log
         self._counters = counters
         self._counts: Counter[str] = Counter()
--- a/wickvane/cluster/gossip.py
+++ b/wickvane/cluster/gossip.py
@@ -1,7 +1,9 @@
-"""Dissemination: which members' states ride on the next datagram, and how often each was sent already.
+"""Dissemination: selects the member states that the next datagram carries, and counts how often each was
+sent.
 
-A changed state is sent a number of times that grows with the logarithm of the cluster, the least sent first
-(SWIM, Das, Gupta, Motivala 2002, section 4.1); the few members that all of these miss get it by anti-entropy.
+A changed state is sent a number of times that grows with the logarithm of the cluster's size, and the states
+that were sent the fewest times go first (SWIM, Das, Gupta, Motivala 2002, section 4.1). The few members that
+receive none of these datagrams get the state by anti-entropy.
 """
 
 from collections.abc import Sequence
@@ -12,17 +14,17 @@
 
 from wickvane.cluster.member import MAX_INCARNATION, Member, MemberState
 
-TRANSMISSIONS_PER_DECADE = 4  # of an entry, for each decimal digit of the number of members
-MAX_TRANSMISSIONS = 32  # more than transmission_limit() can be
-MAX_ENTRIES = 30  # in one datagram, whatever room there is
-ENTRY_OVERHEAD = 24  # octets of an entry beside its texts, at most
+TRANSMISSIONS_PER_DECADE = 4  # transmissions of an entry for each decimal digit of the number of members
+MAX_TRANSMISSIONS = 32  # more than transmission_limit() can return
+MAX_ENTRIES_PER_DATAGRAM = 30  # also if more would fit
+MAX_ENTRY_OVERHEAD = 24  # octets of an entry without its texts
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Epoch = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 
 
 class GossipEntry(NamedTuple):
-    """The state of one member as it is sent, with the bounds of its fields on the wire."""
+    """The state of one member as it is sent, with the bounds of its fields."""
 
     name: Name
     epoch: Epoch
@@ -33,7 +35,7 @@
 
 
 def entry_of(member: Member) -> GossipEntry:
-    """A member's state as an entry."""
+    """Returns a member's state as an entry."""
     return GossipEntry(
         member.name,
         member.epoch,
@@ -45,17 +47,17 @@
 
 
 def max_entry_size(member: Member) -> int:
-    """Octets that a member's entry takes on the wire, at most."""
+    """Returns the maximum size of a member's entry in a datagram, in octets."""
     texts = len(member.name.encode()) + len(member.address) + len(member.reported_by.encode())
-    return texts + ENTRY_OVERHEAD
+    return texts + MAX_ENTRY_OVERHEAD
 
 
 class GossipQueue:
-    """Members whose state is still to be disseminated, by how often it was sent."""
+    """The members whose states are still to be disseminated, by how often each was sent."""
 
     def __init__(self):
         self.transmissions: dict[Member, int] = {}
-        # By the number of transmissions: members in the order in which they reached it.
+        # Indexed by the number of transmissions: the members in the order in which they reached it.
         self._by_transmissions: list[dict[Member, None]] = [{} for _ in range(MAX_TRANSMISSIONS)]
 
     def __len__(self) -> int:
@@ -68,7 +70,7 @@
             members.clear()
 
     def enqueue(self, member: Member, transmissions: int = 0) -> None:
-        """Queues a member's state as one that was sent so often."""
+        """Queues a member's state, which was sent `transmissions` times already."""
         self.remove(member)
         self.transmissions[member] = transmissions
         self._by_transmissions[transmissions][member] = None
@@ -79,15 +81,19 @@
         if before is not None:
             del self._by_transmissions[before][member]
 
-    def take(self, room: int, transmission_limit: int, required: Sequence[Member] = ()) -> list[GossipEntry]:
-        """Entries for one datagram of `room` octets, those of `required` first, then the least sent. Counts
-        each as sent, and ends the dissemination of those that reached the limit."""
+    def take(
+        self, max_size: int, transmission_limit: int, required: Sequence[Member] = ()
+    ) -> list[GossipEntry]:
+        """Returns entries for one datagram that have up to `max_size` octets together.
+
+        Those of `required` come first, then the states that were sent the fewest times. Each is counted as
+        sent; the dissemination of those that reached the limit ends."""
         entries = []
         for member in self._candidates(required):
             size = max_entry_size(member)
-            if size > room:
+            if size > max_size:
                 break
-            room -= size
+            max_size -= size
             entries.append(entry_of(member))
             count = self.transmissions.get(member)
             if count is None:
@@ -100,11 +106,13 @@
 
     def _candidates(self, required: Sequence[Member]) -> Sequence[Member]:
         if not self.transmissions:
-            return required[:MAX_ENTRIES]
+            return required[:MAX_ENTRIES_PER_DATAGRAM]
         members = list(required)
         for queued in self._by_transmissions:
-            if len(members) >= MAX_ENTRIES:
+            if len(members) >= MAX_ENTRIES_PER_DATAGRAM:
                 break
             if queued:
-                members.extend(member for member in islice(queued, MAX_ENTRIES) if member not in required)
-        return members[:MAX_ENTRIES]
+                members.extend(
+                    member for member in islice(queued, MAX_ENTRIES_PER_DATAGRAM) if member not in required
+                )
+        return members[:MAX_ENTRIES_PER_DATAGRAM]
--- a/wickvane/cluster/local_health.py
+++ b/wickvane/cluster/local_health.py
@@ -1,17 +1,17 @@
-"""Local health: how far a dispatcher trusts its own verdicts (Lifeguard, Dadgar, Phillips, Currey 2018).
+"""Local health: how reliable a dispatcher's own verdicts are (Lifeguard, Dadgar, Phillips, Currey 2018).
 
-A dispatcher that stalls, or that gets no word even from helpers, is more likely the cause than those that it
-probes: it probes less often and gives suspects longer.
+If a dispatcher stalls, or receives nothing even from helpers, the fault is more likely its own than that of
+the members that it probes. It then probes less often and uses longer suspicion timeouts.
 """
 
 from wickvane.units import TICKS_PER_SECOND
 
-MAX_SCORE = 4  # a probe period is up to five times as long
-SETTLING_PERIODS = 4  # probe periods after a stall, before what is believed is relied upon
+MAX_SCORE = 4  # the probe period is at most five times as long
+SETTLING_PERIODS = 4  # probe periods after a stall before the known states of members are relied upon
 
 
 class LocalHealth:
-    """Lifeguard's local health multiplier. score: 0 is healthy."""
+    """Lifeguard's local health multiplier. score: 0 if healthy, higher the more faults were observed."""
 
     def __init__(self, now: int):
         self.score = 0
@@ -20,23 +20,23 @@
 
     @property
     def multiplier(self) -> int:
-        """By how much a probe period is longer."""
+        """The factor by which the probe period is multiplied."""
         return 1 + self.score
 
     def improve(self) -> None:
-        """A probe was answered."""
+        """Records that a probe was acknowledged."""
         self.score = max(0, self.score - 1)
 
     def degrade(self, steps: int = 1) -> None:
-        """So many messages are missing that should have arrived."""
+        """Records that `steps` expected messages did not arrive."""
         self.score = min(MAX_SCORE, self.score + steps)
 
     def record_stall(self, now: int) -> None:
-        """The process was suspended, or kept from its core."""
+        """Records that the process was suspended or not scheduled on a processor."""
         self.stall_count += 1
         self.last_stall_at = now
         self.degrade()
 
     def is_settled(self, now: int, probe_period: int) -> bool:
-        """Whether the last stall is long enough ago."""
+        """Returns whether the last stall is more than SETTLING_PERIODS probe periods ago."""
         return now - self.last_stall_at > SETTLING_PERIODS * probe_period
--- a/wickvane/cluster/member_table.py
+++ b/wickvane/cluster/member_table.py
@@ -1,7 +1,7 @@
-"""Storage of the members that a dispatcher knows: indexes, tombstones and what is derived from them.
+"""Storage of the members that a dispatcher knows: indexes, tombstones and the data derived from them.
 
-The digest, the view and the gossip queue are kept up to date with each addition and removal. All is bounded:
-members by `capacity`, tombstones by MAX_TOMBSTONES.
+Each addition and removal also updates the digest, the view and the gossip queue. The number of members is
+bounded by `capacity`, that of tombstones by MAX_TOMBSTONES.
 """
 
 from collections import OrderedDict
@@ -23,15 +23,15 @@
 
 
 class MemberTable:
-    """All members by id and by name. local: the dispatcher itself, in slot 0, never removed."""
+    """All members by id and by name. local: this dispatcher itself, which has slot 0 and is never removed."""
 
     def __init__(self, now: int, name: str, epoch: int, address: str, capacity: int):
         self.capacity = capacity
         self.members: dict[MemberId, Member] = {}
         self.by_name: dict[str, list[Member]] = {}
-        self.living: list[Member] = []  # joining, alive or suspect, and the dispatcher itself
+        self.living: list[Member] = []  # joining, alive or suspect members, and this dispatcher itself
         self.dead: set[Member] = set()
-        # Name: no member of it up to this epoch can run any more.
+        # By name: all members of the name with this epoch or an earlier one have ended.
         self.tombstones: OrderedDict[str, int] = OrderedDict()
         self.digest = BucketDigest()
         self.view = MembershipView(self.by_name)
@@ -54,7 +54,7 @@
             reported_by=entry.reported_by,
             state_changed_at=now,
             bucket=bucket_of(entry.name),
-            slot=self._take_slot(),
+            slot=self._allocate_slot(),
         )
         self.members[member.id] = member
         self.by_name.setdefault(member.name, []).append(member)
@@ -64,18 +64,18 @@
         self.view.refresh(member.name)
         return member
 
-    def _take_slot(self) -> int:
+    def _allocate_slot(self) -> int:
         if self._free_slots:
             return self._free_slots.pop()
         self._slot_count += 1
         return self._slot_count - 1
 
     def remove(self, member: Member) -> None:
-        """Forgets a member. A tombstone bars old gossip from bringing it back."""
+        """Removes a member. A tombstone prevents outdated gossip from adding it again."""
         self.digest.toggle(member)
-        # A newcomer in its first incarnation cannot have been reported dead before.
+        # A joining member in its first incarnation cannot have been reported as dead before.
         if member.state in DEAD_STATES or member.incarnation:
-            self._bury(member)
+            self._add_tombstone(member)
         if member.living_index >= 0:
             self._remove_living(member)
         self.dead.discard(member)
@@ -87,14 +87,14 @@
         if not self.by_name[member.name]:
             del self.by_name[member.name]
 
-    def _bury(self, member: Member) -> None:
+    def _add_tombstone(self, member: Member) -> None:
         epoch = max(member.epoch, self.tombstones.pop(member.name, 0))
         self.tombstones[member.name] = epoch
         if len(self.tombstones) > MAX_TOMBSTONES:
             self.tombstones.popitem(last=False)
 
     def change_local_epoch(self, epoch: int) -> None:
-        """Gives the dispatcher itself a new epoch in its first incarnation."""
+        """Gives this dispatcher a new epoch in its first incarnation."""
         local = self.local
         del self.members[local.id]
         self.digest.toggle(local)
@@ -104,8 +104,8 @@
         self.digest.toggle(local)
 
     def index_state(self, member: Member) -> None:
-        """Puts a member among the living or the dead, by its state. The dispatcher itself stays among the
-        living."""
+        """Moves a member to the living or the dead members by its state. This dispatcher itself always counts
+        as living."""
         if member.state in DEAD_STATES and not member.is_local:
             if member.living_index >= 0:
                 self._remove_living(member)
@@ -116,7 +116,8 @@
             self.living.append(member)
 
     def _remove_living(self, member: Member) -> None:
-        """In constant time: the last of the list takes the place."""
+        """Removes a member from the list of living members in constant time, by moving the last one to its
+        position."""
         last = self.living.pop()
         if last is not member:
             self.living[member.living_index] = last
@@ -124,21 +125,21 @@
         member.living_index = -1
 
     def is_living(self, member: Member) -> bool:
-        """Whether a member is in the table and not dead."""
+        """Returns whether a member is in the table and not dead."""
         return member.living_index >= 0
 
     def transmission_limit(self) -> int:
-        """How often a state is sent: all but a few in ten thousand members receive it."""
+        """Returns how often a state is sent. All but a few in ten thousand members then receive it."""
         return TRANSMISSIONS_PER_DECADE * max(1, len(str(len(self.living))))
 
     def in_buckets(self, buckets: Iterable[int]) -> list[Member]:
-        """The members of digest buckets."""
+        """Returns the members in digest buckets."""
         wanted = set(buckets)
         return [member for member in self.members.values() if member.bucket in wanted]
 
     def fill(self, alive: dict[MemberId, Member], sums: list[int], view_digest: int) -> None:
-        """Replaces all by copies of members that are alive and in a view, one of each name, the dispatcher
-        itself first; nothing is left to disseminate. For simulations of large clusters."""
+        """Replaces the contents by copies of members that are alive and in a view, one of each name, this
+        dispatcher first. No state remains to be disseminated. Used by simulations of large clusters."""
         members = [
             Member(
                 name=member.name,
--- a/wickvane/cluster/message_receiver.py
+++ b/wickvane/cluster/message_receiver.py
@@ -1,6 +1,7 @@
-"""Receiving: rejects replayed messages and those of or for a former epoch, applies gossip, and dispatches.
+"""Receiving: rejects replayed messages and those from or for a former epoch, applies gossip, and calls
+handlers.
 
-Every message bears its sender's name, epoch and a counter, and the epoch of its receiver.
+Every message has its sender's name, epoch and a counter, and the epoch of its receiver.
 """
 
 from collections import Counter
@@ -14,14 +15,16 @@
 from wickvane.cluster.probing import Probing
 from wickvane.units import TICKS_PER_SECOND
 
-NOTIFY_INTERVAL = TICKS_PER_SECOND // 5  # between answers to members of former epochs
+NOTIFY_INTERVAL = TICKS_PER_SECOND // 5  # minimum time between notifications about former epochs
 
 MessageHandler = Callable[[int, Member, Message], None]
 
 
 class MessageReceiver:
-    """Handles received messages. handlers: by kind; a kind without one has its entries applied, and no more.
-    rejected: counts by reason."""
+    """Handles received messages.
+
+    handlers: by kind; of a kind without a handler only the entries are applied. rejected: counts by
+    reason."""
 
     def __init__(
         self,
@@ -52,7 +55,7 @@
                 self.reject("replayed")
                 return
             if member.state == LEFT:
-                self._receive_after_end(now, member, message)
+                self._receive_after_leave(now, member, message)
                 return
         self._probing.apply_entry(now, message.entries[0], direct=True)
         if member is None:
@@ -70,7 +73,7 @@
             self._dispatch(now, member, message)
 
     def _is_addressed(self, now: int, message: Message) -> bool:
-        """Whether a message is another member's, with its own entry first, and for this epoch."""
+        """Returns whether a message is from another member, begins with its entry, and is for this epoch."""
         local = self._table.local
         sender = (message.sender, message.sender_epoch)
         if sender == (local.name, local.epoch):
@@ -82,22 +85,23 @@
         is_join_request = message.receiver_epoch == 0 and message.kind == MessageKind.SYNC
         if message.receiver_epoch == local.epoch or is_join_request:
             return True
-        # For a former epoch of this dispatcher: it has no effect, but its sender learns of the present one.
+        # A message for a former epoch of this dispatcher has no effect, but its sender is sent the current
+        # epoch.
         if message.receiver_epoch < local.epoch and now >= self._notify_at:
             self._notify_at = now + NOTIFY_INTERVAL
             self._sender.send_sync_to_address(message.entries[0].address)
         self.reject("former-receiver")
         return False
 
-    def _receive_after_end(self, now: int, member: Member, message: Message) -> None:
-        """A message of a member that has left: it may still send payloads while it shuts down."""
+    def _receive_after_leave(self, now: int, member: Member, message: Message) -> None:
+        """Handles a message from a member that has left. It may still send payloads while it shuts down."""
         if message.kind == MessageKind.PAYLOAD and message.entries[0].state == LEFT:
             self._dispatch(now, member, message)
         else:
             self.notify_ended(now, message.entries[0])
 
     def _find_new_sender(self, now: int, message: Message) -> Member | None:
-        """The member that the sender's entry added; None where it was not accepted."""
+        """Returns the member that the sender's entry added, None if it was not accepted."""
         member = self._table.members.get((message.sender, message.sender_epoch))
         if member is None and message.sender_epoch > self._table.tombstones.get(message.sender, 0):
             self.reject("full")
@@ -109,21 +113,24 @@
         return member
 
     def notify_ended(self, now: int, entry: GossipEntry) -> None:
-        """Notifies a sender that it counts as left here, so that it starts a new epoch: an operator forgot
-        it, or its clock went back behind a former epoch's at its address."""
+        """Notifies a sender that it counts as left here, so that it starts a new epoch.
+
+        This occurs after an operator marked it as left, or after its clock went back, so that a former run at
+        its address has a later epoch."""
         self.reject("former-life")
         if entry.state == LEFT or now < self._notify_at:
             return
         self._notify_at = now + NOTIFY_INTERVAL
         table = self._table
-        namesakes = table.by_name.get(entry.name, ())
-        epochs = [member.epoch for member in namesakes if member.address == entry.address]
+        same_name_members = table.by_name.get(entry.name, ())
+        epochs = [member.epoch for member in same_name_members if member.address == entry.address]
         last_epoch = max(entry.epoch, table.tombstones.get(entry.name, 0), *epochs)
         ended = GossipEntry(entry.name, last_epoch, entry.address, 0, LEFT, table.local.name)
         self._sender.send_to_address(entry.address, entry.epoch, MessageKind.GOSSIP, foreign_entries=[ended])
 
     def _confirm_joined(self, now: int) -> None:
-        """A message for this very epoch: another member knows this dispatcher, which has joined."""
+        """Marks this dispatcher as joined after a message for its epoch, which shows that a member knows
+        it."""
         local = self._table.local
         if local.state == JOINING:
             self._membership.transition(now, local, local.incarnation, ALIVE, "")
@@ -135,5 +142,5 @@
             handler(now, member, message)
 
     def reject(self, reason: str) -> None:
-        """Counts a message that has no effect."""
+        """Counts a rejected message."""
         self._rejected[reason] += 1
--- a/wickvane/cluster/message_sender.py
+++ b/wickvane/cluster/message_sender.py
@@ -1,6 +1,6 @@
-"""Sending: every message bears the sender's identity, view and counter, and as much gossip as fits.
+"""Sending: every message has the sender's identity, view and counter, and as many gossip entries as fit.
 
-A token bucket bounds what leaves, whatever the size of the cluster and whatever arrives.
+A token bucket limits the sending rate, independently of the size of the cluster and of the messages received.
 """
 
 from collections import Counter
@@ -10,23 +10,23 @@
 from wickvane.cluster.gossip import GossipEntry
 from wickvane.cluster.member import FAILED, SUSPECT, Member, MemberId
 from wickvane.cluster.member_table import MemberTable
-from wickvane.cluster.messages import MAX_DATAGRAM, MAX_HEADER, Message, MessageKind
+from wickvane.cluster.messages import MAX_DATAGRAM_SIZE, MAX_HEADER_SIZE, Message, MessageKind
 from wickvane.units import TICKS_PER_SECOND
 
-SEND_RATE = 100  # datagrams a second
+SEND_RATE = 100  # datagrams per second
 SEND_BURST = 200  # datagrams
-MAX_FOREIGN_ENTRY = 200  # octets of an entry that is not from the table
+MAX_FOREIGN_ENTRY_SIZE = 200  # octets of an entry for a member that is not in the table
 
 
 class Transport(Protocol):
-    """What delivers messages. It raises nothing: a message that cannot be sent is lost."""
+    """Delivers messages. It raises no error: a message that cannot be sent is lost."""
 
     def send(self, address: str, message: Message) -> None:
         """Sends a message to an address."""
 
 
 class MessageSender:
-    """Makes messages and hands them to the transport of the running round. rejected: counts by reason."""
+    """Builds messages and passes them to the transport of the current round. rejected: counts by reason."""
 
     def __init__(self, now: int, table: MemberTable, rejected: Counter):
         self._table = table
@@ -38,20 +38,20 @@
         self._transport: Transport | None = None
 
     def begin(self, now: int, transport: Transport) -> None:
-        """Sends by `transport` until end()."""
+        """Makes `transport` send all messages until end() is called."""
         self._now = now
         self._transport = transport
 
     def end(self) -> None:
-        """Nothing is sent until the next begin()."""
+        """Releases the transport. No message may be sent until the next begin()."""
         self._transport = None
 
     def send_sync(self, member: Member) -> None:
-        """Sends the digest of the table to a member, and asks for its own."""
+        """Sends the digest of the table to a member, and requests the member's digest."""
         self.send(member, MessageKind.SYNC, 1, body=self._table.digest.encode())
 
     def send_sync_to_address(self, address: str) -> None:
-        """The same to whichever member is at an address."""
+        """Sends the digest to an address, and requests the digest of the member there."""
         self.send_to_address(address, 0, MessageKind.SYNC, 1, body=self._table.digest.encode())
 
     def send(
@@ -63,8 +63,9 @@
         body: bytes = b"",
         required: Sequence[Member] = (),
     ) -> None:
-        """Sends to a member, with the entries of `required` and others. One that is suspected or failed
-        receives its own entry too, so that it can refute."""
+        """Sends a message to a member, with the entries of `required` and further ones that fit.
+
+        A suspected or failed member also receives its own entry, so that it can refute."""
         if member.state in (SUSPECT, FAILED):
             required = [member, *required]
         self.send_to_address(member.address, member.epoch, kind, sequence, subject, body, required)
@@ -80,16 +81,18 @@
         required: Sequence[Member] = (),
         foreign_entries: Sequence[GossipEntry] = (),
     ) -> None:
-        """Sends to an address. foreign_entries: of members that are not in the table."""
+        """Sends a message to an address. foreign_entries: entries of members that are not in the table."""
         if not self._take_token():
             self._rejected["sent-too-much"] += 1
             return
         table = self._table
         local = table.local
         self._counter += 1
-        room = MAX_DATAGRAM - MAX_HEADER - len(body) - MAX_FOREIGN_ENTRY * len(foreign_entries)
+        max_entries_size = (
+            MAX_DATAGRAM_SIZE - MAX_HEADER_SIZE - len(body) - MAX_FOREIGN_ENTRY_SIZE * len(foreign_entries)
+        )
         members = [local, *(member for member in required if member is not local)]
-        entries = table.gossip.take(room, table.transmission_limit(), members)
+        entries = table.gossip.take(max_entries_size, table.transmission_limit(), members)
         entries[1:1] = foreign_entries
         message = Message(
             kind,
--- a/wickvane/cluster/messages.py
+++ b/wickvane/cluster/messages.py
@@ -1,4 +1,4 @@
-"""The messages that members exchange, as typed values with the bounds of their fields on the wire."""
+"""The messages that members exchange, as typed values with the bounds of their fields."""
 
 from enum import IntEnum
 from typing import Annotated, NamedTuple
@@ -7,26 +7,26 @@
 
 from wickvane.cluster.gossip import Epoch, GossipEntry, Name
 
-MAX_DATAGRAM = 1200  # octets, so that no path fragments it
-MAX_HEADER = 180  # octets of a datagram beside its entries and body
-MAX_BODY = 960
+MAX_DATAGRAM_SIZE = 1200  # octets; small enough that no network path fragments it
+MAX_HEADER_SIZE = 180  # octets of a datagram without its entries and body
+MAX_BODY_SIZE = 960  # octets
 MAX_WIRE_ENTRIES = 40
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 
 
 class MessageKind(IntEnum):
-    """What a message is for; gossip entries ride on each."""
+    """The purpose of a message. Messages of every kind also carry gossip entries."""
 
     PING = 0
     ACK = 1
-    PING_REQUEST = 2  # an indirect probe: ping `subject` for the sender
-    NACK = 3  # `subject` did not acknowledge to a helper
-    RELAYED_ACK = 4  # `subject` acknowledged to a helper
-    SYNC = 5  # the digest of a table, for anti-entropy
-    ENTRIES = 6  # the entries that a digest showed to differ
-    GOSSIP = 7  # nothing but entries
-    PAYLOAD = 8  # of the delegate
+    PING_REQUEST = 2  # requests an indirect probe: the receiver pings `subject` for the sender
+    NACK = 3  # the probed member did not acknowledge the helper's ping
+    RELAYED_ACK = 4  # the probed member acknowledged the helper's ping
+    SYNC = 5  # the digest of a member table, for anti-entropy
+    ENTRIES = 6  # the entries of the buckets whose digests differ
+    GOSSIP = 7  # entries only
+    PAYLOAD = 8  # the delegate's own data
 
 
 class Message(NamedTuple):
@@ -35,11 +35,11 @@
     kind: MessageKind
     sender: Name
     sender_epoch: Epoch
-    counter: Count  # of the sender's datagrams
-    receiver_epoch: Count  # 0: any, where the sender does not know the receiver
+    counter: Count  # the number of the datagram among the sender's
+    receiver_epoch: Count  # 0 if the sender does not know the receiver; it then matches any epoch
     view_number: Count
     view_digest: int  # 64 bits
-    sequence: Count  # of the probe; of a SYNC: 1 where the receiver's digest is wanted
+    sequence: Count  # the probe's number; in a SYNC 1 if the receiver is to send its digest
     subject: tuple[Name, Epoch] | None  # the member that an indirect probe is about
-    body: Annotated[bytes, msgspec.Meta(max_length=MAX_BODY)]  # digest or payload
+    body: Annotated[bytes, msgspec.Meta(max_length=MAX_BODY_SIZE)]  # digest or payload
     entries: Annotated[list[GossipEntry], msgspec.Meta(max_length=MAX_WIRE_ENTRIES)]
--- a/wickvane/cluster/node.py
+++ b/wickvane/cluster/node.py
@@ -19,12 +19,12 @@
 from wickvane.cluster.message_sender import MessageSender, Transport
 from wickvane.cluster.messages import Message, MessageKind
 from wickvane.cluster.probing import Probing
-from wickvane.cluster.quorum import Assessment, divisor, find_partition, find_quorum_state, take_census
+from wickvane.cluster.quorum import Assessment, count_members, divisor, find_partition, find_quorum_state
 from wickvane.units import TICKS_PER_SECOND
 
-PROBE_PERIOD = TICKS_PER_SECOND // 2
-CAPACITY = 4096  # members
-TOMBSTONE_AFTER = 24 * 3600 * TICKS_PER_SECOND
+DEFAULT_PROBE_PERIOD = TICKS_PER_SECOND // 2
+DEFAULT_CAPACITY = 4096  # members
+DEFAULT_TOMBSTONE_AFTER = 24 * 3600 * TICKS_PER_SECOND
 STALL_THRESHOLD = 3_000  # ticks past its moment, after which a round was held up by the machine
 GOSSIP_INTERVAL = TICKS_PER_SECOND // 5
 GOSSIP_FANOUT = 3  # members
@@ -64,9 +64,9 @@
         configured: int,
         random_seed: int | str,
         log_event: LogEvent,
-        period: int = PROBE_PERIOD,
-        capacity: int = CAPACITY,
-        tombstone_after: int = TOMBSTONE_AFTER,
+        period: int = DEFAULT_PROBE_PERIOD,
+        capacity: int = DEFAULT_CAPACITY,
+        tombstone_after: int = DEFAULT_TOMBSTONE_AFTER,
     ):
         self.now = now
         self.random = Random(f"{random_seed}/peers/{name}")
@@ -114,14 +114,14 @@
             self.receiver.receive(now, message)
         if not self._has_left:
             self.detector.tick(now, self.probing)
-            self._do_due(now)
+            self._run_due_tasks(now)
         if self.delegate is not None:
             self.delegate.run_round(now)
         self.sender.end()
         self.next_round_at = self._find_next_round()
         return self.next_round_at
 
-    def _do_due(self, now: int) -> None:
+    def _run_due_tasks(self, now: int) -> None:
         if now >= self._expiry_at:
             self._expiry_at = now + EXPIRY_INTERVAL
             self.membership.expire(now)
@@ -178,20 +178,20 @@
         """Takes other seeds, and asks them at once."""
         self.anti_entropy.change_seeds(now, seeds)
 
-    def is_unheard(self, now: int) -> bool:
+    def is_unreachable(self, now: int) -> bool:
         """Whether this dispatcher receives others, and none of them receives it."""
         timeout = UNANSWERED_PERIODS * self.detector.period
-        return self.detector.is_unheard(now) and now - self.receiver.last_received_at < timeout
+        return self.detector.is_unanswered(now) and now - self.receiver.last_received_at < timeout
 
     def assess(self, now: int) -> Assessment:
         """What follows from what is believed now."""
         table = self.table
-        census = take_census(table)
+        member_counts = count_members(table)
         agreed = table.view.is_agreed(now, MAX_VIEW_AGE)
         settled = self.detector.is_settled(now)
-        counts = (self.configured, census.reachable, census.suspected, census.failed)
+        counts = (self.configured, member_counts.reachable, member_counts.suspected, member_counts.failed)
         name_taken = self.membership.is_name_taken()
-        state, reasons = find_quorum_state(*counts, agreed, self.is_unheard(now), name_taken, settled)
+        state, reasons = find_quorum_state(*counts, agreed, self.is_unreachable(now), name_taken, settled)
         return Assessment(
             state,
             find_partition(*counts, settled),
--- a/wickvane/cluster/quorum.py
+++ b/wickvane/cluster/quorum.py
@@ -1,18 +1,18 @@
-"""The quorum state: what follows from a membership view that may be wrong.
+"""The quorum state: the conclusions that a dispatcher may draw from a membership view that may be wrong.
 
-No view proves that another member has stopped: one that is not heard may only be cut off, and goes on by what
-was configured. So a view may make a dispatcher more careful at any time, and never less than the configured
-count of dispatchers demands. docs/peers-design.md gives the reasons.
+No view proves that another member has stopped: a member that cannot be reached may only be cut off, and then
+still uses its configured quota. So a view may always make a dispatcher more cautious than the configured
+number of dispatchers requires, but never less cautious. docs/peers-design.md gives the reasons.
 
-| use of a view | when it is wrong | safe |
+| use of a view | consequence if the view is wrong | safe |
 | --- | --- | --- |
-| dividing a shared budget by more than was configured (`divisor`) | each takes less than it might | yes |
-| whom to ask, notify or probe first | a datagram is lost, another is asked | yes |
-| what operators are shown, alarms | a wrong line, corrected | yes |
-| refusing a configuration change that not all can be asked about | the change waits | yes |
-| a larger quota, since others failed | two sides of a partition both take all: rule 4 breaks | no |
-| taking over another's queries, keys or windows | an effect twice: rule 2 breaks | no |
-| ending what one has, since the others are the majority | a whole fleet may end itself | no |
+| divide a shared budget by more than the configured number (`divisor`) | each uses less than it could | yes |
+| select the members to ask, notify or probe first | a datagram is lost, another member is asked | yes |
+| status output and alarms for operators | a wrong line, corrected later | yes |
+| reject a configuration change if not all members can be asked | the change is delayed | yes |
+| raise the quota since others failed | two partitions both use all of it: rule 4 is violated | no |
+| take over a failed member's queries, keys or windows | an effect occurs twice: rule 2 is violated | no |
+| end own work since the other members are the majority | all dispatchers may end their work | no |
 """
 
 from enum import StrEnum
@@ -23,7 +23,7 @@
 
 
 class QuorumState(StrEnum):
-    """How complete the cluster is; the values are the words that operators see."""
+    """How complete the cluster is. The values are shown to operators."""
 
     COMPLETE = "whole"
     DEGRADED = "degraded"
@@ -31,18 +31,18 @@
 
 
 class Partition(StrEnum):
-    """The side of a partition that this dispatcher is on; the values are the words that operators see."""
+    """The partition that this dispatcher is in. The values are shown to operators."""
 
     MAJORITY = "larger"
     MINORITY = "smaller"
     UNKNOWN = "unknown"
 
 
-class Census(NamedTuple):
-    """Members by what is believed of them; none that has left.
+class MemberCounts(NamedTuple):
+    """The numbers of members by their state. Members that have left are not counted.
 
-    reachable: in the view and not suspected, this dispatcher among them. pending: heard of and not reached
-    yet, or claiming a name that a member of an earlier epoch holds."""
+    reachable: members in the view that are not suspected, including this dispatcher. pending: members that
+    gossip named but no datagram has reached yet, and those whose name a member of an earlier epoch holds."""
 
     reachable: int
     suspected: int
@@ -51,7 +51,7 @@
 
 
 class Assessment(NamedTuple):
-    """What follows from the view of one moment. agreed: None where no other view was observed recently."""
+    """The conclusions from the view at one time. agreed: None if no other view was observed recently."""
 
     state: QuorumState
     partition: Partition
@@ -61,8 +61,8 @@
     divisor: int
 
 
-def take_census(table: MemberTable) -> Census:
-    """Counts the members of a table."""
+def count_members(table: MemberTable) -> MemberCounts:
+    """Counts the members of a table by their state."""
     reachable = suspected = failed = pending = 0
     view = table.view
     for member in table.members.values():
@@ -70,7 +70,7 @@
         if state == LEFT:
             continue
         if state == FAILED:
-            # Where a later epoch holds the name, the former one has ended, or the program runs twice.
+            # If a later epoch holds the name, the former one has ended, or two dispatchers use the name.
             failed += member.name not in view
         elif state == JOINING or not view.includes(member):
             pending += not member.is_local
@@ -79,19 +79,21 @@
         else:
             reachable += 1
     is_local_counted = view.includes(table.local)
-    return Census(reachable + (not is_local_counted), suspected, failed, pending)
+    return MemberCounts(reachable + (not is_local_counted), suspected, failed, pending)
 
 
 def find_partition(configured: int, reachable: int, suspected: int, failed: int, settled: bool) -> Partition:
-    """The side that this dispatcher is on. The whole is the configured count, or the members that are known
-    if those are more; suspects count for neither side. settled: False just after a stall or a start, when all
-    that is known may be old."""
-    whole = max(configured, reachable + suspected + failed)
-    if not settled or whole == 1 and configured == 0:
+    """Returns the partition that this dispatcher is in.
+
+    The total is the configured number of dispatchers, or that of the known members if it is higher. Suspects
+    count for neither partition. settled: False just after a stall or a start, when the known states of
+    members may be outdated."""
+    total = max(configured, reachable + suspected + failed)
+    if not settled or total == 1 and configured == 0:
         return Partition.UNKNOWN
-    if 2 * reachable > whole:
+    if 2 * reachable > total:
         return Partition.MAJORITY
-    if 2 * (reachable + suspected) < whole:
+    if 2 * (reachable + suspected) < total:
         return Partition.MINORITY
     return Partition.UNKNOWN
 
@@ -102,17 +104,18 @@
     suspected: int,
     failed: int,
     agreed: bool | None,
-    unheard: bool,
+    unreachable: bool,
     name_taken: bool,
     settled: bool,
 ) -> tuple[QuorumState, list[str]]:
-    """The state, and the codes of its reasons.
+    """Returns the quorum state and the codes of its reasons.
 
-    agreed: None where no other view was observed recently. unheard: this dispatcher receives others, but none
-    receives it. name_taken: a member elsewhere holds its name."""
+    agreed: None if no other view was observed recently. unreachable: whether this dispatcher receives
+    datagrams of others, but none receives its own. name_taken: whether a member at another address holds its
+    name."""
     conditions = {
         "name-taken": name_taken,
-        "unheard": unheard,
+        "unheard": unreachable,
         "not-settled": not settled,
         "suspected": suspected,
         "failed": failed,
@@ -121,19 +124,21 @@
     }
     reasons = [reason for reason, holds in conditions.items() if holds]
     has_others = reachable + suspected > 1
-    if name_taken or unheard or not has_others and (configured > 1 or failed):
+    if name_taken or unreachable or not has_others and (configured > 1 or failed):
         return QuorumState.ISOLATED, reasons or ["nobody-heard"]
     return (QuorumState.DEGRADED if reasons else QuorumState.COMPLETE), reasons
 
 
 def divisor(configured: int, table: MemberTable) -> int:
-    """By how many a shared budget is divided: the configured count at the least, whoever seems failed, and
-    more where more members than that have not left. Never fewer than any true count of those that may act,
-    unless one was configured that nobody here has heard of at all."""
+    """Returns the number of dispatchers by which a shared budget is divided.
+
+    It is at least the configured number, even if members seem to have failed, and higher if more members have
+    not left. It is never less than the true number of dispatchers that may use the budget, unless more run
+    than are configured and this dispatcher does not know of them."""
     count = 0
     for members in table.by_name.values():
         states = [member.state for member in members if member.is_local or member.state != LEFT]
         if states:
-            # Two members of one name may both act, until the former is known to have ended.
+            # Two members of one name may both use the budget, until the former is known to have ended.
             count += max(1, sum(state not in DEAD_STATES for state in states))
     return max(1, configured, count)
--- a/wickvane/cluster/service.py
+++ b/wickvane/cluster/service.py
@@ -24,18 +24,18 @@
 from wickvane.units import from_seconds, to_seconds
 
 MAX_FAULTS = 50  # after which this dispatcher leaves the cluster alone
-MAX_NAME = 64  # characters
+MAX_NAME_LENGTH = 64  # characters
 MAINTENANCE_INTERVAL_S = 1.0
 STATUS_INTERVAL_S = 2.5  # between two status files, where nothing changed
-MAX_LOGGED_ACTION = 32  # characters
-MAX_LOGGED_NAME = 64
+MAX_LOGGED_ACTION_LENGTH = 32  # characters
+MAX_LOGGED_NAME_LENGTH = 64
 
 
 class ClusterService:
     """The socket, thread and files of one member. lock: guards the node; node.delegate runs under it."""
 
     def __init__(self, config: ClusterConfig, name: str, configured: int, random_seed: int, log, counters):
-        if not 1 <= len(name) <= MAX_NAME:
+        if not 1 <= len(name) <= MAX_NAME_LENGTH:
             raise ConfigError("peers: the configuration's name: expected 1 to 64 characters", 2)
         self.config = config
         self.log = log
@@ -54,7 +54,7 @@
             name,
             new_epoch(),
             format_address(config.advertise),
-            self._find_seeds(),
+            self._collect_seeds(),
             configured,
             random_seed,
             self.events.record,
@@ -68,7 +68,7 @@
         self._status_key: tuple | None = None  # what the last status file showed
         self._status_error: str | None = None
 
-    def _find_seeds(self) -> list[str]:
+    def _collect_seeds(self) -> list[str]:
         seeds = [format_address(seed) for seed in self.config.seeds]
         path = self.config.seeds_file
         if path:
@@ -121,16 +121,16 @@
             node.next_round_at = min(node.next_round_at, now() + from_seconds(MAX_WAIT_S))
         if time.monotonic() >= self._maintenance_at:
             self._maintenance_at = time.monotonic() + MAINTENANCE_INTERVAL_S
-            self._do_maintenance()
+            self._run_maintenance()
 
-    def _do_maintenance(self) -> None:
+    def _run_maintenance(self) -> None:
         with self.lock:
             assessment = self.node.log_assessment(now())
             rejected = self.transport.take_rejected()
             self.node.rejected.update(rejected)
             event_counts, dropped_lines = self.events.take_period()
         self.events.report(event_counts, rejected, dropped_lines)
-        self._take_changed_files()
+        self._reload_changed_files()
         if self.state_folder is not None:
             self.take_order()
             self._update_status(assessment)
@@ -145,15 +145,15 @@
             self._status_at = time.monotonic() + STATUS_INTERVAL_S
             self._write_status()
 
-    def _take_changed_files(self) -> None:
+    def _reload_changed_files(self) -> None:
         for path in self._watched_files.take_changed():
             if path == self.config.key_file:
-                self._take_keys(path)
+                self._reload_keys(path)
             else:
                 with self.lock:
-                    self.node.change_seeds(now(), self._find_seeds())
+                    self.node.change_seeds(now(), self._collect_seeds())
 
-    def _take_keys(self, path: str) -> None:
+    def _reload_keys(self, path: str) -> None:
         try:
             self.transport.codec.keys = read_keys(path)
         except FileError as error:
@@ -168,7 +168,7 @@
             self.config = config
             self.transport.codec.keys = keys
             self._watched_files = _watch_files(config)
-            self.node.change_seeds(now(), self._find_seeds())
+            self.node.change_seeds(now(), self._collect_seeds())
 
     def _write_status(self) -> None:
         with self.lock:
@@ -195,11 +195,11 @@
             return
         if order is None:
             return
-        answer = self._obey(order)
+        answer = self._execute(order)
         self.log.line(
             "peers-order",
-            what=str(order.action)[:MAX_LOGGED_ACTION],
-            name=order.name[:MAX_LOGGED_NAME],
+            what=str(order.action)[:MAX_LOGGED_ACTION_LENGTH],
+            name=order.name[:MAX_LOGGED_NAME_LENGTH],
             done=answer.is_done,
         )
         try:
@@ -207,7 +207,7 @@
         except OSError as error:
             self.log.line("peers-status-unwritten", why=error.strerror)
 
-    def _obey(self, order: Order) -> Answer:
+    def _execute(self, order: Order) -> Answer:
         if order.action == "forget":
             with self.lock:
                 count = self.node.forget(now(), order.name)
--- a/wickvane/cluster/state_folder.py
+++ b/wickvane/cluster/state_folder.py
@@ -15,7 +15,7 @@
 ORDER_FILE = "order.json"
 ANSWER_FILE = "answer.json"
 MAX_ORDER_SIZE = 4096  # octets
-MAX_ORDER_ID = 64  # characters
+MAX_ORDER_ID_LENGTH = 64  # characters
 
 
 class OrderError(WickvaneError):
@@ -77,7 +77,7 @@
             return None
         try:
             fields = orjson.loads(data)
-            id = str(fields["id"])[:MAX_ORDER_ID]
+            id = str(fields["id"])[:MAX_ORDER_ID_LENGTH]
             return Order(id, fields["what"], str(fields.get("name") or ""))
         except (orjson.JSONDecodeError, KeyError, TypeError, AttributeError):
             raise OrderError(f"{path}: no order") from None
--- a/wickvane/cluster/transport.py
+++ b/wickvane/cluster/transport.py
@@ -1,4 +1,4 @@
-"""The UDP socket of a member: receives and opens datagrams, seals and sends messages."""
+"""The UDP socket of a member: receives and verifies datagrams, signs and sends messages."""
 
 import select
 import socket
@@ -6,21 +6,24 @@
 from collections import Counter
 
 from wickvane.cluster.addresses import parse_address
-from wickvane.cluster.messages import MAX_DATAGRAM, Message
+from wickvane.cluster.messages import MAX_DATAGRAM_SIZE, Message
 from wickvane.cluster.wire import Codec, DatagramError
 from wickvane.errors import ConfigError
 
-MAX_BATCH = 128  # datagrams that are read at once
+MAX_DATAGRAMS_PER_READ = 128  # datagrams that one receive() reads
 MAX_WAIT_S = 0.5
 MIN_WAIT_MS = 1
-FLOOD_THRESHOLD = 32  # rejected datagrams of one batch, after which the next waits
+FLOOD_THRESHOLD = 32  # rejected datagrams of one receive() above which the next one is delayed
 FLOOD_PAUSE_S = 0.005
-RECEIVE_BUFFER_SIZE = 1 << 20
+RECEIVE_BUFFER_SIZE = 1 << 20  # octets
 
 
 class UdpTransport:
-    """One socket. address_cache_size: parsed addresses that are kept. rejected: datagrams by reason, until
-    they are taken; lost_sends: messages that the socket did not accept."""
+    """Sends and receives messages by one UDP socket.
+
+    address_cache_size: the number of parsed addresses that are cached. rejected: the numbers of datagrams
+    rejected since the last take_rejected(), by reason. lost_sends: the number of messages that could not be
+    sent."""
 
     def __init__(self, codec: Codec, address_cache_size: int):
         self.codec = codec
@@ -33,7 +36,7 @@
         self._address_cache_size = address_cache_size
 
     def open(self, host: str, port: int) -> None:
-        """Binds the socket. Raises ConfigError."""
+        """Binds the socket. Raises ConfigError if that fails."""
         self._family = socket.AF_INET6 if ":" in host else socket.AF_INET
         try:
             self._socket = socket.socket(self._family, socket.SOCK_DGRAM)
@@ -45,16 +48,16 @@
             raise ConfigError(f"peers: cannot listen on {host}:{port}: {error.strerror}", 1) from None
 
     def receive(self, wait_s: float) -> list[Message]:
-        """Waits for datagrams, and opens up to MAX_BATCH of them."""
+        """Waits for datagrams, and returns the messages of up to MAX_DATAGRAMS_PER_READ of them."""
         messages = []
         rejected_count = 0
         self._poll.poll(max(MIN_WAIT_MS, min(wait_s, MAX_WAIT_S) * 1000))
-        for _ in range(MAX_BATCH):
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
-                data = self._socket.recv(MAX_DATAGRAM + 1)
+                data = self._socket.recv(MAX_DATAGRAM_SIZE + 1)
             except BlockingIOError:
                 break
-            except OSError:  # an earlier datagram was refused by a host
+            except OSError:  # a host rejected an earlier datagram
                 continue
             try:
                 messages.append(self.codec.open(data))
@@ -66,13 +69,13 @@
         return messages
 
     def take_rejected(self) -> Counter[str]:
-        """The datagrams that were rejected since the last call, by reason."""
+        """Returns the numbers of datagrams rejected since the last call, by reason."""
         rejected = self.rejected
         self.rejected = Counter()
         return rejected
 
     def send(self, address: str, message: Message) -> None:
-        """Sends a message; what cannot be sent is as good as lost on the way."""
+        """Sends a message. One that cannot be sent is only counted, like one that the network loses."""
         try:
             self._socket.sendto(self.codec.seal(message), self._resolve(address))
         except (OSError, ValueError):
@@ -84,7 +87,7 @@
             address = parse_address(text)
             if len(self._addresses) > self._address_cache_size:
                 self._addresses.clear()
-            # Numbers only: a name would be looked up, and waited for.
+            # Only numeric addresses are accepted, since resolving a host name would block.
             socket.inet_pton(self._family, address[0])
             self._addresses[text] = address
         return address
--- a/wickvane/cluster/wire.py
+++ b/wickvane/cluster/wire.py
@@ -1,9 +1,9 @@
-"""The datagram codec: a version octet, a keyed hash of sixteen octets (BLAKE2b, RFC 7693), and an array in
-MessagePack: the cluster's name and the fields of a message, all of their types or the datagram is rejected.
+"""The datagram codec: a version octet, a keyed hash of sixteen octets (BLAKE2b, RFC 7693), and a MessagePack
+array of the cluster's name and the fields of a message. A datagram with a field of another type is rejected.
 
-The key file has one or two lines: the first key signs, both are accepted, so that a key is changed without a
-stop in three steps (new one second, new one first, old one out). The hash shows that the sender holds the
-key, and no more: which of the members sent a datagram is believed.
+The key file has one or two lines. The first key signs and both are accepted, so that a key can be replaced
+without downtime in three steps: add the new key as the second, make it the first, remove the old one. The
+hash only proves that the sender has the key; the name of the member that sent a datagram is not verified.
 """
 
 import hmac
@@ -14,22 +14,22 @@
 import msgspec
 
 from wickvane.cluster.gossip import Name
-from wickvane.cluster.messages import MAX_DATAGRAM, Message
+from wickvane.cluster.messages import MAX_DATAGRAM_SIZE, Message
 from wickvane.errors import ProtocolError
 from wickvane.files import FileError, read_bounded
 
 VERSION = 1
 HASH_SIZE = 16  # octets
-HEADER_SIZE = 1 + HASH_SIZE
-MIN_KEY_SIZE = 16
-MAX_KEY_SIZE = 64
-MAX_KEY_FILE_SIZE = 4096
+HEADER_SIZE = 1 + HASH_SIZE  # octets
+MIN_KEY_SIZE = 16  # octets
+MAX_KEY_SIZE = 64  # octets
+MAX_KEY_FILE_SIZE = 4096  # octets
 
 _ENVELOPE = tuple[(Name, *get_type_hints(Message, include_extras=True).values())]
 
 
 class DatagramError(ProtocolError):
-    """A datagram that is rejected. reason: the code by which it is counted."""
+    """A datagram that is rejected. reason: the code under which it is counted."""
 
     def __init__(self, reason: str):
         super().__init__(reason)
@@ -37,7 +37,7 @@
 
 
 def read_keys(path: str | Path) -> list[bytes]:
-    """The keys of a file, the one that signs first. Raises FileError."""
+    """Returns the keys of a file, the signing key first. Raises FileError."""
     data = read_bounded(path, MAX_KEY_FILE_SIZE)
     keys = [line.strip() for line in data.splitlines() if line.strip()]
     if not 1 <= len(keys) <= 2:
@@ -49,7 +49,7 @@
 
 
 class Codec:
-    """Seals and opens datagrams. cluster: a name that members of one cluster share."""
+    """Signs and verifies datagrams. cluster: the name that all members of one cluster share."""
 
     def __init__(self, cluster: str, keys: list[bytes]):
         self.cluster = cluster
@@ -58,16 +58,16 @@
         self._decoder = msgspec.msgpack.Decoder(_ENVELOPE)
 
     def seal(self, message: Message) -> bytes:
-        """The datagram of a message, signed by the first key."""
+        """Returns a message's datagram, signed with the first key."""
         body = bytes((VERSION,)) + self._encoder.encode((self.cluster, *message))
         return body[:1] + _keyed_hash(body, self.keys[0]) + body[1:]
 
     def open(self, data: bytes) -> Message:
-        """The message of a datagram. Raises DatagramError.
+        """Returns the message of a datagram. Raises DatagramError.
 
-        The cheapest checks come first: most of a flood ends at the hash, and nothing is parsed that no key
-        signed."""
-        if len(data) > MAX_DATAGRAM:
+        The cheapest checks come first: during a flood most datagrams are rejected by their hash at the
+        latest, and a datagram that no accepted key signed is never parsed."""
+        if len(data) > MAX_DATAGRAM_SIZE:
             raise DatagramError("oversized")
         if len(data) <= HEADER_SIZE:
             raise DatagramError("short")
