--- a/tests/cluster/test_stored_formats.py
+++ b/tests/cluster/test_stored_formats.py
@@ -31,7 +31,7 @@
     assert main(["peers", command, f"--state={WRITTEN}"]) == 0
     lines = capsys.readouterr().out.splitlines(keepends=True)
     if command == "status":  # a first line says that the file is old
-        assert "s old: the dispatcher stands still or has ended" in lines.pop(0)
+        assert "s old: the dispatcher has stalled or ended" in lines.pop(0)
     assert "".join(lines) == (WRITTEN / f"{command}.txt").read_text()
 
 
@@ -53,7 +53,7 @@
     dispatcher.take_order()
     assert lines == [("peers-order", {"what": "forget", "name": "n2", "done": False})]
     assert (tmp_path / "answer.json").read_bytes() == (
-        b'{"id":"3233860e8a784c2bb52ab7c00cb5e59a","done":false,"said":"no failed life of n2 is known"}'
+        b'{"id":"3233860e8a784c2bb52ab7c00cb5e59a","done":false,"said":"no failed member named n2 is known"}'
     )
     assert os.listdir(tmp_path) == ["answer.json"]
 
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -338,7 +338,7 @@
         assert [(row["name"], row["state"]) for row in rows] == [(f"n{n}", "alive") for n in range(5)]
         assert json.loads(tool(f, 0, "status", "--json").stdout)["divisor"] == 5
         refused = tool(f, 0, "forget", "n4")
-        assert refused.returncode == 1 and "no failed life of n4" in refused.stdout  # it is there
+        assert refused.returncode == 1 and "no failed member named n4" in refused.stdout  # it is there
         f.kill(4)
         f.until(lambda: f.equal(range(4)), "the killed one is still in views", 20)
         assert "peers-failed name=n4" in tool(f, 1, "events").stdout
--- a/wickvane/cluster/command.py
+++ b/wickvane/cluster/command.py
@@ -1,6 +1,7 @@
-"""`wickvane peers`: what a dispatcher believes of the cluster, and two orders to it, by its state folder.
+"""`wickvane peers`: shows a dispatcher's view of the cluster, and sends two orders to it, by its state
+folder.
 
-Exit status: 0 done, 1 it could not be done or the dispatcher is not there, 2 wrong use.
+Exit status: 0 for success, 1 if the command failed or no dispatcher uses the folder, 2 for wrong usage.
 """
 
 import os
@@ -15,7 +16,7 @@
 from wickvane.cluster.state_folder import Order, StateFolder
 from wickvane.errors import WickvaneError
 
-STALE_AFTER_S = 10.0  # a status file that is older is of a dispatcher that stalls or has ended
+STALE_AFTER_S = 10.0  # an older status file is of a dispatcher that stalls or has ended
 ANSWER_TIMEOUT_S = 6.0
 ANSWER_POLL_S = 0.05
 EXIT_FAILED = 1
@@ -23,7 +24,7 @@
 
 
 class CommandError(WickvaneError):
-    """Why a command cannot be carried out; exit_code: its exit status."""
+    """A command that cannot be executed. exit_code: the exit status."""
 
     def __init__(self, text: str, exit_code: int):
         super().__init__(text)
@@ -31,7 +32,7 @@
 
 
 def main(arguments: dict) -> int:
-    """The command with docopt's arguments; its exit status."""
+    """Executes the command. arguments: docopt's result. Returns the exit status."""
     try:
         folder = find_state_folder(arguments)
         if arguments["leave"] or arguments["forget"]:
@@ -54,44 +55,44 @@
 
 
 def find_state_folder(arguments: dict) -> str:
-    """The state folder that the arguments or the parts document name. Raises CommandError."""
+    """Returns the state folder that the arguments or the extensions document name. Raises CommandError."""
     if arguments["--state"]:
         return arguments["--state"]
     path = arguments["--parts"]
     if path == "$WICKVANE_PARTS":
         path = os.environ.get("WICKVANE_PARTS")
     if not path:
-        text = "no state folder: name it with --state, or its parts document with --parts"
+        text = "no state folder: set it with --state, or name the extensions document with --parts"
         raise CommandError(text, EXIT_USAGE)
     try:
         config = parts.read(path).get("peers")
     except parts.InvalidDocumentError as error:
         raise CommandError(str(error), EXIT_USAGE) from None
     if config is None or config.state_folder is None:
-        text = f"the parts document {path} has no node peers with a node state"
+        text = f"the extensions document {path} has no node peers with a node state"
         raise CommandError(text, EXIT_USAGE)
     return config.state_folder
 
 
 def read_status(folder: str) -> dict:
-    """The status file of a state folder. Raises CommandError."""
+    """Returns the contents of a state folder's status file. Raises CommandError."""
     try:
         return StateFolder(folder).read_status()
     except OSError as error:
-        text = f"{folder}: nothing is shown there: {error.strerror}"
+        text = f"{folder}: the status file cannot be read: {error.strerror}"
         raise CommandError(text, EXIT_FAILED) from None
     except orjson.JSONDecodeError:
-        raise CommandError(f"{folder}: what is shown there cannot be read", EXIT_FAILED) from None
+        raise CommandError(f"{folder}: the status file is not valid JSON", EXIT_FAILED) from None
 
 
 def print_rows(rows: Iterable[dict], as_json: bool, format_row: Callable[[dict], str]) -> None:
-    """Prints a line a row."""
+    """Prints one line for each row, as JSON or as text."""
     for row in rows:
         print(orjson.dumps(row).decode() if as_json else format_row(row))
 
 
 def format_member(row: dict) -> str:
-    """The line of a member."""
+    """Returns the text line of a member."""
     flags = " (this one)" if row["me"] else "" if row["in_view"] else " (not in the view)"
     contact = f", heard {row['heard_ms'] / 1000:.1f} s ago" if row["heard_ms"] is not None else ""
     reported_by = f" by {row['by']}" if row["by"] else ""
@@ -102,7 +103,7 @@
 
 
 def format_event(row: dict) -> str:
-    """The line of an event."""
+    """Returns the text line of an event."""
     at = time.strftime("%H:%M:%S", time.localtime(row["at"]))
     fields = {key: value for key, value in row.items() if key not in ("at", "event") and value is not None}
     text = " ".join(f"{key}={value}" for key, value in fields.items())
@@ -110,10 +111,10 @@
 
 
 def print_summary(status: dict) -> None:
-    """Prints the quorum state, its reasons and the figures behind it."""
+    """Prints the quorum state, its reasons and further figures."""
     age = time.time() - status["at"]
     if age > STALE_AFTER_S:
-        print(f"this is {age:.0f} s old: the dispatcher stands still or has ended")
+        print(f"this status is {age:.0f} s old: the dispatcher has stalled or ended")
     partition = f"in the {status['part']} part" if status["part"] != "unknown" else "part unknown"
     print(f"{status['name']}: {status['standing']}, {partition}")
     if status["reasons"]:
@@ -134,14 +135,16 @@
 
 
 def send_order(folder: str, action: str, name: str | None) -> int:
-    """Leaves an order for the dispatcher and waits for its answer; the exit status. Raises CommandError."""
-    read_status(folder)  # raises where no dispatcher ever ran there
+    """Writes an order for the dispatcher and waits for its answer. Returns the exit status.
+
+    Raises CommandError."""
+    read_status(folder)  # raises CommandError if no dispatcher has used the folder
     state_folder = StateFolder(folder)
     order = Order(uuid.uuid4().hex, action, name)
     try:
         state_folder.write_order(order)
     except OSError as error:
-        text = f"{folder}: no order can be left there: {error.strerror}"
+        text = f"{folder}: the order cannot be written: {error.strerror}"
         raise CommandError(text, EXIT_FAILED) from None
     deadline = time.monotonic() + ANSWER_TIMEOUT_S
     while time.monotonic() < deadline:
@@ -150,4 +153,6 @@
             print(answer.text)
             return 0 if answer.is_done else EXIT_FAILED
         time.sleep(ANSWER_POLL_S)
-    raise CommandError(f"{folder}: no answer within {ANSWER_TIMEOUT_S:.0f} s", EXIT_FAILED)
+    raise CommandError(
+        f"{folder}: no answer from the dispatcher within {ANSWER_TIMEOUT_S:.0f} s", EXIT_FAILED
+    )
--- a/wickvane/cluster/extension.py
+++ b/wickvane/cluster/extension.py
@@ -1,4 +1,4 @@
-"""The node `peers` of the parts document: its configuration, and the cluster service in a dispatcher."""
+"""The node `peers` of the extensions document: its configuration, and the cluster service in a dispatcher."""
 
 from typing import NamedTuple
 
@@ -14,11 +14,11 @@
 
 
 class ClusterConfig(NamedTuple):
-    """The node's values; times in ticks.
+    """The values of the node `peers`, with times in ticks.
 
-    listen: the address of the socket; advertise: the one at which the others reach it. probe_period: between
-    two probes. capacity: members. tombstone_after: how long a failed member is kept. state_folder: of the
-    status file and orders, None: neither."""
+    listen: the address of the socket. advertise: the address at which other members reach it. probe_period:
+    time between two probes. capacity: the maximum number of known members. tombstone_after: how long a failed
+    member is kept. state_folder: the folder of the status file and orders, None for neither."""
 
     cluster: str
     listen: tuple[str, int]
@@ -32,7 +32,7 @@
     state_folder: str | None
 
 
-# Fields that need a restart, and what the log calls them.
+# The fields that cannot change without a restart, with their names in error messages.
 RESTART_FIELDS = {
     "cluster": "cluster",
     "listen": "listen",
@@ -45,7 +45,7 @@
 
 
 def read(node: parts.Node) -> ClusterConfig:
-    """The configuration of a node. Raises parts.InvalidDocumentError."""
+    """Returns the configuration of a node. Raises parts.InvalidDocumentError."""
     listen = node.value("listen", parts.address, required=True)
     advertise = node.value("advertise", parts.address, listen)
     if advertise[0] in UNSPECIFIED_HOSTS:
@@ -70,7 +70,7 @@
         seeds.append(child.argument(parts.address))
         child.reject_unknown()
     if len(seeds) > MAX_SEED_NODES:
-        raise node.error(f"{MAX_SEED_NODES} seeds at most")
+        raise node.error(f"at most {MAX_SEED_NODES} seeds")
     return tuple(seeds)
 
 
@@ -81,7 +81,7 @@
     threads = 1
 
     def build(self, service, found) -> None:
-        """Makes the cluster service."""
+        """Creates the cluster service."""
         from wickvane.cluster.service import ClusterService
 
         self.cluster = ClusterService(
@@ -94,15 +94,16 @@
         )
 
     def open(self, service) -> None:
-        """Takes the address and the state folder."""
+        """Binds the address and prepares the state folder."""
         self.cluster.open()
 
     def start(self, service) -> None:
-        """Starts the thread. Queries do without it: its end would not end the program."""
+        """Starts the thread. Queries do not depend on it, so that its end does not end the dispatcher."""
         service.threads.needed(self.cluster.run, "peers")
 
     def check(self, terms: ClusterConfig) -> list[bytes]:
-        """The keys of a new configuration. Raises parts.InvalidDocumentError where it needs a restart."""
+        """Returns the keys of a new configuration. Raises parts.InvalidDocumentError if it is invalid or
+        needs a restart."""
         for field, logged_name in RESTART_FIELDS.items():
             if getattr(terms, field) != getattr(self.terms, field):
                 raise parts.InvalidDocumentError(f"peers: {logged_name}: another value needs a restart")
@@ -115,12 +116,12 @@
             raise parts.InvalidDocumentError(f"peers: key-file: {error}") from None
 
     def change(self, terms: ClusterConfig, ready: list[bytes]) -> None:
-        """Takes a new configuration with its keys."""
+        """Applies a new configuration with its keys."""
         super().change(terms, ready)
         self.cluster.change(terms, ready)
 
     def status(self) -> dict:
-        """The figures of the counters line."""
+        """Returns the figures for the counters log line."""
         return self.cluster.status()
 
     def leave(self, service) -> None:
@@ -128,5 +129,5 @@
         self.cluster.leave()
 
     def stop(self) -> None:
-        """Ends the service."""
+        """Stops the cluster service."""
         self.cluster.stop()
--- a/wickvane/cluster/node.py
+++ b/wickvane/cluster/node.py
@@ -1,9 +1,10 @@
-"""One dispatcher in the cluster: what it sends to whom and when, free of I/O.
+"""One dispatcher in the cluster: which messages it sends, to which members and when, without I/O.
 
-run_round() is called with the messages that arrived and a transport for those that leave. Membership rules,
-failure detection, anti-entropy and quorum state are modules of their own; here is the order of the steps.
+run_round() is called with the received messages and a transport for the messages to send. It calls the
+membership rules, the failure detection, the anti-entropy and the delegate, which have their own modules, in a
+fixed order.
 
-Times are ticks of a clock that does not step.
+Times are ticks of a monotonic clock.
 """
 
 from collections import Counter
@@ -25,34 +26,35 @@
 DEFAULT_PROBE_PERIOD = TICKS_PER_SECOND // 2
 DEFAULT_CAPACITY = 4096  # members
 DEFAULT_TOMBSTONE_AFTER = 24 * 3600 * TICKS_PER_SECOND
-STALL_THRESHOLD = 3_000  # ticks past its moment, after which a round was held up by the machine
+STALL_THRESHOLD = 3_000  # ticks by which a round must be late to count as a stall of the process
 GOSSIP_INTERVAL = TICKS_PER_SECOND // 5
 GOSSIP_FANOUT = 3  # members
 EXPIRY_INTERVAL = TICKS_PER_SECOND
-MAX_VIEW_AGE = 4 * TICKS_PER_SECOND  # of an observed view that still counts
-LEAVE_FANOUT = 8  # members that this one notifies directly when it leaves
+MAX_VIEW_AGE = 4 * TICKS_PER_SECOND  # older observed views are ignored
+LEAVE_FANOUT = 8  # members that are notified directly when this one leaves
 
 
 class Delegate(Protocol):
-    """What sends payloads of its own by the cluster's datagrams. next_at: when its round is due."""
+    """Exchanges its own payloads in the cluster's datagrams. next_at: when its next round is due."""
 
     next_at: int
 
     def run_round(self, now: int) -> None:
-        """Called at the end of each round, also after this dispatcher has left."""
+        """Runs the delegate. Called at the end of each round, also after this dispatcher has left."""
 
     def receive_payload(self, now: int, sender: Member, payload: bytes) -> None:
-        """A member's payload: each arrives once at most, and may be lost."""
+        """Handles a payload from a member. Each arrives at most once, and may be lost."""
 
     def status(self) -> dict:
-        """Its part of the status file."""
+        """Returns the delegate's fields for the status file."""
 
 
 class Node:
-    """One dispatcher's part in the cluster.
+    """One dispatcher as a member of the cluster.
 
-    seeds: addresses that are asked first. configured: the configured number of dispatchers. log_event: called
-    with the name and fields of an event. period, tombstone_after: in ticks."""
+    seeds: the addresses through which it joins. configured: the configured number of dispatchers. log_event:
+    called with the name and fields of each event. period: ticks between two probes. capacity: the maximum
+    number of known members. tombstone_after: ticks after which a dead member is removed."""
 
     def __init__(
         self,
@@ -72,7 +74,7 @@
         self.random = Random(f"{random_seed}/peers/{name}")
         self.configured = configured
         self.delegate: Delegate | None = None
-        self.rejected: Counter[str] = Counter()  # messages without effect, by reason
+        self.rejected: Counter[str] = Counter()  # the numbers of rejected messages by reason
         self.next_round_at = now + period
         self.membership = Membership(now, name, epoch, address, capacity, tombstone_after, log_event)
         self.table = self.membership.table
@@ -102,12 +104,13 @@
         }
 
     def run_round(self, now: int, messages: Iterable[Message], transport: Transport) -> int:
-        """Handles the messages that arrived, then all that is due; when the next round is due."""
+        """Handles the received messages, then performs all actions that are due. Returns when the next round
+        is due."""
         stall = now - self.next_round_at
         self.now = now
         self.sender.begin(now, transport)
         if stall > STALL_THRESHOLD:
-            # Before any verdict: the acknowledgements may be among the messages.
+            # The stall is recorded before any verdict, since the acknowledgements may be among the messages.
             self.detector.record_stall(now, stall)
             self._log_event("peers-stood-still", {"ms": stall // 10})
         for message in messages:
@@ -134,7 +137,7 @@
     def _find_next_round(self) -> int:
         delegate = self.delegate
         if self._has_left:
-            # Only messages are answered: the times of what is no longer done are in the past.
+            # Only messages are answered after leaving. The times of all other actions stay in the past.
             next_at = self.now + TICKS_PER_SECOND if delegate is None else delegate.next_at
             return max(self.now + 1, next_at)
         times = [self.detector.next_at(), self.anti_entropy.next_at(), self._expiry_at]
@@ -153,7 +156,7 @@
             self.delegate.receive_payload(now, member, message.body)
 
     def leave(self, now: int, transport: Transport) -> None:
-        """Leaves the cluster: notifies some members at once, from which the rest learn it by gossip."""
+        """Leaves the cluster. Some members are notified at once, and gossip informs the others."""
         self.now = now
         local = self.table.local
         if local.state == LEFT:
@@ -167,7 +170,7 @@
         self.sender.end()
 
     def forget(self, now: int, name: str) -> int:
-        """By an operator's order: the failed members of a name have left for good; how many there were."""
+        """Marks the failed members of a name as left, by an operator's order. Returns their number."""
         self.now = now
         failed = [member for member in self.table.by_name.get(name, ()) if member.state == FAILED]
         for member in failed:
@@ -175,16 +178,16 @@
         return len(failed)
 
     def change_seeds(self, now: int, seeds: Sequence[str]) -> None:
-        """Takes other seeds, and asks them at once."""
+        """Replaces the seeds, and sends join requests at once."""
         self.anti_entropy.change_seeds(now, seeds)
 
     def is_unreachable(self, now: int) -> bool:
-        """Whether this dispatcher receives others, and none of them receives it."""
+        """Returns whether this dispatcher receives datagrams of others, but none of them receives its own."""
         timeout = UNANSWERED_PERIODS * self.detector.period
         return self.detector.is_unanswered(now) and now - self.receiver.last_received_at < timeout
 
     def assess(self, now: int) -> Assessment:
-        """What follows from what is believed now."""
+        """Returns the conclusions from the current view."""
         table = self.table
         member_counts = count_members(table)
         agreed = table.view.is_agreed(now, MAX_VIEW_AGE)
@@ -202,7 +205,8 @@
         )
 
     def log_assessment(self, now: int) -> Assessment:
-        """The assessment, logged where the quorum state or the partition changed; called now and then."""
+        """Returns the assessment, and logs it if the quorum state or the partition has changed since the last
+        call."""
         assessment = self.assess(now)
         before = self._logged_assessment
         if before is None or assessment[:2] != before[:2]:
--- a/wickvane/cluster/service.py
+++ b/wickvane/cluster/service.py
@@ -1,7 +1,7 @@
 """The cluster service of a dispatcher: one thread that runs the node's rounds on a UDP socket.
 
-Once a second it also logs what changed, takes in changed key and seeds files, obeys an operator's order and
-writes the status file. A fault of this part costs one round, never the dispatcher.
+Once a second it also logs changes, reloads changed key and seeds files, executes an operator's order and
+writes the status file. An exception in this service ends one round, but never the dispatcher.
 """
 
 import threading
@@ -23,16 +23,16 @@
 from wickvane.files import FileError
 from wickvane.units import from_seconds, to_seconds
 
-MAX_FAULTS = 50  # after which this dispatcher leaves the cluster alone
+MAX_FAULTS = 50  # exceptions after which the service ends
 MAX_NAME_LENGTH = 64  # characters
 MAINTENANCE_INTERVAL_S = 1.0
-STATUS_INTERVAL_S = 2.5  # between two status files, where nothing changed
+STATUS_INTERVAL_S = 2.5  # between two status files if nothing has changed
 MAX_LOGGED_ACTION_LENGTH = 32  # characters
-MAX_LOGGED_NAME_LENGTH = 64
+MAX_LOGGED_NAME_LENGTH = 64  # characters
 
 
 class ClusterService:
-    """The socket, thread and files of one member. lock: guards the node; node.delegate runs under it."""
+    """The socket, thread and files of one member. lock: held while the node or its delegate runs."""
 
     def __init__(self, config: ClusterConfig, name: str, configured: int, random_seed: int, log, counters):
         if not 1 <= len(name) <= MAX_NAME_LENGTH:
@@ -46,7 +46,7 @@
         try:
             codec = Codec(config.cluster, read_keys(config.key_file))
         except FileError as error:
-            raise ConfigError(f"the parts document: peers: key-file: {error}", 2) from None
+            raise ConfigError(f"the extensions document: peers: key-file: {error}", 2) from None
         self.transport = UdpTransport(codec, 2 * config.capacity)
         self._watched_files = _watch_files(config)
         self.node = Node(
@@ -65,7 +65,7 @@
         self._is_stopping = False
         self._maintenance_at = 0.0
         self._status_at = 0.0
-        self._status_key: tuple | None = None  # what the last status file showed
+        self._status_key: tuple | None = None  # identifies the contents of the last status file
         self._status_error: str | None = None
 
     def _collect_seeds(self) -> list[str]:
@@ -80,14 +80,14 @@
         return [seed for seed in dict.fromkeys(seeds) if seed != own][:MAX_SEEDS]
 
     def open(self) -> None:
-        """Takes the state folder and the address. Raises ConfigError."""
+        """Prepares the state folder and binds the address. Raises ConfigError."""
         if self.state_folder is not None:
             self.state_folder.prepare()
         self.transport.open(*self.config.listen)
 
     def run(self) -> None:
-        """The thread: rounds until stop()."""
-        # Between the start of the program and of this thread nothing was waited for.
+        """Runs rounds until stop() is called or MAX_FAULTS exceptions have occurred."""
+        # The time between the creation of the node and the start of this thread must not count as a stall.
         self.node.next_round_at = now() + self.config.probe_period
         fault_count = 0
         while not self._is_stopping:
@@ -157,13 +157,14 @@
         try:
             self.transport.codec.keys = read_keys(path)
         except FileError as error:
-            # Perhaps half written: the keys in use are kept, and the next change is read again.
+            # The file may be written only in part. The current keys stay in use until the next change of the
+            # file.
             self.events.log_and_count("peers-key-unusable", why=str(error))
             return
         self.events.log_and_count("peers-key-taken", keys=len(self.transport.codec.keys))
 
     def change(self, config: ClusterConfig, keys: list[bytes]) -> None:
-        """Takes another configuration and the keys of its file; from the thread of signals."""
+        """Applies a new configuration and the keys of its file. Called by the signal-handling thread."""
         with self.lock:
             self.config = config
             self.transport.codec.keys = keys
@@ -187,7 +188,7 @@
             self._status_error = error.strerror
 
     def take_order(self) -> None:
-        """Obeys and answers an operator's order, if one was left."""
+        """Executes and answers an operator's order, if there is one."""
         try:
             order = self.state_folder.take_order()
         except OrderError:
@@ -212,26 +213,26 @@
             with self.lock:
                 count = self.node.forget(now(), order.name)
             if count:
-                return Answer(True, f"{count} lives of {order.name} are taken for left")
-            return Answer(False, f"no failed life of {order.name} is known")
+                return Answer(True, f"{count} failed member(s) named {order.name} now count as left")
+            return Answer(False, f"no failed member named {order.name} is known")
         if order.action == "leave":
             self.leave()
-            return Answer(True, "it has said that it leaves, and goes on serving alone")
-        return Answer(False, f"no order {order.action!r}")
+            return Answer(True, "the dispatcher has left the cluster and continues to serve queries")
+        return Answer(False, f"unknown order {order.action!r}")
 
     def status(self) -> dict:
-        """The figures of the counters line."""
+        """Returns the figures for the counters log line."""
         with self.lock:
             return brief_status(self.node, now(), self.transport.lost_sends)
 
     def leave(self) -> None:
-        """Leaves the cluster, and goes on answering."""
+        """Leaves the cluster. The service still answers messages."""
         with self.lock:
             self.node.leave(now(), self.transport)
         self.log.line("peers-left")
 
     def stop(self) -> None:
-        """Ends the thread's rounds, and writes the last status."""
+        """Ends the thread's rounds, and writes a last status file."""
         self._is_stopping = True
         if self.state_folder is not None:
             self._write_status()
--- a/wickvane/cluster/state_folder.py
+++ b/wickvane/cluster/state_folder.py
@@ -1,6 +1,6 @@
-"""The state folder: the status file that a dispatcher writes, and orders that operators leave for it.
+"""The state folder: the status file that a dispatcher writes, and the orders that operators send to it.
 
-Each file is written beside its place and moved there, so that a reader gets all of it or none.
+Each file is written under a temporary name and then renamed, so that a reader never sees an incomplete file.
 """
 
 import os
@@ -19,11 +19,11 @@
 
 
 class OrderError(WickvaneError):
-    """An order file that cannot be understood."""
+    """An order file with invalid contents."""
 
 
 class Order(NamedTuple):
-    """An operator's order. action: as it was written, of any type; name: of a member."""
+    """An operator's order. action: the value in the file, of any type; name: the name of a member."""
 
     id: str
     action: Any
@@ -31,7 +31,7 @@
 
 
 class Answer(NamedTuple):
-    """What became of an order."""
+    """The result of an order."""
 
     is_done: bool
     text: str
@@ -45,7 +45,7 @@
         self._text = str(path)
 
     def prepare(self) -> None:
-        """Makes the folder, without orders and answers of a former run. Raises ConfigError."""
+        """Creates the folder, and removes the order and the answer of a former run. Raises ConfigError."""
         try:
             os.makedirs(self.path, 0o700, exist_ok=True)
             for name in (ORDER_FILE, ANSWER_FILE):
@@ -58,16 +58,16 @@
         self._replace(STATUS_FILE, f"{STATUS_FILE}.new", status)
 
     def read_status(self) -> dict:
-        """The status file. Raises OSError or orjson.JSONDecodeError."""
+        """Returns the contents of the status file. Raises OSError or orjson.JSONDecodeError."""
         return orjson.loads((self.path / STATUS_FILE).read_bytes())
 
     def write_order(self, order: Order) -> None:
-        """Leaves an order for the dispatcher. Raises OSError."""
+        """Writes an order for the dispatcher. Raises OSError."""
         fields = {"id": order.id, "what": order.action, "name": order.name}
         self._replace(ORDER_FILE, f"{order.id}.new", fields)
 
     def take_order(self) -> Order | None:
-        """The order that was left, which is removed; None without one. Raises OrderError."""
+        """Reads and removes the order file. Returns None if there is none. Raises OrderError."""
         path = self.path / ORDER_FILE
         try:
             with open(path, "rb") as file:
@@ -80,15 +80,15 @@
             id = str(fields["id"])[:MAX_ORDER_ID_LENGTH]
             return Order(id, fields["what"], str(fields.get("name") or ""))
         except (orjson.JSONDecodeError, KeyError, TypeError, AttributeError):
-            raise OrderError(f"{path}: no order") from None
+            raise OrderError(f"{path}: not a valid order") from None
 
     def write_answer(self, order: Order, answer: Answer) -> None:
-        """Answers an order. Raises OSError."""
+        """Writes the answer to an order. Raises OSError."""
         fields = {"id": order.id, "done": answer.is_done, "said": answer.text}
         self._replace(ANSWER_FILE, f"{ANSWER_FILE}.new", fields)
 
     def take_answer(self, order: Order) -> Answer | None:
-        """The answer to an order, which is removed; None where there is none yet."""
+        """Reads and removes the answer to an order. Returns None if there is none yet."""
         path = self.path / ANSWER_FILE
         try:
             fields = orjson.loads(path.read_bytes())
--- a/wickvane/cluster/status.py
+++ b/wickvane/cluster/status.py
@@ -1,4 +1,5 @@
-"""Status reports: the fields of the status file and the counters line, by the names that operators know."""
+"""Status reports: the fields of the status file and of the counters log line, under the names that operators
+use."""
 
 from wickvane.cluster.member import NEVER, Member
 from wickvane.cluster.node import Node
@@ -7,7 +8,7 @@
 
 
 def full_status(node: Node, now: int) -> dict:
-    """All that a dispatcher believes; ages in milliseconds."""
+    """Returns all that a dispatcher knows of the cluster, with ages in milliseconds."""
     table = node.table
     detector = node.detector
     return {
@@ -26,7 +27,7 @@
 
 
 def brief_status(node: Node, now: int, lost_sends: int) -> dict:
-    """The same in brief. lost_sends: datagrams that the socket did not take."""
+    """Returns a summary of the status. lost_sends: the number of messages that could not be sent."""
     detector = node.detector
     return {
         **_assessment_fields(node.assess(now)),
--- a/wickvane/cluster/watched_files.py
+++ b/wickvane/cluster/watched_files.py
@@ -1,4 +1,4 @@
-"""Notices changes of files by their time, size and inode."""
+"""Detects changes of files by modification time, size and inode."""
 
 import os
 from collections.abc import Iterable
@@ -7,13 +7,13 @@
 
 
 class WatchedFiles:
-    """Files and their stamps when each was last looked at."""
+    """Files and their stamps at the last check."""
 
     def __init__(self, paths: Iterable[str]):
         self._stamps = {path: _read_stamp(path) for path in paths}
 
     def take_changed(self) -> list[str]:
-        """The files that changed since the last call."""
+        """Returns the paths of the files that changed since the last call."""
         changed = []
         for path, before in self._stamps.items():
             stamp = _read_stamp(path)
