--- a/tests/cluster/helpers.py
+++ b/tests/cluster/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of several modules share: a membership without a cluster, and strategies of gossip."""
+"""Helpers for several test modules: a membership without a cluster, and strategies that generate gossip."""
 
 from hypothesis import strategies as st
 
@@ -15,16 +15,16 @@
 
 
 def ignore_event(event: str, fields: dict) -> None:
-    """A log that keeps nothing."""
+    """Discards a log event."""
 
 
 def make_membership(capacity: int = 64, tombstone_after: int = 1000 * TICKS_PER_SECOND) -> Membership:
-    """A membership that knows of nobody else."""
+    """Returns a membership that knows no other member."""
     return Membership(0, "me", LOCAL_EPOCH, LOCAL_ADDRESS, capacity, tombstone_after, ignore_event)
 
 
 def address_of(name: str, epoch: int) -> str:
-    """An address that no other member has."""
+    """Returns an address that no other member has."""
     return f"{name}-{epoch}:1"
 
 
@@ -36,11 +36,11 @@
     state: MemberState,
     reported_by: str = "",
 ) -> GossipEntry:
-    """An entry as another member sends it."""
+    """Returns an entry as another member sends it."""
     return GossipEntry(name, epoch, address, incarnation, state, reported_by)
 
 
-# (name, epoch, incarnation, state, reported by)
+# Tuples of name, epoch, incarnation, state and reporting member.
 reports = st.tuples(
     st.sampled_from(NAMES[1:]),
     st.integers(1, 4),
--- a/tests/cluster/test_failure_detector.py
+++ b/tests/cluster/test_failure_detector.py
@@ -11,7 +11,7 @@
 
 
 class RecordingHandler:
-    """A ProbeHandler that keeps what a detector asked for."""
+    """A ProbeHandler that records the calls of a detector."""
 
     def __init__(self):
         self.pings: list[tuple[Member, int]] = []
@@ -37,7 +37,7 @@
 
 
 def make_detector(members: int = 4) -> tuple[Membership, FailureDetector, RecordingHandler]:
-    """A detector that knows of some alive members."""
+    """Returns a detector that knows some alive members, and its membership and handler."""
     membership = make_membership()
     for n in range(members):
         membership.apply(0, report(f"p{n}", 1, f"p{n}:1", 0, ALIVE))
@@ -46,14 +46,14 @@
 
 
 def tick_until(detector: FailureDetector, handler: RecordingHandler, now: int, end: int) -> int:
-    """Ticks every hundred ticks, `end` included; the time of the next one."""
+    """Calls tick() every hundred ticks up to and including `end`. Returns the time of the next call."""
     while now <= end:
         detector.tick(now, handler)
         now += 100
     return now
 
 
-def test_all_are_probed_once_a_turn_and_one_that_acknowledges_is_not_suspected():
+def test_each_member_is_probed_once_per_turn_and_not_suspected_if_it_acknowledges():
     _, detector, handler = make_detector()
     for n in range(1, 9):
         tick_until(detector, handler, n * 5_000, n * 5_000)
@@ -63,11 +63,11 @@
     assert not handler.requests and not handler.suspected
 
 
-def test_without_an_acknowledgement_others_are_asked_and_only_then_it_is_suspected():
+def test_a_member_is_suspected_only_after_indirect_probes_without_acknowledgement():
     _, detector, handler = make_detector()
     tick_until(detector, handler, 5_000, 7_100)
     member, sequence = handler.pings[0]
-    assert handler.pings == [(member, sequence)] * 2 and {about for _, about, _ in handler.requests} == {
+    assert handler.pings == [(member, sequence)] * 2 and {subject for _, subject, _ in handler.requests} == {
         member
     }
     assert len(handler.requests) == 3 and not handler.suspected
@@ -76,8 +76,8 @@
         detector.handle_nack(8_000, helper, sequence)
     tick_until(detector, handler, 8_000, 10_000)
     assert handler.suspected[0] == (member, sorted(helpers[:2], key=lambda helper: helper.slot))
-    assert detector.health.score == 1  # one helper was not heard: on whose side is it?
-    # Heard by another way than the acknowledgement: alive, whatever became of it.
+    assert detector.health.score == 1  # the fault of the helper without a nack may be local
+    # A member from which another datagram arrived is alive, even if its acknowledgement is missing.
     _, detector, handler = make_detector()
     tick_until(detector, handler, 5_000, 7_000)
     handler.pings[0][0].last_contact_at = 7_000
@@ -90,11 +90,15 @@
     suspicions = detector.suspicions
     member = membership.apply(0, report("p0", 1, "p0:1", 0, SUSPECT, "me"))
     suspicions.start(0, member)
-    times = [suspicions.deadline(member)]
-    for by in ("p1", "p2", "p3"):
-        membership.apply(1, report("p0", 1, "p0:1", 0, SUSPECT, by))
-        times.append(suspicions.deadline(member))
-    assert times[0] == MAX_TIMEOUT and times[-1] == MIN_TIMEOUT and times == sorted(times, reverse=True)
+    deadlines = [suspicions.deadline(member)]
+    for reported_by in ("p1", "p2", "p3"):
+        membership.apply(1, report("p0", 1, "p0:1", 0, SUSPECT, reported_by))
+        deadlines.append(suspicions.deadline(member))
+    assert (
+        deadlines[0] == MAX_TIMEOUT
+        and deadlines[-1] == MIN_TIMEOUT
+        and deadlines == sorted(deadlines, reverse=True)
+    )
     membership.apply(2, report("p0", 1, "p0:1", 1, ALIVE))
     suspicions.cancel(member)
     membership.apply(3, report("p0", 1, "p0:1", 1, SUSPECT, "me"))
@@ -102,7 +106,7 @@
     assert suspicions.deadline(member) == 3 + 2 * MAX_TIMEOUT
 
 
-def test_a_dispatcher_that_stalled_judges_nobody_for_it():
+def test_a_stall_causes_no_suspicions_and_extends_suspicion_timeouts():
     membership, detector, handler = make_detector()
     tick_until(detector, handler, 5_000, 6_000)
     member = membership.apply(6_000, report("p0", 1, "p0:1", 0, SUSPECT, "p1"))
--- a/tests/cluster/test_node.py
+++ b/tests/cluster/test_node.py
@@ -1,4 +1,4 @@
-"""One node: the bounds on what it sends, and its end."""
+"""One node: the bounds on its messages, and its rounds after it has left."""
 
 from cluster.helpers import ignore_event, report
 from wickvane.cluster.digest import DIGEST_SIZE
@@ -13,7 +13,7 @@
 
 
 class RecordingTransport:
-    """A transport that keeps the messages."""
+    """A transport that records the messages."""
 
     def __init__(self):
         self.messages: list[Message] = []
@@ -22,7 +22,7 @@
         self.messages.append(message)
 
 
-def test_no_message_is_longer_than_a_datagram_and_what_is_sent_is_bounded():
+def test_message_sizes_and_the_sending_rate_are_bounded():
     codec = Codec("c" * 64, [b"k" * 20])
     transport = RecordingTransport()
     node = Node(
@@ -68,7 +68,7 @@
     assert len(sizes) <= SEND_BURST + SEND_RATE * 21 and node.rejected["sent-too-much"]
 
 
-def test_a_member_that_has_left_answers_until_its_end_and_wakes_for_nothing_else():
+def test_a_member_that_has_left_still_answers_and_has_no_other_rounds():
     fleet = Fleet(3, 1, settled=True)
     fleet.run(TICKS_PER_SECOND)
     node = fleet.members[0].node
--- a/tests/cluster/test_protocol_digest.py
+++ b/tests/cluster/test_protocol_digest.py
@@ -1,9 +1,9 @@
-"""The protocol's datagrams and views in virtual time, against digests recorded from commit c5b2902.
+"""The protocol's datagrams and views in virtual time equal the digests recorded from commit c5b2902.
 
-Each history plays joins, kills, restarts, partitions, standstills, graceful leaves and operators' orders from
-one seed. Its digest covers every datagram in the order of sending (time, sender, receiver, bytes of the
-message), every log event, and the status of each member that runs at the end. A change of any random draw,
-timer, byte or view changes it.
+Each history runs joins, kills, restarts, partitions, stalls, graceful leaves and operators' orders from one
+seed. Its digest covers each datagram in the order of sending (time, sender, receiver, bytes of the message),
+each log event, and the status of each member that runs at the end. Any change of a random number, timer, byte
+or view changes the digest.
 """
 
 import json
@@ -19,7 +19,7 @@
 
 
 class RecordingFleet(Fleet):
-    """A fleet that hashes what its members send."""
+    """A fleet that hashes the datagrams of its members."""
 
     def __init__(self, *arguments, **options):
         self.hash = blake2b(digest_size=16)
@@ -32,7 +32,7 @@
         super().sent(n, address, message)
 
     def result(self) -> tuple[int, str]:
-        """The number of datagrams, and the digest over all that happened."""
+        """Returns the number of datagrams, and the digest of all datagrams, events and final statuses."""
         self.hash.update(json.dumps(self.events, sort_keys=True, default=str).encode())
         for member in self.members:
             if member.up:
@@ -41,7 +41,7 @@
 
 
 class PayloadDelegate:
-    """Sends a payload to a random member four times a second, and hashes those that it receives."""
+    """Sends a payload to a random member four times a second, and hashes the received payloads."""
 
     def __init__(self, fleet: RecordingFleet, n: int):
         self.fleet = fleet
@@ -61,14 +61,15 @@
 
 
 def joins_and_losses(seed: int) -> RecordingFleet:
-    """A fleet that finds itself while a tenth of the datagrams is lost, doubled or delayed."""
+    """A cluster forms while datagrams are delayed, and a tenth of them are lost and another tenth are sent
+    twice."""
     fleet = RecordingFleet(16, seed, loss=0.1, doubled=0.1, delay=(3, 600))
     fleet.run(25 * TICKS_PER_SECOND)
     return fleet
 
 
 def partition(seed: int) -> RecordingFleet:
-    """A cut in two, a second one across it, and the healing."""
+    """A cluster is split in two, then in three across the first split, and finally merges."""
     fleet = RecordingFleet(15, seed)
     fleet.run(10 * TICKS_PER_SECOND)
     fleet.cut = lambda sender, receiver: (sender < 6) != (receiver < 6)
@@ -80,34 +81,35 @@
     return fleet
 
 
-def disturb(fleet: RecordingFleet, chance: Random) -> None:
-    """One fault, restart or order, drawn at random."""
-    action = chance.randrange(8)
-    n = chance.randrange(11)
+def disturb(fleet: RecordingFleet, random: Random) -> None:
+    """Causes one random fault, restart or order."""
+    action = random.randrange(8)
+    n = random.randrange(11)
     up = fleet.members[n].up
     if action <= 1 and up:
         fleet.killed(n)
     elif action in (2, 3) and not up:
-        fleet.restarted(n, epoch=None if action == 2 else 1 + chance.randrange(1000))
+        fleet.restarted(n, epoch=None if action == 2 else 1 + random.randrange(1000))
     elif action == 4:
-        fleet.stand_still(n, chance.randrange(25 * TICKS_PER_SECOND))
+        fleet.stand_still(n, random.randrange(25 * TICKS_PER_SECOND))
     elif action == 5:
         fleet.cut = lambda sender, receiver: sender == n
     elif action == 6 and up and sum(member.up for member in fleet.members) > 5:
         fleet.leave(n)
     elif up:
-        fleet.members[n].node.forget(fleet.now, f"n{chance.randrange(11)}")
+        fleet.members[n].node.forget(fleet.now, f"n{random.randrange(11)}")
         fleet.cut = None
 
 
 def kills_and_restarts(seed: int) -> RecordingFleet:
-    """Kills, restarts with clocks that went back, standstills, one-way cuts, leaves and forgotten members."""
-    chance = Random(f"digest/{seed}")
+    """A history of kills, restarts with clocks that went back, stalls, one-way partitions, leaves and
+    forgotten members."""
+    random = Random(f"digest/{seed}")
     fleet = RecordingFleet(11, seed, loss=0.05, configured=9)
     fleet.run(8 * TICKS_PER_SECOND)
     for _ in range(16):
-        disturb(fleet, chance)
-        fleet.run(fleet.now + chance.randrange(9 * TICKS_PER_SECOND))
+        disturb(fleet, random)
+        fleet.run(fleet.now + random.randrange(9 * TICKS_PER_SECOND))
         for member in fleet.members:
             if member.up:
                 member.node.log_assessment(fleet.now)
@@ -121,7 +123,7 @@
 
 
 def payloads(seed: int) -> RecordingFleet:
-    """Members that know each other from the start carry payloads; one leaves, two are killed."""
+    """Members that know each other from the start exchange payloads. One leaves, and two are killed."""
     fleet = RecordingFleet(12, seed, loss=0.05, settled=True)
     for n, member in enumerate(fleet.members):
         member.node.delegate = PayloadDelegate(fleet, n)
@@ -137,7 +139,7 @@
 
 
 def large_fleet(seed: int) -> RecordingFleet:
-    """Many members that restart under new epochs: more gossip than one datagram takes."""
+    """Many members restart with new epochs, which causes more gossip than one datagram can contain."""
     fleet = RecordingFleet(90, seed, settled=True)
     fleet.run(TICKS_PER_SECOND)
     for n in range(0, 90, 2):
@@ -171,5 +173,5 @@
 
 
 @pytest.mark.parametrize("history, seed, datagram_count, digest", RECORDED)
-def test_datagrams_events_and_views_are_those_of_c5b2902(history, seed, datagram_count, digest):
+def test_datagrams_events_and_views_equal_those_of_c5b2902(history, seed, datagram_count, digest):
     assert history(seed).result() == (datagram_count, digest)
--- a/tests/cluster/test_quorum.py
+++ b/tests/cluster/test_quorum.py
@@ -1,4 +1,4 @@
-"""The quorum state, the side of a partition and the divisor that follow from a view."""
+"""The quorum state, the partition and the divisor that are derived from a view."""
 
 import pytest
 from hypothesis import given, settings
@@ -19,11 +19,11 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(reports, max_size=30), st.integers(0, 12))
-def test_no_view_lets_a_dispatcher_take_more_than_the_configured_count_gives(received, configured):
+def test_no_view_lowers_the_divisor_or_gives_two_majorities(received, configured):
     membership = make_membership()
     table = membership.table
-    for n, (name, epoch, incarnation, state, by) in enumerate(received):
-        entry = report(name, epoch, address_of(name, epoch), incarnation, state, by)
+    for n, (name, epoch, incarnation, state, reported_by) in enumerate(received):
+        entry = report(name, epoch, address_of(name, epoch), incarnation, state, reported_by)
         membership.apply(n * 5 * TICKS_PER_SECOND, entry)
         running = sum(member.state not in (FAILED, LEFT) for member in table.members.values())
         known = {member.name for member in table.members.values() if member.state != LEFT}
@@ -31,11 +31,11 @@
         assert divisor(configured, table) >= running
         reachable, suspected, failed, _ = count_members(table)
         own = find_partition(configured, reachable, suspected, failed, True)
-        # Two sides of a partition that know of the same whole never both take themselves for the majority.
-        whole = max(configured, reachable + suspected + failed)
+        # Two partitions that assume the same total are never both the majority.
+        total = max(configured, reachable + suspected + failed)
         other = Partition.UNKNOWN
-        if whole > reachable:
-            other = find_partition(configured, whole - reachable, 0, reachable, True)
+        if total > reachable:
+            other = find_partition(configured, total - reachable, 0, reachable, True)
         assert (own, other) != (Partition.MAJORITY, Partition.MAJORITY)
 
 
@@ -57,6 +57,6 @@
     assert find_quorum_state(*figures) == (state, reasons)
 
 
-def test_operators_see_the_same_words():
+def test_the_values_shown_to_operators_stay_the_same():
     assert [state.value for state in QuorumState] == ["whole", "degraded", "alone"]
-    assert [side.value for side in Partition] == ["larger", "smaller", "unknown"]
+    assert [partition.value for partition in Partition] == ["larger", "smaller", "unknown"]
--- a/tests/cluster/test_stored_formats.py
+++ b/tests/cluster/test_stored_formats.py
@@ -1,4 +1,4 @@
-"""Files and datagrams written by commit c5b2902, read by today's code."""
+"""Files and datagrams written by commit c5b2902 are read by the current code."""
 
 import os
 import shutil
@@ -14,7 +14,7 @@
 from wickvane.cluster.service import ClusterService
 from wickvane.net.counters import Counters
 
-WRITTEN = Path(__file__).parent.parent / "data" / "cluster-state-c5b2902"
+RECORDED_FOLDER = Path(__file__).parent.parent / "data" / "cluster-state-c5b2902"
 
 
 @pytest.fixture
@@ -27,29 +27,31 @@
 
 
 @pytest.mark.parametrize("command", ["status", "members", "events"])
-def test_the_status_file_is_shown_as_it_was(command, utc, capsys):
-    assert main(["peers", command, f"--state={WRITTEN}"]) == 0
+def test_a_stored_status_file_gives_the_recorded_output(command, utc, capsys):
+    assert main(["peers", command, f"--state={RECORDED_FOLDER}"]) == 0
     lines = capsys.readouterr().out.splitlines(keepends=True)
-    if command == "status":  # a first line says that the file is old
+    if command == "status":  # the first line warns that the file is old
         assert "s old: the dispatcher has stalled or ended" in lines.pop(0)
-    assert "".join(lines) == (WRITTEN / f"{command}.txt").read_text()
+    assert "".join(lines) == (RECORDED_FOLDER / f"{command}.txt").read_text()
 
 
-def test_the_command_leaves_the_same_order_and_takes_the_answer(tmp_path, monkeypatch, capsys):
-    shutil.copy(WRITTEN / "status.json", tmp_path)
-    shutil.copy(WRITTEN / "answer.json", tmp_path)
+def test_the_command_writes_the_recorded_order_and_reads_the_answer(tmp_path, monkeypatch, capsys):
+    shutil.copy(RECORDED_FOLDER / "status.json", tmp_path)
+    shutil.copy(RECORDED_FOLDER / "answer.json", tmp_path)
     monkeypatch.setattr(uuid, "uuid4", lambda: uuid.UUID("3233860e8a784c2bb52ab7c00cb5e59a"))
     assert main(["peers", "forget", "n2", f"--state={tmp_path}"]) == 0
     assert capsys.readouterr().out == "1 lives of n2 are taken for left\n"
-    assert (tmp_path / "order.json").read_bytes() == (WRITTEN / "order.json").read_bytes()
+    assert (tmp_path / "order.json").read_bytes() == (RECORDED_FOLDER / "order.json").read_bytes()
 
 
-def test_a_dispatcher_takes_an_order_and_answers_it(tmp_path):
+def test_a_dispatcher_reads_a_recorded_order_and_answers_it(tmp_path):
     lines = []
     log = type("Log", (), {"line": lambda self, event, **fields: lines.append((event, fields))})()
-    document = f'peers {{ listen "127.0.0.1:47100"; key-file "{WRITTEN}/peers.key"; state "{tmp_path}" }}'
+    document = (
+        f'peers {{ listen "127.0.0.1:47100"; key-file "{RECORDED_FOLDER}/peers.key"; state "{tmp_path}" }}'
+    )
     dispatcher = ClusterService(parts.read_text(document)["peers"], "n0", 3, 1, log, Counters())
-    shutil.copy(WRITTEN / "order.json", tmp_path)
+    shutil.copy(RECORDED_FOLDER / "order.json", tmp_path)
     dispatcher.take_order()
     assert lines == [("peers-order", {"what": "forget", "name": "n2", "done": False})]
     assert (tmp_path / "answer.json").read_bytes() == (
@@ -58,17 +60,17 @@
     assert os.listdir(tmp_path) == ["answer.json"]
 
 
-def test_the_key_file_is_read():
-    assert wire.read_keys(WRITTEN / "peers.key") == [
+def test_the_recorded_key_file_is_read():
+    assert wire.read_keys(RECORDED_FOLDER / "peers.key") == [
         b"a key of sixteen octets or more",
         b"the key before it, of old",
     ]
 
 
-def test_a_datagram_is_read_and_written_again_byte_for_byte():
-    written = (WRITTEN / "datagram.bin").read_bytes()
+def test_a_recorded_datagram_is_opened_and_sealed_again_byte_for_byte():
+    recorded = (RECORDED_FOLDER / "datagram.bin").read_bytes()
     codec = wire.Codec("wickvane", [b"a key of sixteen octets or more"])
-    message = codec.open(written)
+    message = codec.open(recorded)
     assert tuple(message) == (
         2,
         "n0",
@@ -85,4 +87,4 @@
             ("n2", 1177213150701613572, "127.0.0.1:47102", 3, 2, "n0"),
         ],
     )
-    assert codec.seal(message) == written
+    assert codec.seal(message) == recorded
--- a/tests/cluster/test_wire.py
+++ b/tests/cluster/test_wire.py
@@ -1,4 +1,4 @@
-"""The datagram codec against hostile octets, and the key file."""
+"""The datagram codec with invalid datagrams, and the key file."""
 
 import pytest
 from hypothesis import given, settings
@@ -12,12 +12,12 @@
 
 @settings(max_examples=500, deadline=None)
 @given(st.binary(max_size=1300) | st.tuples(st.integers(0, 60), st.binary(min_size=1, max_size=3)))
-def test_hostile_octets_are_rejected_with_a_reason_and_nothing_else(data):
+def test_invalid_datagrams_raise_only_datagram_errors_with_a_known_reason(data):
     codec = Codec("c", [b"k" * 20])
     if isinstance(data, tuple):
-        whole = codec.seal(PING)
-        data = whole[: data[0]] + data[1] + whole[data[0] + len(data[1]) :]
-        if data == whole:
+        sealed = codec.seal(PING)
+        data = sealed[: data[0]] + data[1] + sealed[data[0] + len(data[1]) :]
+        if data == sealed:
             return
     with pytest.raises(DatagramError) as rejected:
         codec.open(data)
@@ -40,17 +40,17 @@
         ({6: "x"}, "malformed"),
     ],
 )
-def test_what_the_key_signs_is_still_read_with_all_its_types_or_not_at_all(change, reason):
+def test_a_signed_message_with_a_field_of_a_wrong_type_is_rejected(change, reason):
     codec = Codec("c", [b"k" * 20])
     fields = list(PING)
-    for n, value in change.items():
-        fields[n] = value
+    for index, value in change.items():
+        fields[index] = value
     with pytest.raises(DatagramError) as rejected:
         codec.open(codec.seal(Message(*fields)))
     assert rejected.value.reason == reason
 
 
-def test_two_keys_are_accepted_and_another_cluster_is_told_apart(tmp_path):
+def test_both_keys_are_accepted_and_other_keys_and_clusters_are_rejected(tmp_path):
     old = [b"o" * 16]
     both = [b"n" * 16, b"o" * 16]
     new = [b"n" * 16]
@@ -71,7 +71,7 @@
     assert read_keys(path) == [b"k" * 20, b"l" * 20]
 
 
-def test_a_message_is_read_as_the_types_that_were_sent():
+def test_an_opened_message_has_the_types_of_the_sealed_one():
     message = Codec("c", [b"k" * 20]).open(Codec("c", [b"k" * 20]).seal(PING))
     assert isinstance(message, Message) and message.kind is PING.kind
     assert message.entries == [report("a", 5, "1.1.1.1:1", 0, PING.entries[0].state)]
