--- a/tests/cluster/test_node.py
+++ b/tests/cluster/test_node.py
@@ -1,11 +1,11 @@
-"""One node: the bounds on what it sends, and its end."""
+"""One node: the bounds on its messages, and its rounds after it has left."""
 
 from cluster.helpers import ignore_event, report
 from wickvane.cluster.digest import DIGEST_SIZE
 from wickvane.cluster.gossip import entry_of
 from wickvane.cluster.member import ALIVE, SUSPECT
 from wickvane.cluster.message_sender import SEND_BURST, SEND_RATE
-from wickvane.cluster.messages import MAX_DATAGRAM, Message, MessageKind
+from wickvane.cluster.messages import MAX_DATAGRAM_SIZE, Message, MessageKind
 from wickvane.cluster.node import Node
 from wickvane.cluster.wire import Codec
 from wickvane.rehearsal.peers import Fleet
@@ -13,7 +13,7 @@
 
 
 class RecordingTransport:
-    """A transport that keeps the messages."""
+    """A transport that records the messages."""
 
     def __init__(self):
         self.messages: list[Message] = []
@@ -22,7 +22,7 @@
         self.messages.append(message)
 
 
-def test_no_message_is_longer_than_a_datagram_and_what_is_sent_is_bounded():
+def test_message_sizes_and_the_sending_rate_are_bounded():
     codec = Codec("c" * 64, [b"k" * 20])
     transport = RecordingTransport()
     node = Node(
@@ -64,11 +64,11 @@
     for n in range(2_000):
         node.run_round(now, [message._replace(kind=MessageKind(n % 8), counter=n + 1)], transport)
     sizes = [len(codec.seal(sent)) for sent in transport.messages]
-    assert max(sizes) <= MAX_DATAGRAM and len(sizes) > 100
+    assert max(sizes) <= MAX_DATAGRAM_SIZE and len(sizes) > 100
     assert len(sizes) <= SEND_BURST + SEND_RATE * 21 and node.rejected["sent-too-much"]
 
 
-def test_a_member_that_has_left_answers_until_its_end_and_wakes_for_nothing_else():
+def test_a_member_that_has_left_still_answers_and_has_no_other_rounds():
     fleet = Fleet(3, 1, settled=True)
     fleet.run(TICKS_PER_SECOND)
     node = fleet.members[0].node
