--- a/tests/endpoints/support.py
+++ b/tests/endpoints/support.py
@@ -226,7 +226,7 @@
         return [fields for name, fields in self.events if name == event]
 
 
-class FollowedFile:
+class FileSourceHarness:
     """Runs a FileSource on a file or directory and keeps the states that it publishes."""
 
     def __init__(
--- a/tests/endpoints/test_dispatcher.py
+++ b/tests/endpoints/test_dispatcher.py
@@ -173,13 +173,13 @@
     del config["coordinator"]
     (tmp_path / "config.json").write_text(json.dumps(config))
     (tmp_path / "parts.kdl").write_text(f'members {{ file "{path}" }}')
-    words = ["check", f"--config={tmp_path}/config.json", f"--parts={tmp_path}/parts.kdl"]
+    arguments = ["check", f"--config={tmp_path}/config.json", f"--parts={tmp_path}/parts.kdl"]
     process = subprocess.run(
-        [sys.executable, "-m", "wickvane", *words], cwd=ROOT, capture_output=True, timeout=60
+        [sys.executable, "-m", "wickvane", *arguments], cwd=ROOT, capture_output=True, timeout=60
     )
     assert process.returncode == 0, process.stderr
     process = subprocess.run(
-        [sys.executable, "-m", "wickvane", *words[:2]],
+        [sys.executable, "-m", "wickvane", *arguments[:2]],
         cwd=ROOT,
         capture_output=True,
         timeout=60,
--- a/tests/endpoints/test_file_source.py
+++ b/tests/endpoints/test_file_source.py
@@ -10,7 +10,7 @@
 from bench_free import until
 
 from endpoints.support import (
-    FollowedFile,
+    FileSourceHarness,
     kdl_document,
     make_endpoint,
     make_endpoints,
@@ -24,11 +24,11 @@
 @pytest.mark.parametrize("watched", ["events", "poll"])
 def test_renamed_files_apply_and_invalid_ones_change_nothing(path: str, watched: str) -> None:
     replace_document(path, make_endpoints(4))
-    followed = FollowedFile(path, extra_nodes=f'watch "{watched}"')
-    assert followed.ready_names() == names(4)
+    harness = FileSourceHarness(path, extra_nodes=f'watch "{watched}"')
+    assert harness.ready_names() == names(4)
     started_at = time.monotonic()
     replace_document(path, make_endpoints(5))
-    until(lambda: followed.ready_names() == names(5))
+    until(lambda: harness.ready_names() == names(5))
     assert time.monotonic() - started_at < 10
     original = open(path, "rb").read()
     for data, code in (
@@ -41,44 +41,44 @@
         with open(f"{path}.new", "wb") as file:
             file.write(data)
         os.replace(f"{path}.new", path)
-        until(lambda code=code: followed.unfit_count(code))
-        assert followed.ready_names() == names(5)
+        until(lambda code=code: harness.unfit_count(code))
+        assert harness.ready_names() == names(5)
     replace_document(path, make_endpoints(6))
-    until(lambda: followed.ready_names() == names(6))
-    followed.stop()
+    until(lambda: harness.ready_names() == names(6))
+    harness.stop()
 
 
 def test_a_file_written_in_pieces_is_never_applied_in_part(path: str) -> None:
     replace_document(path, make_endpoints(4), is_sealed=False)
-    followed = FollowedFile(path)
+    harness = FileSourceHarness(path)
     data = kdl_document(make_endpoints(6)).encode()
     with open(path, "wb", buffering=0) as file:
         for at in range(0, len(data), 60):
             file.write(data[at : at + 60])
             time.sleep(0.05)
-            assert followed.ready_names() in (names(4), names(6))
-    until(lambda: followed.ready_names() == names(6))
-    followed.stop()
+            assert harness.ready_names() in (names(4), names(6))
+    until(lambda: harness.ready_names() == names(6))
+    harness.stop()
 
 
 def test_missing_and_unreadable_files_directories_and_pipes_keep_the_current_list(path: str) -> None:
     replace_document(path, make_endpoints(4))
-    followed = FollowedFile(path)
+    harness = FileSourceHarness(path)
     os.unlink(path)
-    until(lambda: followed.unfit_count("missing"))
+    until(lambda: harness.unfit_count("missing"))
     os.mkdir(path)
-    until(lambda: followed.unfit_count("not-a-file"))
+    until(lambda: harness.unfit_count("not-a-file"))
     os.rmdir(path)
     os.mkfifo(path)
-    until(lambda: followed.unfit_count("not-a-file") >= 2)
+    until(lambda: harness.unfit_count("not-a-file") >= 2)
     os.unlink(path)
     os.symlink(path, path)
-    until(lambda: followed.unfit_count("unreadable"))
-    assert followed.ready_names() == names(4)
+    until(lambda: harness.unfit_count("unreadable"))
+    assert harness.ready_names() == names(4)
     os.unlink(path)
     replace_document(path, make_endpoints(5))
-    until(lambda: followed.ready_names() == names(5))
-    followed.stop()
+    until(lambda: harness.ready_names() == names(5))
+    harness.stop()
 
 
 def test_a_directory_replaced_by_a_symlink_is_followed(tmp_path: Path) -> None:
@@ -87,12 +87,12 @@
         (tmp_path / f"v{n}" / "m.kdl").write_text(kdl_document(make_endpoints(count)))
     os.symlink("v1", tmp_path / "data")
     os.symlink("data/m.kdl", tmp_path / "m.kdl")
-    followed = FollowedFile(str(tmp_path / "m.kdl"))
-    assert followed.ready_names() == names(4)
+    harness = FileSourceHarness(str(tmp_path / "m.kdl"))
+    assert harness.ready_names() == names(4)
     os.symlink("v2", tmp_path / "fresh")
     os.replace(tmp_path / "fresh", tmp_path / "data")
-    until(lambda: followed.ready_names() == names(6))
-    followed.stop()
+    until(lambda: harness.ready_names() == names(6))
+    harness.stop()
 
 
 def test_files_of_a_directory_are_merged_and_conflicts_rejected(tmp_path: Path) -> None:
@@ -108,51 +108,48 @@
     (folder / "b.json").write_text(json.dumps(json_document))
     (folder / "notes.txt").write_text("x")
     (folder / ".c.kdl.swp").write_text("x")
-    followed = FollowedFile(str(folder))
-    assert followed.ready_names() == names(6)
-    assert followed.log.fields_of("members-part-ignored") == [{"file": "notes.txt"}]
+    harness = FileSourceHarness(str(folder))
+    assert harness.ready_names() == names(6)
+    assert harness.log.fields_of("members-part-ignored") == [{"file": "notes.txt"}]
     (folder / "c.kdl").write_text(kdl_document([make_endpoint(2)]))
-    until(lambda: followed.log.fields_of("members-refused"))
-    rejection = followed.log.fields_of("members-refused")[-1]
+    until(lambda: harness.log.fields_of("members-refused"))
+    rejection = harness.log.fields_of("members-refused")[-1]
     assert rejection["codes"] == ("name-twice",) and "a.kdl and c.kdl" in rejection["why"][0]
-    assert followed.ready_names() == names(6)
+    assert harness.ready_names() == names(6)
     (folder / "c.kdl").write_text(kdl_document([make_endpoint(7, port=1001)]))
-    until(lambda: followed.log.fields_of("members-refused")[-1]["codes"] == ("address-twice",))
+    until(lambda: harness.log.fields_of("members-refused")[-1]["codes"] == ("address-twice",))
     os.unlink(folder / "c.kdl")
     (folder / "a.kdl").write_text(kdl_document(make_endpoints(2)))
     until(
         lambda: (
-            followed.published.get("e2") == EngineState.DRAINING
-            and followed.ready_names() == names(6) - {"e2"}
+            harness.published.get("e2") == EngineState.DRAINING and harness.ready_names() == names(6) - {"e2"}
         )
     )
     os.unlink(folder / "a.kdl")
-    until(lambda: followed.log.fields_of("members-refused")[-1]["codes"] or True)
-    followed.stop()
+    until(lambda: harness.log.fields_of("members-refused")[-1]["codes"] or True)
+    harness.stop()
 
 
 def test_rapid_replacements_end_at_the_last_generation(path: str) -> None:
     replace_document(path, make_endpoints(4), 1)
-    followed = FollowedFile(path)
+    harness = FileSourceHarness(path)
     for n in range(2, 12):
         replace_document(path, make_endpoints(4 + n % 3), n)
         time.sleep(0.1)
-    until(
-        lambda: followed.source.status()["generation"] == 11 and followed.ready_names() == names(4 + 11 % 3)
-    )
+    until(lambda: harness.source.status()["generation"] == 11 and harness.ready_names() == names(4 + 11 % 3))
     replace_document(path, make_endpoints(8), 5)
-    until(lambda: followed.log.fields_of("members-refused"))
-    assert followed.log.fields_of("members-refused")[-1]["codes"] == ("generation-back",)
+    until(lambda: harness.log.fields_of("members-refused"))
+    assert harness.log.fields_of("members-refused")[-1]["codes"] == ("generation-back",)
     replace_document(path, make_endpoints(8), 11)
-    until(lambda: followed.log.fields_of("members-refused")[-1]["codes"] == ("generation-same",))
-    assert followed.ready_names() == names(4 + 11 % 3)
-    followed.stop()
+    until(lambda: harness.log.fields_of("members-refused")[-1]["codes"] == ("generation-same",))
+    assert harness.ready_names() == names(4 + 11 % 3)
+    harness.stop()
 
 
 def test_a_file_that_never_settles_is_reported(path: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(change_detector, "MAX_UNSETTLED_TIME", 3000)
     replace_document(path, make_endpoints(4), is_sealed=False)
-    followed = FollowedFile(path, extra_nodes='step "50ms"')
+    harness = FileSourceHarness(path, extra_nodes='step "50ms"')
     ended = threading.Event()
 
     def keep_appending() -> None:
@@ -163,10 +160,10 @@
 
     writer = threading.Thread(target=keep_appending)
     writer.start()
-    until(lambda: followed.unfit_count("never-still"))
+    until(lambda: harness.unfit_count("never-still"))
     ended.set()
     writer.join()
-    assert followed.ready_names() == names(4)
+    assert harness.ready_names() == names(4)
     replace_document(path, make_endpoints(5))
-    until(lambda: followed.ready_names() == names(5))
-    followed.stop()
+    until(lambda: harness.ready_names() == names(5))
+    harness.stop()
--- a/tests/endpoints/test_journal.py
+++ b/tests/endpoints/test_journal.py
@@ -11,7 +11,7 @@
 
 from endpoints.support import (
     TOPOLOGY,
-    FollowedFile,
+    FileSourceHarness,
     ListHarness,
     make_endpoint,
     make_endpoints,
@@ -187,15 +187,15 @@
 def test_a_restart_without_the_file_recovers_the_list_and_its_drains(tmp_path: Path, path: str) -> None:
     state = str(tmp_path / "state")
     replace_document(path, make_endpoints(4), 1)
-    followed = FollowedFile(path, state)
+    harness = FileSourceHarness(path, state)
     replace_document(path, [*make_endpoints(3), make_endpoint(3, weight=0.0)], 2)
-    until(lambda: followed.published.get("e3") == EngineState.DRAINING)
+    until(lambda: harness.published.get("e3") == EngineState.DRAINING)
     with pytest.raises(ConfigError, match="another process"):
-        FollowedFile(path, state)
-    followed.stop()
+        FileSourceHarness(path, state)
+    harness.stop()
     for change_file in (lambda: os.unlink(path), lambda: replace_document(path, make_endpoints(4), 1)):
         change_file()
-        restarted = FollowedFile(path, state)
+        restarted = FileSourceHarness(path, state)
         assert restarted.published == {
             "e0": EngineState.READY,
             "e1": EngineState.READY,
@@ -208,7 +208,7 @@
         assert restarted.published["e3"] == EngineState.DRAINING
         restarted.stop()
     replace_document(path, make_endpoints(4), 3)
-    last = FollowedFile(path, state)
+    last = FileSourceHarness(path, state)
     until(lambda: last.ready_names() == names(4))
     assert not last.source.status()["old"]
     last.stop()
@@ -217,22 +217,22 @@
 def test_a_failing_journal_does_not_stop_a_drain_and_is_compacted_later(tmp_path: Path, path: str) -> None:
     state = str(tmp_path / "state")
     replace_document(path, make_endpoints(4))
-    followed = FollowedFile(path, state)
-    disk = followed.source.journal.journal.disk
+    harness = FileSourceHarness(path, state)
+    disk = harness.source.journal.journal.disk
 
     class FullDisk(Disk):
         def write(self, descriptor: int, data: bytes, position: int) -> None:
             raise OSError(28, "No space left on device")
 
-    followed.source.journal.journal.disk = FullDisk()
+    harness.source.journal.journal.disk = FullDisk()
     replace_document(path, make_endpoints(3))
-    until(lambda: followed.published.get("e3") == EngineState.DRAINING)
-    assert followed.log.fields_of("members-journal-failed")
-    followed.source.journal.journal.disk = disk
+    until(lambda: harness.published.get("e3") == EngineState.DRAINING)
+    assert harness.log.fields_of("members-journal-failed")
+    harness.source.journal.journal.disk = disk
     replace_document(path, make_endpoints(5))
-    until(lambda: followed.ready_names() == names(5))
-    followed.stop()
-    restarted = FollowedFile(path, state)
+    until(lambda: harness.ready_names() == names(5))
+    harness.stop()
+    restarted = FileSourceHarness(path, state)
     assert restarted.ready_names() == names(5) and not restarted.log.fields_of("members-refused")
     restarted.stop()
 
@@ -242,7 +242,7 @@
     state.mkdir()
     (state / JOURNAL_NAME).write_bytes(b"not a journal at all")
     replace_document(path, make_endpoints(4))
-    followed = FollowedFile(path, str(state))
-    assert followed.ready_names() == names(4) and followed.log.fields_of("members-journal-unreadable")
+    harness = FileSourceHarness(path, str(state))
+    assert harness.ready_names() == names(4) and harness.log.fields_of("members-journal-unreadable")
     assert [name for name in os.listdir(state) if "unreadable" in name]
-    followed.stop()
+    harness.stop()
--- a/tests/endpoints/test_process_kill.py
+++ b/tests/endpoints/test_process_kill.py
@@ -18,9 +18,9 @@
     """Runs `wickvane serve` and keeps its log."""
 
     def __init__(self, folder: Path) -> None:
-        words = ["serve", f"--config={folder}/config.json", f"--parts={folder}/parts.kdl"]
+        arguments = ["serve", f"--config={folder}/config.json", f"--parts={folder}/parts.kdl"]
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "wickvane", *words], cwd=ROOT, stdout=subprocess.PIPE
+            [sys.executable, "-m", "wickvane", *arguments], cwd=ROOT, stdout=subprocess.PIPE
         )
         self.lines: list[dict] = []
         threading.Thread(target=self._read, daemon=True).start()
--- a/wickvane/endpoints/change_policy.py
+++ b/wickvane/endpoints/change_policy.py
@@ -13,7 +13,7 @@
     removed_fraction_severity: Severity = Severity.HOLD
     load_fraction: float = 0.85  # maximum fraction of the remaining cores that the current load may need
     load_fraction_severity: Severity = Severity.HOLD
-    last_of_group_severity: Severity = Severity.REJECT  # if a resource group loses its last engine
+    last_of_group_severity: Severity = Severity.REJECT  # if a resource group loses its last permitted engine
     weight_factor: float = 4.0  # maximum factor by which a weight may rise or fall
     weight_factor_severity: Severity = Severity.STAGE
     empty_severity: Severity = Severity.REJECT  # if no engine would be ready
--- a/wickvane/endpoints/command.py
+++ b/wickvane/endpoints/command.py
@@ -171,14 +171,14 @@
 
 
 def _print_audit_row(row: dict) -> None:
-    words = [f"{row.get('generation')}"] if row.get("generation") is not None else []
-    words += [f"({row['digest']})"] if row.get("digest") else []
-    words += [f"of {row['of']}"] if row.get("of") else []
-    words += [f"+{row['put']} -{row['drop']}"] if "put" in row else []
-    words += ["in steps"] if row.get("steps") else []
-    words += row.get("codes") or []
+    columns = [f"{row.get('generation')}"] if row.get("generation") is not None else []
+    columns += [f"({row['digest']})"] if row.get("digest") else []
+    columns += [f"of {row['of']}"] if row.get("of") else []
+    columns += [f"+{row['put']} -{row['drop']}"] if "put" in row else []
+    columns += ["in steps"] if row.get("steps") else []
+    columns += row.get("codes") or []
     author = f"by {row['who']}" if row.get("who") else ""
-    print(_time_text(row["at"]), row["what"], *words, author)
+    print(_time_text(row["at"]), row["what"], *columns, author)
     for sentence in row.get("why") or []:
         print("   ", sentence)
 
--- a/wickvane/endpoints/directory_watcher.py
+++ b/wickvane/endpoints/directory_watcher.py
@@ -53,7 +53,5 @@
                 raise_interrupt=False,
             ):
                 self._woken.set()
-        except (
-            Exception
-        ) as error:  # the package is missing, the watches are used up, or a directory was removed
+        except Exception as error:  # package missing, no watches left, or a directory was removed
             self._on_failure(f"{type(error).__name__}: {error}")
--- a/wickvane/endpoints/endpoint_list.py
+++ b/wickvane/endpoints/endpoint_list.py
@@ -71,7 +71,7 @@
         self.audit_log = AuditLog()
         self.overlay = CoordinatorOverlay(policy.overrides_coordinator)
         self.last_rejection: Rejection | None = None
-        self.is_stale = False  # recovered from the journal, and not yet confirmed by the files
+        self.is_stale = False  # recovered from the journal, and no file has agreed with it since
         self._effects: list[Effect] = []
 
     # State
--- a/wickvane/endpoints/file_source.py
+++ b/wickvane/endpoints/file_source.py
@@ -35,9 +35,7 @@
 from wickvane.net.threads import Threads
 from wickvane.units import TICKS_PER_SECOND, to_seconds
 
-RESUBMIT_INTERVAL = (
-    2 * TICKS_PER_SECOND
-)  # a rejected change is validated again, since the load may have fallen
+RESUBMIT_INTERVAL = 2 * TICKS_PER_SECOND  # of a rejected change, since the load may have fallen
 MAX_WAIT_S = 1.0
 MIN_WAIT_S = 0.005
 MAX_START_SETTLE_TIMES = 10  # maximum wait of start() for the first document, in settle times
--- a/wickvane/endpoints/journal.py
+++ b/wickvane/endpoints/journal.py
@@ -1,4 +1,4 @@
-"""The journal of an endpoint list on disk; truncation at any octet loses only the records after it.
+"""The journal of an endpoint list on disk; truncation at any octet keeps all records before it.
 
     wickvane-members 1\\n
     consecutive records: length of the JSON (4 octets), checksum (16 octets), JSON
--- a/wickvane/endpoints/rollout.py
+++ b/wickvane/endpoints/rollout.py
@@ -1,7 +1,8 @@
 """Staged rollout: changes the published list towards the target, at once or in steps; free of I/O.
 
 A removed engine drains first: it is published as draining, and removed once no query runs on it or its drain
-has timed out. The weight of an engine in slow start always rises in steps. Times are ticks.
+has timed out. The weight of an engine in slow start rises in steps regardless of the policy. Times are
+ticks.
 """
 
 from collections.abc import Callable
