--- a/tests/cluster/test_guards.py
+++ b/tests/cluster/test_guards.py
@@ -49,7 +49,7 @@
 
 
 def repeated_stalls() -> bool:
-    """Most members stall for two seconds again and again; none is declared failed."""
+    """Most members stall for two seconds repeatedly; none is declared failed."""
     fleet = Fleet(30, 1, loss=0.1, settled=True)
 
     def stall_again(n: int) -> None:
@@ -63,7 +63,7 @@
 
 
 def restart_after_clock_went_back() -> bool:
-    """A member that restarts with an earlier epoch, since its clock went back, rejoins."""
+    """A member that restarts with an earlier epoch, since its clock was set back, rejoins."""
     fleet = Fleet(5, 1, settled=True)
     fleet.run(TICKS_PER_SECOND)
     fleet.killed(2)
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -171,7 +171,7 @@
     assert (local.incarnation, local.state) == (5, JOINING) and table.gossip.transmissions[local] == 0
     membership.apply(2, report("me", LOCAL_EPOCH - 7, "1.0.0.9:1", 9, ALIVE))
     assert table.members["me", LOCAL_EPOCH - 7].state == LEFT and not membership.is_name_taken()
-    # The clock went back: a former run, at the address that only this dispatcher has, has a later epoch.
+    # The clock was set back: a former run, at the address that only this dispatcher has, has a later epoch.
     membership.apply(3, report("me", LOCAL_EPOCH + 7, "1.0.0.9:1", 2, ALIVE))
     assert local.epoch == LOCAL_EPOCH + 8 and ("me", LOCAL_EPOCH) not in table.members
     assert table.members["me", LOCAL_EPOCH + 8] is local
--- a/tests/cluster/test_protocol_digest.py
+++ b/tests/cluster/test_protocol_digest.py
@@ -102,7 +102,7 @@
 
 
 def kills_and_restarts(seed: int) -> RecordingFleet:
-    """A history of kills, restarts with clocks that went back, stalls, one-way partitions, leaves and
+    """A history of kills, restarts with clocks that were set back, stalls, one-way partitions, leaves and
     forgotten members."""
     random = Random(f"digest/{seed}")
     fleet = RecordingFleet(11, seed, loss=0.05, configured=9)
--- a/tests/cluster/test_simulated_clusters.py
+++ b/tests/cluster/test_simulated_clusters.py
@@ -76,7 +76,8 @@
 
 
 def disturb(fleet: Fleet, random: Random) -> None:
-    """Causes one random fault: a kill, a restart, a clock that went back, a stall, a partition or a leave."""
+    """Causes one random fault: a kill, a restart, a clock that was set back, a stall, a partition or a
+    leave."""
     fault = random.randrange(7)
     n = random.randrange(9)
     if fault == 0 and fleet.members[n].up:
@@ -98,7 +99,7 @@
 
 def history(seed: int) -> Fleet:
     """Runs a fleet with random kills, restarts, stalls, one-way and two-way partitions, datagram loss and
-    clocks that go back. Then ends all faults and restarts all members."""
+    clocks that are set back. Then ends all faults and restarts all members."""
     random = Random(f"history/{seed}")
     fleet = Fleet(9, seed, loss=0.05)
     fleet.until_equal(20 * TICKS_PER_SECOND)
--- a/wickvane/cluster/anti_entropy.py
+++ b/wickvane/cluster/anti_entropy.py
@@ -107,7 +107,7 @@
             self._sender.send_sync(self._random.choice(others))
 
     def handle_sync(self, now: int, member: Member, message: Message) -> None:
-        """Handles another member's digest: sends the entries that it may lack, and the own digest if
+        """Handles another member's digest: sends the entries that it may lack, and its own digest if
         requested."""
         table = self._table
         if len(message.body) != DIGEST_SIZE:
--- a/wickvane/cluster/failure_detector.py
+++ b/wickvane/cluster/failure_detector.py
@@ -22,10 +22,11 @@
 from wickvane.cluster.suspicion import SuspicionTimers
 
 HELPER_COUNT = 3  # members that are asked for an indirect probe
-INDIRECT_PROBE_AFTER_PERIODS = 0.4  # probe periods after the ping
+INDIRECT_PROBE_AFTER_PERIODS = 0.4  # probe periods after the ping, at which helpers are asked
 NACK_AFTER_PERIODS = 0.45  # probe periods after which a helper without an acknowledgement sends a nack
 MAX_RELAYED_PROBES = 64  # indirect probes for other members at the same time
-UNANSWERED_PERIODS = 12  # probe periods without any answer after which others do not receive this dispatcher
+# Probe periods without any answer after which other members seem not to receive this dispatcher.
+UNANSWERED_PERIODS = 12
 
 
 class ProbeHandler(Protocol):
@@ -221,7 +222,8 @@
             handler.handle_suspected(now, member, helpers)
 
     def is_unanswered(self, now: int) -> bool:
-        """Returns whether no member has answered this dispatcher for UNANSWERED_PERIODS probe periods."""
+        """Returns whether no member has answered this dispatcher for UNANSWERED_PERIODS probe periods,
+        although it probes them. The probe period is lengthened by the local health multiplier."""
         timeout = UNANSWERED_PERIODS * self.period * self.health.multiplier
         return now - self._last_answer_at > timeout
 
--- a/wickvane/cluster/membership.py
+++ b/wickvane/cluster/membership.py
@@ -1,4 +1,4 @@
-"""The membership rules: how gossip about members changes the table, free of I/O.
+"""The membership rules: how gossip about members changes the table, without I/O.
 
 Reports about a member are ordered: `left` is above all others, then the higher incarnation wins, then the
 higher state. The highest report wins, in whatever order and however often reports are received, so that
--- a/wickvane/cluster/message_receiver.py
+++ b/wickvane/cluster/message_receiver.py
@@ -115,8 +115,8 @@
     def notify_ended(self, now: int, entry: GossipEntry) -> None:
         """Notifies a sender that it counts as left here, so that it starts a new epoch.
 
-        This occurs after an operator marked it as left, or after its clock went back, so that a former run at
-        its address has a later epoch."""
+        This occurs after an operator marked it as left, or after its clock was set back, so that a former run
+        at its address has a later epoch."""
         self.reject("former-life")
         if entry.state == LEFT or now < self._notify_at:
             return
--- a/wickvane/cluster/quorum.py
+++ b/wickvane/cluster/quorum.py
@@ -12,7 +12,7 @@
 | reject a configuration change if not all members can be asked | the change is delayed | yes |
 | raise the quota since others failed | two partitions both use all of it: rule 4 is violated | no |
 | take over a failed member's queries, keys or windows | an effect occurs twice: rule 2 is violated | no |
-| end own work since the other members are the majority | all dispatchers may end their work | no |
+| end the dispatcher's own work since others are the majority | all dispatchers may end their work | no |
 """
 
 from enum import StrEnum
@@ -133,8 +133,8 @@
     """Returns the number of dispatchers by which a shared budget is divided.
 
     It is at least the configured number, even if members seem to have failed, and higher if more members have
-    not left. It is never less than the true number of dispatchers that may use the budget, unless more run
-    than are configured and this dispatcher does not know of them."""
+    not left. It is never less than the true number of dispatchers that may use the budget, unless one
+    beyond the configured number exists that this dispatcher has never received a report of."""
     count = 0
     for members in table.by_name.values():
         states = [member.state for member in members if member.is_local or member.state != LEFT]
