--- a/wickvane/xds/control_plane.py
+++ b/wickvane/xds/control_plane.py
@@ -86,15 +86,16 @@
 class ControlPlane:
     """The discovery decisions of one instance.
 
-    resource_builder: encodes the placement as resources; grace: ticks within which proxies must acknowledge a
-    drain; ttl: time to live of endpoints in ticks, 0 for none; epoch: epoch of the endpoint lists' numbering.
+    resource_builder: encodes the placement as resources; drain_grace: ticks within which proxies must
+    acknowledge a drain; ttl: time to live of endpoints in ticks, 0 for none; epoch: epoch of the endpoint
+    lists' numbering.
     """
 
     def __init__(
         self,
         placement: Placement,
         resource_builder: ResourceBuilder,
-        grace: int,
+        drain_grace: int,
         access: NodeAccess = DEFAULT_NODE_ACCESS,
         removal_limit: RemovalLimit = DEFAULT_REMOVAL_LIMIT,
         ttl: int = 0,
@@ -109,7 +110,7 @@
         self.is_serving = False  # resources have been published
         self.retirement: Retirement | None = None
         self._resource_builder = resource_builder
-        self._grace = grace
+        self._drain_grace = drain_grace
         self._access = access
         self._ttl = ttl
         self._last_stream = 0
@@ -185,13 +186,13 @@
         if events:
             self._log_events += events
             self._apply_snapshot(now, snapshot)
-        next_step = self.placement.next_step()
-        if next_step is not None and now >= next_step:
+        next_time = self.placement.next_slow_start_time()
+        if next_time is not None and now >= next_time:
             self.placement.ack_latency = self._ack_latency_on_grid(now)
-            self._publish(*self.placement.step(now))
+            self._publish(*self.placement.advance_slow_start(now))
         if self.retirement is not None:
             self._retire(now)
-        times = [self.placement.next_step(), next_removal_time(self.snapshot)]
+        times = [self.placement.next_slow_start_time(), next_removal_time(self.snapshot)]
         if self.retirement is not None:
             times.append(now + RETIREMENT_POLL_TICKS)
         return min((time for time in times if time is not None), default=None)
@@ -276,7 +277,7 @@
         self._counters.streams += 1
         number = self._last_stream
         self.streams[number] = DiscoveryStream(
-            number, variant, now, self.catalog, self._is_visible, self._grace, self._ttl
+            number, variant, now, self.catalog, self._is_visible, self._drain_grace, self._ttl
         )
         return number
 
--- a/wickvane/xds/placement.py
+++ b/wickvane/xds/placement.py
@@ -240,17 +240,17 @@
     def _scan_length(self, table_group: int) -> int:
         """How many endpoints of the order must be examined to fill the clusters of all classes."""
         wanted = MAX_FIRST_ENDPOINTS + MAX_BACKUP_ENDPOINTS
-        found = dict.fromkeys(self.engine_classes, 0)
-        unsatisfied = len(found)
+        allowed_counts = dict.fromkeys(self.engine_classes, 0)
+        unsatisfied = len(allowed_counts)
         entries = self._order.entries(table_group)
         for position, (_, name) in enumerate(entries):
             endpoint = self._endpoints.get(name)
             if endpoint is None or endpoint.state != EngineState.READY:
                 continue
-            for engine_class in found:
+            for engine_class in allowed_counts:
                 if self._is_allowed(engine_class, endpoint):
-                    found[engine_class] += 1
-                    unsatisfied -= found[engine_class] == wanted
+                    allowed_counts[engine_class] += 1
+                    unsatisfied -= allowed_counts[engine_class] == wanted
             if not unsatisfied:
                 return position + 1
         return len(entries) + 1
@@ -263,7 +263,7 @@
 
     # slow start
 
-    def step(self, now: int) -> tuple[set[str], set[str]]:
+    def advance_slow_start(self, now: int) -> tuple[set[str], set[str]]:
         """Raises the weights of endpoints in slow start; returns the same as update()."""
         self.updated_at = max(self.updated_at, now)
         warming_up = [name for name in self._slow_start_ends if name in self._endpoints]
@@ -276,7 +276,7 @@
             del self._slow_start_ends[name]
         return self._recompute(affected, set())
 
-    def next_step(self) -> int | None:
+    def next_slow_start_time(self) -> int | None:
         """When weights may next rise, None if no endpoint is in slow start."""
         return (self.updated_at // self.grid + 1) * self.grid if self._slow_start_ends else None
 
@@ -323,7 +323,7 @@
 
     def _place(self, engine_class: str, table_group: int) -> tuple[PlacedEndpoint, ...]:
         """A cluster's endpoints, those of priority 0 first."""
-        found: list[PlacedEndpoint] = []
+        placed: list[PlacedEndpoint] = []
         first_count = 0
         capacity_sum = 0.0
         for _, name in self._order.entries(table_group):
@@ -337,15 +337,15 @@
             is_backup = (
                 capacity_sum > FIRST_ENGINES - CAPACITY_SUM_TOLERANCE or first_count >= MAX_FIRST_ENDPOINTS
             )
-            if is_backup and len(found) - first_count >= MAX_BACKUP_ENDPOINTS:
+            if is_backup and len(placed) - first_count >= MAX_BACKUP_ENDPOINTS:
                 break
             usable_fraction = self._usable_fraction(endpoint)
             weight = self._weight(endpoint, usable_fraction)
-            found.append(PlacedEndpoint(name, endpoint.address, endpoint.zone or "", int(is_backup), weight))
+            placed.append(PlacedEndpoint(name, endpoint.address, endpoint.zone or "", int(is_backup), weight))
             if not is_backup:
                 first_count += 1
                 capacity_sum += usable_fraction
-        return tuple(found)
+        return tuple(placed)
 
     def circuit_breakers(self, engine_class: str) -> CircuitBreakers:
         """The circuit breakers for a class of engines.
--- a/wickvane/xds/server.py
+++ b/wickvane/xds/server.py
@@ -261,7 +261,7 @@
         """Ends serve(), from any thread."""
         self.loop.call_soon_threadsafe(self._stopped.set)
 
-    def reload(self, config_path: str, parts_path: str) -> None:
+    def reload(self, config_path: str, extensions_path: str) -> None:
         """Applies a changed configuration and extensions document, completely or not at all.
 
         Table groups, resource groups, node rules, the removal limit, the proxy count and the coordinator may
@@ -271,7 +271,7 @@
 
         try:
             config = parse_config(configuration(config_path), (), self._members_settings)
-            settings = self._read_settings(parts_path)
+            settings = self._read_settings(extensions_path)
             placement = build_placement(config.registry, settings)
         except Exception as error:
             self.counters.add("configurations-unusable")
@@ -290,11 +290,11 @@
         self.log.line("configuration-taken")
         self._after_change(has_new_snapshot=False)
 
-    def _read_settings(self, parts_path: str) -> ControlSettings:
+    def _read_settings(self, extensions_path: str) -> ControlSettings:
         """Reads the document's settings. Raises parts.InvalidDocumentError if they need a restart."""
         from wickvane import parts
 
-        document = parts.read(parts_path)
+        document = parts.read(extensions_path)
         settings = document.get("control")
         if document.get("members") != self._members_settings:
             raise parts.InvalidDocumentError("members: a change needs a restart")
@@ -305,7 +305,7 @@
             )
         return settings
 
-    def run(self, config_path: str, parts_path: str) -> int:
+    def run(self, config_path: str, extensions_path: str) -> int:
         """Serves until a signal ends the program, and returns its exit code."""
         log_thread = Threads(self.log, self.counters).needed(self.log.run, "log")
 
@@ -313,7 +313,7 @@
             loop = asyncio.get_running_loop()
             for number in (signal.SIGTERM, signal.SIGINT):
                 loop.add_signal_handler(number, lambda: self._stopped.set())
-            loop.add_signal_handler(signal.SIGHUP, lambda: self.reload(config_path, parts_path))
+            loop.add_signal_handler(signal.SIGHUP, lambda: self.reload(config_path, extensions_path))
             loop.add_signal_handler(signal.SIGUSR1, lambda: self._log_counters("asked"))
             await self.serve()
 
--- a/wickvane/xds/services.py
+++ b/wickvane/xds/services.py
@@ -151,15 +151,15 @@
     ) -> None:
         wake_event = asyncio.Event()
         self._wake_events[number] = wake_event
-        first = await asyncio.wait_for(anext(requests, None), FIRST_REQUEST_TIMEOUT_S)
-        if first is None:
+        first_request = await asyncio.wait_for(anext(requests, None), FIRST_REQUEST_TIMEOUT_S)
+        if first_request is None:
             return
-        self._control_plane.identify(number, first.node.id)
-        self._service.check_identity(context, first.node.id)
+        self._control_plane.identify(number, first_request.node.id)
+        self._service.check_identity(context, first_request.node.id)
         stream = self._control_plane.streams[number]
-        if variant is Variant.SOTW and SUPPORTS_TTL not in first.node.client_features:
+        if variant is Variant.SOTW and SUPPORTS_TTL not in first_request.node.client_features:
             stream.ttl = 0
-        self._receive(stream, first)
+        self._receive(stream, first_request)
         reader = asyncio.ensure_future(self._read(stream, requests, wake_event))
         try:
             await self._write(stream, context, wake_event, reader)
--- a/wickvane/xds/simulated_proxies.py
+++ b/wickvane/xds/simulated_proxies.py
@@ -111,9 +111,9 @@
         """Applies events and writes commands, with the interface of
         wickvane.scheduling.scheduler.Scheduler.round().
         """
-        next_step = self._placement.next_step()
-        if next_step is not None and now >= next_step:
-            self._placement.step(now)
+        next_time = self._placement.next_slow_start_time()
+        if next_time is not None and now >= next_time:
+            self._placement.advance_slow_start(now)
         for event in events:
             match event:
                 case QueryArrived():
@@ -167,11 +167,11 @@
         ejected = [endpoint for endpoint in placed if self._ejected_until.get(endpoint.name, 0) > now]
         if len(ejected) * PERCENT > MAX_EJECTION_PERCENT * len(placed):
             ejected = []
-        first = [endpoint for endpoint in placed if not endpoint.priority]
-        candidates = [endpoint for endpoint in first if endpoint not in ejected]
+        first_endpoints = [endpoint for endpoint in placed if not endpoint.priority]
+        candidates = [endpoint for endpoint in first_endpoints if endpoint not in ejected]
         backups = [endpoint for endpoint in placed if endpoint.priority and endpoint not in ejected]
-        if first and backups:
-            first_share = OVERPROVISIONING_FACTOR * len(candidates) / len(first)
+        if first_endpoints and backups:
+            first_share = OVERPROVISIONING_FACTOR * len(candidates) / len(first_endpoints)
             if self._random.random() >= first_share:
                 candidates = backups
         candidates = candidates or backups
--- a/wickvane/xds/stream.py
+++ b/wickvane/xds/stream.py
@@ -59,8 +59,8 @@
 class DiscoveryStream:
     """One proxy's stream.
 
-    is_visible(node, type, name): whether a node may see a resource; grace: ticks within which the proxy must
-    acknowledge a drain; ttl: time to live of endpoints in ticks, 0 for none.
+    is_visible(node, type, name): whether a node may see a resource; drain_grace: ticks within which the proxy
+    must acknowledge a drain; ttl: time to live of endpoints in ticks, 0 for none.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         now: int,
         catalog: Catalog,
         is_visible: Callable[[str | None, ResourceType, str], bool],
-        grace: int,
+        drain_grace: int,
         ttl: int = 0,
     ) -> None:
         self.number = number
@@ -80,7 +80,7 @@
         self.metrics = StreamMetrics()
         self._catalog = catalog
         self._is_visible_to = is_visible
-        self._grace = grace
+        self._drain_grace = drain_grace
         self._limiter = RequestLimiter(now)
         self._nonce_count = 0
         self._is_node_unknown = False
@@ -162,7 +162,7 @@
         drain = self.endpoints.unacknowledged_drain
         if drain is None or drain.resends >= MAX_DRAIN_RESENDS:
             return None
-        return drain.since + self._grace // 3 * (1 + drain.resends)
+        return drain.since + self._drain_grace // 3 * (1 + drain.resends)
 
     def _resend_drain(self, now: int) -> DiscoveryResponse | None:
         resend_at = self._next_resend()
--- a/wickvane/xds/subscription.py
+++ b/wickvane/xds/subscription.py
@@ -164,9 +164,9 @@
         """Whether content is withheld because the proxy rejected it."""
 
     @staticmethod
-    def _check_count(names: Collection[str], what: str) -> None:
+    def _check_count(names: Collection[str], description: str) -> None:
         if len(names) > MAX_RESOURCE_NAMES:
-            raise StreamProtocolError(f"too many {what}")
+            raise StreamProtocolError(f"too many {description}")
 
     # pending changes
 
