--- a/tests/xds_service/test_service_access.py
+++ b/tests/xds_service/test_service_access.py
@@ -1,4 +1,4 @@
-"""The control service on loopback: mutual TLS, node rules, hostile streams, reloads."""
+"""The control service on loopback: mutual TLS, node rules, invalid streams and reloads."""
 
 import json
 import os
@@ -14,48 +14,48 @@
 
 
 def test_mutual_tls_identifies_nodes_and_certificates_are_renewed(proxy_loop, tmp_path):
-    ours, theirs = trustme.CA(), trustme.CA()
+    trusted, untrusted = trustme.CA(), trustme.CA()
     names = [str(tmp_path / name) for name in ("authority", "certificate", "key")]
 
     def renew():
-        made = ours.issue_cert("127.0.0.1", "localhost")
-        ours.cert_pem.write_to_path(names[0])
-        made.cert_chain_pems[0].write_to_path(names[1])
-        made.private_key_pem.write_to_path(names[2])
+        issued = trusted.issue_cert("127.0.0.1", "localhost")
+        trusted.cert_pem.write_to_path(names[0])
+        issued.cert_chain_pems[0].write_to_path(names[1])
+        issued.private_key_pem.write_to_path(names[2])
 
     renew()
     tls = f'tls {{ authority "{names[0]}"; certificate "{names[1]}"; key "{names[2]}" }}'
     service = RunningService(settings=SETTINGS_KDL + tls + '\n node "edge-*" { group "lookup" }')
 
-    def secrets(name, authority=ours):
-        made = authority.issue_cert(name, common_name=name)
+    def credentials(name, authority=trusted):
+        issued = authority.issue_cert(name, common_name=name)
         return grpc.ssl_channel_credentials(
-            ours.cert_pem.bytes(), made.private_key_pem.bytes(), made.cert_chain_pems[0].bytes()
+            trusted.cert_pem.bytes(), issued.private_key_pem.bytes(), issued.cert_chain_pems[0].bytes()
         )
 
-    def connect(node, name, authority=ours):
-        return proxy_loop.start(Proxy(node), service.port, secrets(name, authority), "localhost")
+    def connect(node, name, authority=trusted):
+        return proxy_loop.start(Proxy(node), service.port, credentials(name, authority), "localhost")
 
     good = connect("edge-1", "edge-1")
     until(lambda: set(good.held[LDS]) == {"lookup"} and good.sends_to())
-    liar, stranger = connect("edge-2", "edge-1"), connect("edge-3", "edge-3", theirs)
-    until(lambda: liar.end_status is not None)
-    # What the client makes of it depends on whether it was writing then; the log does not.
+    misnamed, unauthenticated = connect("edge-2", "edge-1"), connect("edge-3", "edge-3", untrusted)
+    until(lambda: misnamed.end_status is not None)
+    # The client's status depends on whether it was writing at that time; the log does not.
     assert (
         "the certificate is not node edge-2's" in until(lambda: service.logged("proxy-refused"))[0]["why"]
-        and not liar.held[CDS]
+        and not misnamed.held[CDS]
     )
     renew()
     later = connect("edge-4", "edge-4")
-    until(lambda: later.sends_to() and not stranger.held[CDS])
+    until(lambda: later.sends_to() and not unauthenticated.held[CDS])
     service.announce(endpoint(1, "Terminating"))
     until(lambda: "e1" not in good.sends_to() and "e1" not in later.sends_to())
-    for proxy in (good, liar, stranger, later):
+    for proxy in (good, misnamed, unauthenticated, later):
         proxy_loop.stop(proxy)
     service.stop()
 
 
-def test_hostile_streams_end_without_harm_to_others(proxy_loop, monkeypatch):
+def test_invalid_and_silent_streams_are_ended_without_affecting_others(proxy_loop, monkeypatch):
     monkeypatch.setattr("wickvane.xds.services.FIRST_REQUEST_TIMEOUT_S", 0.3)
     service = RunningService(settings=SETTINGS_KDL + "streams 20\n streams-a-node 2")
     good = proxy_loop.start(Proxy("good"), service.port)
@@ -69,10 +69,10 @@
                 assert list(call(iter([data]), timeout=5)) == []
             except grpc.RpcError as error:
                 assert error.code() != grpc.StatusCode.DEADLINE_EXCEEDED or "neither" in error.details()
-        waiting = []
+        no_requests = []
 
         def silent():
-            yield from waiting
+            yield from no_requests
             time.sleep(5)
 
         began = time.monotonic()
@@ -89,7 +89,7 @@
     service.stop()
 
 
-def test_reload_changes_table_groups_without_a_gap(proxy_loop, tmp_path):
+def test_reload_changes_table_groups_without_an_interruption(proxy_loop, tmp_path):
     service = RunningService()
     proxy = proxy_loop.start(Proxy("p"), service.port)
     until(lambda: len(proxy.held[EDS]) == 9)
@@ -111,8 +111,8 @@
 
 
 def test_reload_removes_resources_from_open_streams_and_ends_unknown_nodes(proxy_loop, tmp_path):
-    both = 'node "edge-*" { group "lookup"; group "load" }\n node "ops"\n'
-    service = RunningService(settings=SETTINGS_KDL + both)
+    node_rules = 'node "edge-*" { group "lookup"; group "load" }\n node "ops"\n'
+    service = RunningService(settings=SETTINGS_KDL + node_rules)
     edge, ops = (
         proxy_loop.start(Proxy("edge-1"), service.port),
         proxy_loop.start(Proxy("ops", "sotw"), service.port),
--- a/tests/xds_service/test_service_programs.py
+++ b/tests/xds_service/test_service_programs.py
@@ -1,4 +1,4 @@
-"""The control service beside gRPC's own xDS client, and as a program of its own."""
+"""The control service with gRPC's xDS client, and as a separate program."""
 
 import json
 import os
@@ -22,14 +22,14 @@
 while time.monotonic() < until:
     n += 1
     try:
-        who = ask(b"q", timeout=5, wait_for_ready=True, metadata=(("x-wickvane-table", str(n % 8)),)).decode()
-        counts[who] = counts.get(who, 0) + 1
-        times.append((time.time(), who))
+        name = ask(b"q", timeout=5, wait_for_ready=True, metadata=(("x-wickvane-table", str(n % 8)),)).decode()
+        counts[name] = counts.get(name, 0) + 1
+        times.append((time.time(), name))
     except grpc.RpcError as error:
         lost += 1
         print(error, file=sys.stderr)
     time.sleep(0.004)
-print(json.dumps({"lost": lost, "counts": counts, "last": {w: t for t, w in times}, "n": n}))
+print(json.dumps({"lost": lost, "counts": counts, "last": {name: at for at, name in times}, "n": n}))
 """
 
 
@@ -50,8 +50,8 @@
 def test_grpc_client_loses_no_request_over_a_drain_and_a_restart(tmp_path):
     engines = [GrpcEngine(f"e{n}") for n in range(4)]
     known = [endpoint(n, port=engine.port) for n, engine in enumerate(engines)]
-    more = SETTINGS_KDL + f'snapshot "{tmp_path}"'
-    service = RunningService(known=known, settings=more)
+    settings = SETTINGS_KDL + f'snapshot "{tmp_path}"'
+    service = RunningService(known=known, settings=settings)
     bootstrap = {
         "xds_servers": [
             {
@@ -73,22 +73,22 @@
         lambda: any(s.node == "grpc-client" for s in list(service.server.control_plane.streams.values())), 20
     )
     time.sleep(1.5)
-    drained = time.time()
+    drained_at = time.time()
     service.announce(endpoint(1, "Terminating", port=engines[1].port))
     time.sleep(1.0)
     service.stop()
-    service = RunningService(known=[], settings=more, port=service.port, events=service.coordinator)
-    out, said = client.communicate(timeout=60)
-    figures = json.loads(out)
-    assert figures["lost"] == 0 and figures["n"] > 500, said.decode()[-2000:]
-    assert set(figures["counts"]) == {"e0", "e1", "e2", "e3"}
-    assert figures["last"]["e1"] < drained + 2.0 and figures["last"]["e0"] > drained + 3.0
+    service = RunningService(known=[], settings=settings, port=service.port, events=service.coordinator)
+    out, errors = client.communicate(timeout=60)
+    result = json.loads(out)
+    assert result["lost"] == 0 and result["n"] > 500, errors.decode()[-2000:]
+    assert set(result["counts"]) == {"e0", "e1", "e2", "e3"}
+    assert result["last"]["e1"] < drained_at + 2.0 and result["last"]["e0"] > drained_at + 3.0
     service.stop()
     for engine in engines:
         engine.server.stop(0)
 
 
-def test_program_starts_by_its_document_and_shows_its_status(tmp_path):
+def test_program_starts_with_its_document_and_prints_its_status(tmp_path):
     events, port = Events(), free_port()
     (tmp_path / "config.json").write_text(
         json.dumps(
@@ -103,9 +103,9 @@
         )
     )
     (tmp_path / "parts.kdl").write_text(f'control {{ listen "127.0.0.1:{port}"; tables 3 }}')
-    words = ["--config", str(tmp_path / "config.json"), "--parts", str(tmp_path / "parts.kdl")]
+    arguments = ["--config", str(tmp_path / "config.json"), "--parts", str(tmp_path / "parts.kdl")]
     program = subprocess.Popen(
-        [sys.executable, "-m", "wickvane", "control", *words], cwd=ROOT, stdout=subprocess.PIPE
+        [sys.executable, "-m", "wickvane", "control", *arguments], cwd=ROOT, stdout=subprocess.PIPE
     )
     assert json.loads(program.stdout.readline())["event"] in ("ready", "coordinator-connection-ended")
     shown = subprocess.run(
--- a/tests/xds_service/test_stream.py
+++ b/tests/xds_service/test_stream.py
@@ -1,4 +1,4 @@
-"""What a discovery stream is sent next: drains, NACKs, slow proxies, newer lists, limits."""
+"""The responses that a discovery stream sends: drains, NACKs, slow proxies, newer lists and limits."""
 
 import pytest
 from bench_free import group
@@ -40,31 +40,31 @@
     now = settle(proxy, 0)
     control_plane.apply_endpoint_event(now, 2, False, [entry("e8")])
     first = control_plane.next_response(proxy.number, now)
-    assert first.resource_type == EDS and not first.is_drain  # and it is not acknowledged
-    gone = proxy.sends_to().pop()
-    control_plane.apply_endpoint_event(now, 3, False, [entry(gone, EngineState.DRAINING)])
-    found = control_plane.next_response(proxy.number, now)
+    assert first.resource_type == EDS and not first.is_drain  # the proxy does not acknowledge it
+    drained = proxy.sends_to().pop()
+    control_plane.apply_endpoint_event(now, 3, False, [entry(drained, EngineState.DRAINING)])
+    drain = control_plane.next_response(proxy.number, now)
     assert (
-        found.is_drain
-        and found.resource_type == EDS
+        drain.is_drain
+        and drain.resource_type == EDS
         and control_plane.next_response(proxy.number, now) is None
     )
     stream, events = control_plane.streams[proxy.number], []
     for _ in range(4):
-        at = stream.next_response_time(now)
-        if at is None:
+        next_time = stream.next_response_time(now)
+        if next_time is None:
             break
-        now = at
-        again = control_plane.next_response(proxy.number, now)
+        now = next_time
+        resent = control_plane.next_response(proxy.number, now)
         events += [to_log_record(event).name for event in control_plane.take_log_events()]
-        assert again is None or again.is_drain and set(found.names) <= set(again.names)
+        assert resent is None or resent.is_drain and set(drain.names) <= set(resent.names)
     assert stream.metrics.drain_resends == 2 and stream.metrics.late_drains == 1
     assert events == ["drain-unacknowledged"] and now < 30 * 600 + 2 * TICKS_PER_SECOND
-    # Its word comes at last.
+    # Finally the proxy acknowledges the drain.
     if variant == SOTW:
-        stream.receive(now, DiscoveryRequest(EDS, "", again.nonce, [f"g0/{t}" for t in (0, *TABLES)], None))
+        stream.receive(now, DiscoveryRequest(EDS, "", resent.nonce, [f"g0/{t}" for t in (0, *TABLES)], None))
     else:
-        stream.receive(now, DeltaDiscoveryRequest(EDS, again.nonce, [], [], {}, None))
+        stream.receive(now, DeltaDiscoveryRequest(EDS, resent.nonce, [], [], {}, None))
     assert stream.endpoints.unacknowledged_drain is None
 
 
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("variant", [SOTW, DELTA])
-def test_flapping_list_costs_a_slow_proxy_only_the_newest_state(variant):
+def test_slow_proxy_is_sent_only_the_newest_state_of_a_flapping_list(variant):
     control_plane, slow, quick = (
         build_control_plane(),
         InMemoryProxy(variant, "slow"),
@@ -116,7 +116,7 @@
     assert slow.sends_to() == quick.sends_to()
 
 
-def test_proxy_with_a_newer_list_is_sent_nothing_older():
+def test_proxy_with_a_newer_list_is_not_sent_an_older_one():
     newer, older, proxy = build_control_plane(), build_control_plane(), InMemoryProxy(DELTA, "p")
     events = [(1, True, [entry(f"e{n}") for n in range(8)]), (2, False, [entry("e3", EngineState.DRAINING)])]
     for event in events:
@@ -137,7 +137,7 @@
     assert "e3" not in proxy.sends_to() and not older.streams[proxy.number].status(now)["EDS"]["ahead"]
 
 
-def test_no_empty_list_is_sent_at_the_start():
+def test_new_instance_does_not_send_an_empty_list():
     control_plane, proxy = build_control_plane(), InMemoryProxy(SOTW, "p")
     proxy.connect(control_plane, 0)
     now = settle(proxy, 0)
@@ -152,15 +152,15 @@
     control_plane.apply_endpoint_event(0, 1, True, [entry("e1")])
     proxy.connect(control_plane, 0)
     now = settle(proxy, 0)
-    beats, last = [], now
+    heartbeats, last = [], now
     while now < 30 * TICKS_PER_SECOND:
         now = control_plane.streams[proxy.number].next_response_time(now) or now + TICKS_PER_SECOND
         response = control_plane.next_response(proxy.number, now)
         if response is not None:
             assert response.is_heartbeat and now - last <= 3 * TICKS_PER_SECOND // 2
-            beats.append(response)
+            heartbeats.append(response)
             last = now
-    assert 20 < len(beats) < 40 and all(len(b.names) == 1 + len(TABLES) for b in beats)
+    assert 20 < len(heartbeats) < 40 and all(len(h.names) == 1 + len(TABLES) for h in heartbeats)
 
 
 def test_obsolete_resources_are_removed_once_routes_are_acknowledged():
@@ -172,11 +172,11 @@
         control_plane.placement.deployment, ["g0"], TABLES[:2], 2, ["old", "new"], ["dc", "far"]
     )
 
-    class Other(JsonResources):
+    class ChangedRoutes(JsonResources):
         def build_static(self, placement):
             return super().build_static(placement) | {RDS: {"g0": b"other routes"}}
 
-    control_plane.change_settings(now, fewer, Other())
+    control_plane.change_settings(now, fewer, ChangedRoutes())
     order = []
     for _ in range(40):
         now += 600
@@ -187,9 +187,9 @@
             entries = control_plane.catalog.resources[response.resource_type]
             proxy.unanswered.append(Received(response, {n: entries[n] for n in response.names}, 1))
             proxy.answer(now, False)
-    kinds = [kind for kind, _ in order]
-    gone = next(n for n, (kind, removed) in enumerate(order) if kind == CDS and removed)
-    assert order[gone][1] == ("g0/3",) and kinds.index(RDS) < gone
+    types = [resource_type for resource_type, _ in order]
+    removal = next(n for n, (resource_type, removed) in enumerate(order) if resource_type == CDS and removed)
+    assert order[removal][1] == ("g0/3",) and types.index(RDS) < removal
     assert set(proxy.held[CDS]) == {"g0/0", "g0/1", "g0/2"} and control_plane.retirement is None
 
 
@@ -243,25 +243,25 @@
         max_size=40,
     )
 )
-def test_any_requests_are_answered_or_end_the_stream(asks):
+def test_any_requests_are_answered_or_end_the_stream(requests):
     control_plane = build_control_plane()
     control_plane.apply_endpoint_event(0, 1, True, [entry(f"e{n}") for n in range(5)])
     numbers, now = [control_plane.open_stream(0, SOTW), control_plane.open_stream(0, DELTA)], 0
-    for kind, version, nonce, names, error, delta in asks:
+    for resource_type, version, nonce, names, error, is_delta in requests:
         now += 300
-        stream = control_plane.streams[numbers[delta]]
-        if delta:
+        stream = control_plane.streams[numbers[is_delta]]
+        if is_delta:
             stream.receive(
                 now,
                 DeltaDiscoveryRequest(
-                    kind, nonce, names, names[:1], {name: version for name in names}, error
+                    resource_type, nonce, names, names[:1], {name: version for name in names}, error
                 ),
             )
         else:
-            stream.receive(now, DiscoveryRequest(kind, version, nonce, names, error))
+            stream.receive(now, DiscoveryRequest(resource_type, version, nonce, names, error))
         for _ in range(20):
             if control_plane.next_response(stream.number, now) is None:
                 break
         else:
-            raise AssertionError("it never has enough")
+            raise AssertionError("the stream keeps sending responses without any event")
         assert (stream.next_response_time(now) or now + 1) > now
