--- a/tests/xds_service/test_placement.py
+++ b/tests/xds_service/test_placement.py
@@ -90,7 +90,7 @@
         assert [p.name for p in placement.clusters[f"g0/{table}"]] == order[
             : FIRST_ENGINES + MAX_BACKUP_ENDPOINTS
         ]
-    assert type(dispatcher.scheduler.placement).order_of  # the expected order comes from the scheduler's code
+    assert type(dispatcher.scheduler.placement).order_of  # the order is computed by the scheduler
 
 
 def test_resource_groups_with_different_engines_have_separate_clusters():
--- a/tests/xds_service/test_service_programs.py
+++ b/tests/xds_service/test_service_programs.py
@@ -16,20 +16,22 @@
 CLIENT = """
 import sys, time, json, grpc
 channel = grpc.insecure_channel("xds:///lookup")
-ask = channel.unary_unary("/engine/ask")
+call = channel.unary_unary("/engine/ask")
 until, lost, counts, times = time.monotonic() + float(sys.argv[1]), 0, {}, []
 n = 0
 while time.monotonic() < until:
     n += 1
     try:
-        name = ask(b"q", timeout=5, wait_for_ready=True, metadata=(("x-wickvane-table", str(n % 8)),)).decode()
-        counts[name] = counts.get(name, 0) + 1
-        times.append((time.time(), name))
+        engine = call(
+            b"q", timeout=5, wait_for_ready=True, metadata=(("x-wickvane-table", str(n % 8)),)
+        ).decode()
+        counts[engine] = counts.get(engine, 0) + 1
+        times.append((time.time(), engine))
     except grpc.RpcError as error:
         lost += 1
         print(error, file=sys.stderr)
     time.sleep(0.004)
-print(json.dumps({"lost": lost, "counts": counts, "last": {name: at for at, name in times}, "n": n}))
+print(json.dumps({"lost": lost, "counts": counts, "last": {engine: at for at, engine in times}, "n": n}))
 """
 
 
--- a/wickvane/xds/catalog.py
+++ b/wickvane/xds/catalog.py
@@ -81,7 +81,7 @@
         removed: Iterable[tuple[ResourceType, str]] = (),
         drained: Collection[str] = frozenset(),
     ) -> bool:
-        """Stores encoded resources, and returns whether anything has changed.
+        """Stores encoded resources, deletes removed ones, and returns whether anything has changed.
 
         drained: names of EDS resources from which a drain removed an endpoint.
         """
--- a/wickvane/xds/control_plane.py
+++ b/wickvane/xds/control_plane.py
@@ -253,9 +253,7 @@
         self.ready_streams.update(self.streams)
 
     def _retire(self, now: int, must_finish: bool = False) -> None:
-        """Removes obsolete resources when all streams have answered the routes without them, or their time is
-        over.
-        """
+        """Removes obsolete resources if all routes without them have been answered or their time is over."""
         if self.retirement is None:
             return
         routes = (stream.subscriptions[ResourceType.RDS] for stream in self.streams.values())
--- a/wickvane/xds/placement.py
+++ b/wickvane/xds/placement.py
@@ -238,7 +238,7 @@
         }
 
     def _scan_length(self, table_group: int) -> int:
-        """How many endpoints of the order must be examined to fill the clusters of all classes."""
+        """How many endpoints of the order, with skipped ones, are examined to fill all classes' clusters."""
         wanted = MAX_FIRST_ENDPOINTS + MAX_BACKUP_ENDPOINTS
         allowed_counts = dict.fromkeys(self.engine_classes, 0)
         unsatisfied = len(allowed_counts)
@@ -366,8 +366,9 @@
 
 
 def adaptive_concurrency_of(group: ResourceGroup) -> AdaptiveConcurrency:
-    """The limit for a resource group, derived from its latency objective because proxies do not know its best
-    latency.
+    """The limit for a resource group.
+
+    It is derived from the latency objective, because proxies do not know the group's best latency.
     """
     round_trip = max(MIN_ROUND_TRIP_TICKS, int(group.latency_objective * ROUND_TRIP_FRACTION))
     return AdaptiveConcurrency(
--- a/wickvane/xds/stream.py
+++ b/wickvane/xds/stream.py
@@ -107,10 +107,7 @@
         self.subscriptions[request.resource_type].receive(now, request)
 
     def reset_visibility(self, is_node_unknown: bool) -> None:
-        """Must be called after the set of resources that the node may see has changed.
-
-        is_node_unknown: no rule matches the node any longer, and the stream is to be ended.
-        """
+        """Applies a change of the node rules; is_node_unknown: the stream must be ended, as no rule matches."""
         self._is_node_unknown = is_node_unknown
         for subscription in self.subscriptions:
             subscription.reset_visibility()
--- a/wickvane/xds/subscription.py
+++ b/wickvane/xds/subscription.py
@@ -171,7 +171,7 @@
     # pending changes
 
     def reset_visibility(self) -> None:
-        """Must be called after the set of resources that the node may see has changed."""
+        """Applies a change of the set of resources that the node may see."""
         self._visible_names = None
         self.needs_full_check = self.is_subscribed
 
