--- a/wickvane/xds/stream.py
+++ b/wickvane/xds/stream.py
@@ -107,7 +107,7 @@
         self.subscriptions[request.resource_type].receive(now, request)
 
     def reset_visibility(self, is_node_unknown: bool) -> None:
-        """Applies a change of the node rules; is_node_unknown: the stream must be ended, as no rule matches."""
+        """Applies changed node rules; is_node_unknown: no rule matches the node, and the stream must end."""
         self._is_node_unknown = is_node_unknown
         for subscription in self.subscriptions:
             subscription.reset_visibility()
