--- a/wickvane/xds/subscription.py
+++ b/wickvane/xds/subscription.py
@@ -164,14 +164,14 @@
         """Whether content is withheld because the proxy rejected it."""
 
     @staticmethod
-    def _check_count(names: Collection[str], what: str) -> None:
+    def _check_count(names: Collection[str], description: str) -> None:
         if len(names) > MAX_RESOURCE_NAMES:
-            raise StreamProtocolError(f"too many {what}")
+            raise StreamProtocolError(f"too many {description}")
 
     # pending changes
 
     def reset_visibility(self) -> None:
-        """Must be called after the set of resources that the node may see has changed."""
+        """Applies a change of the set of resources that the node may see."""
         self._visible_names = None
         self.needs_full_check = self.is_subscribed
 
