--- a/tests/quotas/test_counters.py
+++ b/tests/quotas/test_counters.py
@@ -8,7 +8,7 @@
 
 from wickvane.quotas import wire
 from wickvane.quotas.counters import FOLD_AFTER, FleetCounters
-from wickvane.quotas.gossip import PAGE_ROOM
+from wickvane.quotas.gossip import MAX_PAGE_OCTETS
 from wickvane.quotas.incarnation import Incarnation
 from wickvane.units import TICKS_PER_SECOND
 
@@ -44,8 +44,8 @@
         return
     # One timestamp has one content: an incarnation publishes each once.
     (name, _), timestamp = word
-    levels = {engine: (len(name) + timestamp) % 6 for engine in ("e1", "e2")}
-    counters.merge_levels(now, word.incarnation, timestamp, levels)
+    gauges = {engine: (len(name) + timestamp) % 6 for engine in ("e1", "e2")}
+    counters.merge_gauges(now, word.incarnation, timestamp, gauges)
 
 
 @settings(max_examples=300, deadline=None)
@@ -58,8 +58,8 @@
         for word in order:
             merge(counters, 100, word)
     assert one.totals() == other.totals()
-    assert {x: (v.counters, v.levels, v.timestamp) for x, v in one.by_incarnation.items()} == {
-        x: (v.counters, v.levels, v.timestamp) for x, v in other.by_incarnation.items()
+    assert {x: (v.counters, v.gauges, v.timestamp) for x, v in one.by_incarnation.items()} == {
+        x: (v.counters, v.gauges, v.timestamp) for x, v in other.by_incarnation.items()
     }
     # And to what the updates alone say: of each key the highest.
     highest = {}
@@ -74,7 +74,7 @@
     counters = FleetCounters(0, OWN)
     counters.increment("x", 3)
     counters.merge_counter(1, ("a", 1), "x", 5)
-    counters.merge_levels(1, ("a", 1), 1, {"e1": 4})
+    counters.merge_gauges(1, ("a", 1), 1, {"e1": 4})
     assert counters.in_flight(2, TICKS_PER_SECOND).threads_by_engine == {"e1": 4}
     counters.update_membership(2, set())
     # Nothing in flight, and still counted.
@@ -90,13 +90,13 @@
 def test_a_late_update_is_as_old_as_it_is_whatever_clock_stamped_it():
     counters = FleetCounters(0, OWN)
     apart = 77 * TICKS_PER_SECOND  # the other's clock against this one
-    counters.merge_levels(10, ("a", 1), 5 + apart, {"e1": 1})
+    counters.merge_gauges(10, ("a", 1), 5 + apart, {"e1": 1})
     assert counters.age(10, ("a", 1)) == 0
     assert counters.age(10 + TICKS_PER_SECOND, ("a", 1)) == TICKS_PER_SECOND
-    counters.merge_levels(40 * TICKS_PER_SECOND, ("a", 1), 10 * TICKS_PER_SECOND + apart, {"e1": 2})
+    counters.merge_gauges(40 * TICKS_PER_SECOND, ("a", 1), 10 * TICKS_PER_SECOND + apart, {"e1": 2})
     assert 29 * TICKS_PER_SECOND < counters.age(40 * TICKS_PER_SECOND, ("a", 1)) <= 30 * TICKS_PER_SECOND
     assert counters.in_flight(40 * TICKS_PER_SECOND, 2 * TICKS_PER_SECOND) == ({}, 0, 0, 0, 1)
-    assert not counters.merge_levels(
+    assert not counters.merge_gauges(
         41 * TICKS_PER_SECOND, ("a", 1), 9 * TICKS_PER_SECOND + apart, {"e1": 3}
     )  # older than what is known
 
@@ -118,7 +118,7 @@
     counters = FleetCounters(0, OWN)
     for n in range(60):
         incarnation = (f"n{n}", 1)
-        counters.merge_levels(
+        counters.merge_gauges(
             1 << 50,
             incarnation,
             (1 << 50) - n,
@@ -127,10 +127,10 @@
         key = "k" * chance.randrange(1, 120)
         counters.merge_counter(1, incarnation, key, chance.randrange(1, 1 << 40))
     for _ in range(20):
-        levels, values = [
-            [(0xFFFFFFFF, *rest) for _, *rest in part] for part in counters.next_page(PAGE_ROOM)
+        gauges, values = [
+            [(0xFFFFFFFF, *rest) for _, *rest in part] for part in counters.next_page(MAX_PAGE_OCTETS)
         ]
-        payload = wire.encode(wire.GossipMessage(levels=levels, counters=values))
-        assert len(payload) <= PAGE_ROOM
+        payload = wire.encode(wire.GossipMessage(gauges=gauges, counters=values))
+        assert len(payload) <= MAX_PAGE_OCTETS
         message = wire.decode(payload)
-        assert message.levels == levels and message.counters == values
+        assert message.gauges == gauges and message.counters == values
--- a/tests/quotas/test_decision_observer.py
+++ b/tests/quotas/test_decision_observer.py
@@ -74,11 +74,11 @@
     tenant = decider.observer.tenant_names[pending.tenant]
     accepted = snapshot(decider)
     assert dict(accepted.increments) == {f"taken/{group}/{tenant}": 1, "sent/e": 1}
-    assert accepted.levels == {"e": 1}
+    assert accepted.threads_by_engine == {"e": 1}
     decider.round([("ended", pending.attempt, Ending.FINISHED, 700, True)])
     ended = snapshot(decider)
     assert dict(ended.increments) == {"done/e": 1, f"finished/{group}/{tenant}": 1}
-    assert ended.levels == {}
+    assert ended.threads_by_engine == {}
     assert [(outcome.engine, outcome.failed) for outcome in ended.outcomes] == [("e", 0)]
     assert ended.work_by_tenant[tenant] > 0 and ended.requested_work > 0
     assert ended.ready_engines == ["e"]
--- a/tests/quotas/test_engine_judgement.py
+++ b/tests/quotas/test_engine_judgement.py
@@ -44,10 +44,10 @@
     for dispatchers in ([reports_of(["e1"])] + [few] * 9, [reports_of(["e1"])] * 2 + [few] * 9):
         assert judge(*dispatchers).verdicts == {}
     found = judge(*[reports_of(["e1"])] * 3, few)
-    assert found.verdicts == {"e1": (True, 0.0, 100)} and found.spared == []
+    assert found.verdicts == {"e1": (True, 0.0, 100)} and found.exempted == []
     many = reports_of(["e1", "e2", "e3"])
     found = judge(many, many, many)
-    assert sorted(found.verdicts) == ["e1", "e2"] and found.spared == ["e3"]
+    assert sorted(found.verdicts) == ["e1", "e2"] and found.exempted == ["e3"]
     assert judge(*[reports_of(["e0"])] * 4, engines=["e0"]).verdicts == {}  # nowhere else to go
 
 
--- a/tests/quotas/test_engine_reports.py
+++ b/tests/quotas/test_engine_reports.py
@@ -4,7 +4,7 @@
 from wickvane.quotas.engine_judgement import HEALTHY_RATIO
 from wickvane.quotas.engine_reports import (
     EVIDENCE_DECAY,
-    MAX_FIGURE,
+    MAX_REPORTED_TENTHS,
     REPORT_TTL,
     EngineReports,
     FirstHandEvidence,
@@ -39,12 +39,12 @@
         evidence.record(1, f"e{n}", 1, 1e9)
         received.store((f"n{n}", 1), 1, reports_of())
     assert len(evidence.by_engine) == 4 and len(received.entries) == 3
-    assert all(max(report[1:]) <= MAX_FIGURE for report in evidence.reports(2))
+    assert all(max(report[1:]) <= MAX_REPORTED_TENTHS for report in evidence.reports(2))
     for _ in range(9):
-        updates, room_left = received.next_page(300)
+        updates, free_octets = received.next_page(300)
         entries = [(1 << 31, t + (1 << 60), reports) for _, t, reports in updates]
         data = wire.encode(wire.GossipMessage(engine_reports=entries))
-        assert len(data) <= 300 - room_left + 16
+        assert len(data) <= 300 - free_octets + 16
     assert received.next_page(300).updates == []  # relayed often enough
 
 
--- a/tests/quotas/test_escrow.py
+++ b/tests/quotas/test_escrow.py
@@ -267,10 +267,13 @@
 """
 MUTATIONS = {
     "the lessor waits no window": (
-        "expires_at = now + self.term + self.grace + self.rate_window",
-        "expires_at = now + self.term + self.grace",
+        "expires_at = now + self.term + self.grace_period + self.rate_window",
+        "expires_at = now + self.term + self.grace_period",
+    ),
+    "the lessor waits no grace": (
+        "self.grace_period = term * drift_permille // 1000 + 1",
+        "self.grace_period = 0",
     ),
-    "the lessor waits no grace": ("self.grace = term * drift_permille // 1000 + 1", "self.grace = 0"),
     "the holder counts from the grant": (
         "expires_at = requested_at + self.term",
         "expires_at = now + self.term",
@@ -284,7 +287,7 @@
         "self.released.append(ReleasedUnits(lease.units, now))",
     ),
     "a new incarnation uses all": (
-        "self.recovered_at = now + self.term + self.grace + rate_window",
+        "self.recovered_at = now + self.term + self.grace_period + rate_window",
         "self.recovered_at = now",
     ),
     "a new incarnation spends at once": (
--- a/tests/quotas/test_stored_formats.py
+++ b/tests/quotas/test_stored_formats.py
@@ -17,7 +17,7 @@
 }
 # Fields of a message: as the fixture calls them, and as the code does.
 FIELDS = {
-    "levels": "levels",
+    "levels": "gauges",
     "sums": "counters",
     "words": "leases",
     "opinions": "engine_reports",
--- a/wickvane/quotas/__init__.py
+++ b/wickvane/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""What dispatchers hold together, within bounds while part of the fleet hears nothing."""
+"""Quotas, counters and engine reports that dispatchers share; limits also hold during network partitions."""
--- a/wickvane/quotas/command.py
+++ b/wickvane/quotas/command.py
@@ -1,6 +1,6 @@
-"""`wickvane shares status`: quotas, leases, counters and judgement of a dispatcher, from its state folder.
+"""`wickvane shares status`: shows a dispatcher's quotas, leases, counters and verdicts from its state folder.
 
-Exit status as of `wickvane peers`.
+The exit status has the same meanings as that of `wickvane peers`.
 """
 
 import sys
@@ -14,12 +14,12 @@
 
 
 def main(arguments: dict[str, Any]) -> int:
-    """Prints the status; arguments: of the command line. Returns the exit status."""
+    """Prints the status; arguments: those of the command line. Returns the exit status."""
     try:
         state = read_status(find_state_folder(arguments))
         quotas = state.get("shares")
         if quotas is None:
-            raise CommandError("that dispatcher shares nothing: its parts document has no node shares", 1)
+            raise CommandError("this dispatcher has no quotas: its extensions document has no node shares", 1)
     except CommandError as error:
         print(f"wickvane: {error}", file=sys.stderr)
         return error.exit_code
@@ -35,7 +35,7 @@
 
 
 def status_lines(name: str, quotas: dict[str, Any]) -> Iterator[str]:
-    """The lines for operators; quotas: as wickvane.quotas.status has them."""
+    """Yields the lines for operators; quotas: the figures of wickvane.quotas.status."""
     yield (
         f"{name}: counts of {quotas['counted']} others, {quotas['age_ms']} ms old (the oldest "
         f"{quotas['oldest_ms']} ms), {quotas['left_out']} left out; {quotas['lives']} lives known, "
--- a/wickvane/quotas/counters.py
+++ b/wickvane/quotas/counters.py
@@ -1,16 +1,17 @@
-"""Counters and threads in flight of a whole fleet: eventually exact, and of known age. Free of I/O.
+"""Counters and gauges of a whole fleet: counters are eventually exact, gauges have a known age. Free of I/O.
 
-Each incarnation of a dispatcher counts for itself alone. *Counters* only grow, so of each incarnation and key
-the highest value wins: updates may arrive in any order, any number of times, in any part (a G-counter;
-Shapiro and others, 2011). *Levels* (threads in flight by engine) rise and fall: of each incarnation the
-latest timestamp wins, as a whole.
+Each incarnation of a dispatcher writes only its own values. *Counters* only grow, so the highest value of
+each incarnation and key wins: updates may arrive in any order, any number of times, and in separate
+datagrams (a G-counter, a CRDT; Shapiro and others, 2011). *Gauges* (threads in flight by engine) rise and
+fall: all gauges of an incarnation are replaced at once by those with a later timestamp.
 
-The age of levels follows from their writer's own clock, without a common one: the time since their timestamp,
-less the clock offset, which is the least difference ever seen between a timestamp and its arrival here. A
-datagram that is 30 s late is 30 s old; only the transit time of the fastest datagram is not seen.
+The age of gauges is computed from their writer's clock, without a common clock: it is the time since their
+timestamp less the clock offset, which is the smallest difference seen so far between a timestamp and its
+arrival here. Gauges in a datagram that arrives 30 s late are 30 s old; only the transit time of the fastest
+datagram is not included.
 
-Incarnations that ended long ago are folded into one total and dropped. A late update of one is rejected, or
-it would be counted twice. Times are ticks of the local monotonic clock.
+Incarnations that ended long ago are folded into one total and dropped. Late updates from them are rejected,
+since they would be counted twice. Times are ticks of the local monotonic clock.
 """
 
 from collections import OrderedDict
@@ -20,35 +21,36 @@
 from typing import NamedTuple
 
 from wickvane.quotas import wire
-from wickvane.quotas.gossip_register import RELAYS
+from wickvane.quotas.gossip_register import MAX_ENTRY_RELAYS
 from wickvane.quotas.incarnation import Incarnation
 from wickvane.units import TICKS_PER_SECOND
 
-# The clock offset grows by one tick in so many, so that the drift of two clocks is not taken for age.
-DRIFT_INTERVAL = 1_000
-FOLD_AFTER = 600 * TICKS_PER_SECOND
+# Ticks in which the clock offset grows by one tick, so that clock drift is not counted as age.
+CLOCK_DRIFT_INTERVAL = 1_000
+FOLD_AFTER = 600 * TICKS_PER_SECOND  # after the incarnation left the cluster
 MAX_FOLDED_EPOCHS = 4096
-MAX_CHANGED_KEYS = 64  # of one page
-MAX_REPEATED_KEYS = 4  # of one page: unchanged, against the rare loss of all relays
-KEY_RELAYS = 3  # of a changed key, times the number of digits of the number of incarnations
-# Octets beside those that wire.row_size() counts.
-LEVELS_OVERHEAD = 17
+MAX_CHANGED_KEYS_PER_PAGE = 64
+MAX_REPEATED_KEYS_PER_PAGE = 4  # unchanged counters, sent again in case all relays of one were lost
+# Relays of a changed counter for each decimal digit of the number of incarnations.
+KEY_RELAYS_PER_DIGIT = 3
+# Octets in addition to those that wire.row_size() counts.
+GAUGES_OVERHEAD = 17
 COUNTER_OVERHEAD = 7
 PAGE_OVERHEAD = 12
-LEVELS_ROOM_KEPT = 100  # octets of a page that levels leave to counters
+MIN_COUNTER_OCTETS = 100  # octets of a page that gauges leave free for counters
 
 
 @dataclass(slots=True)
 class IncarnationCounts:
-    """What one incarnation has published.
+    """The values that one incarnation has published.
 
-    timestamp: of its levels, by its clock; clock_offset: None until levels have arrived; updated_at: when its
-    levels arrived; missing_since: when it left the members of the cluster.
+    timestamp: time of its gauges by its own clock; clock_offset: None until gauges have arrived; updated_at:
+    when its gauges arrived; missing_since: when it left the cluster, or None.
     """
 
     updated_at: int
     counters: dict[str, int] = field(default_factory=dict)
-    levels: dict[str, int] = field(default_factory=dict)
+    gauges: dict[str, int] = field(default_factory=dict)
     timestamp: int = -1
     clock_offset: int | None = None
     missing_since: int | None = None
@@ -57,27 +59,27 @@
 class FleetInFlight(NamedTuple):
     """Threads in flight of all other dispatchers.
 
-    mean_age, oldest_age: in ticks; counted: dispatchers that are included; left_out: those whose levels are
-    too old.
+    mean_age, oldest_age: in ticks; included: number of dispatchers in the sums; excluded: number of
+    dispatchers whose gauges are too old or of unknown age.
     """
 
     threads_by_engine: dict[str, int]
     mean_age: int
     oldest_age: int
-    counted: int
-    left_out: int
+    included: int
+    excluded: int
 
 
-class LevelsUpdate(NamedTuple):
-    """An incarnation's levels to be sent."""
+class GaugesUpdate(NamedTuple):
+    """The gauges of an incarnation, to be sent."""
 
     incarnation: Incarnation
     timestamp: int
-    levels: list[tuple[str, int]]
+    gauges: list[tuple[str, int]]
 
 
 class CounterUpdate(NamedTuple):
-    """An incarnation's counter to be sent."""
+    """One counter of an incarnation, to be sent."""
 
     incarnation: Incarnation
     key: str
@@ -85,14 +87,14 @@
 
 
 class CountersPage(NamedTuple):
-    """What one datagram carries."""
+    """The gauges and counters that one datagram carries."""
 
-    levels: list[LevelsUpdate]
+    gauges: list[GaugesUpdate]
     counters: list[CounterUpdate]
 
 
 class FleetCounters:
-    """Counters and levels of at most `max_incarnations`, each with at most `max_keys` counters."""
+    """Counters and gauges of at most `max_incarnations`, each with at most `max_keys` counters."""
 
     def __init__(
         self, now: int, incarnation: Incarnation, max_incarnations: int = 4096, max_keys: int = 4096
@@ -103,10 +105,10 @@
         self.by_incarnation = {incarnation: IncarnationCounts(now)}
         self.own = self.by_incarnation[incarnation]
         self.folded: dict[str, int] = {}
-        self.folded_epochs: OrderedDict[str, int] = OrderedDict()  # by name, the latest that was folded
-        # How often the latest levels of an incarnation were relayed; the latest first.
-        self.level_relays: OrderedDict[Incarnation, int] = OrderedDict()
-        # How often a changed counter was relayed.
+        self.folded_epochs: OrderedDict[str, int] = OrderedDict()  # by name: the latest folded epoch
+        # How often the latest gauges of an incarnation were relayed; the latest gauges come first.
+        self.gauge_relays: OrderedDict[Incarnation, int] = OrderedDict()
+        # How often each changed counter was relayed.
         self.key_relays: OrderedDict[tuple[Incarnation, str], int] = OrderedDict()
         self.keys_to_repeat: list[tuple[Incarnation, str]] = []
         self.rejected = {"folded": 0, "full": 0}
@@ -114,39 +116,42 @@
     # This incarnation
 
     def set_incarnation(self, incarnation: Incarnation) -> None:
-        """This dispatcher took a later epoch; what it has counted stays with the former incarnation."""
+        """Switches to a later epoch of this dispatcher; earlier counts stay with the former incarnation."""
         if incarnation != self.incarnation:
             former = self.own
             self.incarnation = incarnation
             self.own = self.by_incarnation.setdefault(incarnation, IncarnationCounts(former.updated_at))
-            former.levels = {}
+            former.gauges = {}
 
     def increment(self, key: str, amount: int = 1) -> None:
-        """Adds to a counter of this incarnation."""
-        before = self.own.counters.get(key)
-        if before is None and len(self.own.counters) >= self.max_keys:
+        """Adds an amount to a counter of this incarnation."""
+        value = self.own.counters.get(key)
+        if value is None and len(self.own.counters) >= self.max_keys:
             self.rejected["full"] += 1
             return
-        self.own.counters[key] = (before or 0) + amount
+        self.own.counters[key] = (value or 0) + amount
         self.key_relays[self.incarnation, key] = 0
         self.key_relays.move_to_end((self.incarnation, key))
 
-    def set_levels(self, now: int, levels: dict[str, int]) -> None:
-        """Threads in flight of this incarnation by engine; sent again where unchanged, since age matters."""
+    def set_gauges(self, now: int, gauges: dict[str, int]) -> None:
+        """Sets this incarnation's threads in flight by engine.
+
+        Unchanged gauges are sent again too, since their timestamp is new.
+        """
         own = self.own
-        own.levels = {engine: threads for engine, threads in levels.items() if threads > 0}
+        own.gauges = {engine: threads for engine, threads in gauges.items() if threads > 0}
         own.timestamp = max(now, own.timestamp + 1)
         own.updated_at = now
-        self._relay_levels(self.incarnation)
+        self._relay_gauges(self.incarnation)
 
-    def _relay_levels(self, incarnation: Incarnation) -> None:
-        self.level_relays[incarnation] = 0
-        self.level_relays.move_to_end(incarnation, last=False)
+    def _relay_gauges(self, incarnation: Incarnation) -> None:
+        self.gauge_relays[incarnation] = 0
+        self.gauge_relays.move_to_end(incarnation, last=False)
 
     # Other incarnations
 
-    def _record_of(self, now: int, incarnation: Incarnation) -> IncarnationCounts | None:
-        """The record of an incarnation, created where there is room; None where its update is rejected."""
+    def _find_or_create_record(self, now: int, incarnation: Incarnation) -> IncarnationCounts | None:
+        """Returns the record of an incarnation, created if needed; None if the incarnation is rejected."""
         record = self.by_incarnation.get(incarnation)
         if record is None:
             name, epoch = incarnation
@@ -159,29 +164,29 @@
             record = self.by_incarnation[incarnation] = IncarnationCounts(now)
         return record
 
-    def merge_levels(
-        self, now: int, incarnation: Incarnation, timestamp: int, levels: dict[str, int] | list
+    def merge_gauges(
+        self, now: int, incarnation: Incarnation, timestamp: int, gauges: dict[str, int] | list
     ) -> bool:
-        """Levels of another incarnation, received in whatever way; whether they were new."""
+        """Merges gauges of another incarnation, from any relay; returns whether they were new."""
         if incarnation == self.incarnation:
             return False
-        record = self._record_of(now, incarnation)
+        record = self._find_or_create_record(now, incarnation)
         if record is None or timestamp <= record.timestamp:
             return False
         offset = now - timestamp
         if record.clock_offset is not None:
-            grown = record.clock_offset + (now - record.updated_at) // DRIFT_INTERVAL
-            offset = min(grown, offset)
+            drifted = record.clock_offset + (now - record.updated_at) // CLOCK_DRIFT_INTERVAL
+            offset = min(drifted, offset)
         record.clock_offset = offset
-        record.levels = dict(levels)
+        record.gauges = dict(gauges)
         record.timestamp = timestamp
         record.updated_at = now
-        self._relay_levels(incarnation)
+        self._relay_gauges(incarnation)
         return True
 
     def merge_counter(self, now: int, incarnation: Incarnation, key: str, value: int) -> bool:
-        """A counter of another incarnation, received in whatever way; whether it was new."""
-        record = self._record_of(now, incarnation)
+        """Merges a counter of another incarnation, from any relay; returns whether it was new."""
+        record = self._find_or_create_record(now, incarnation)
         if record is None or value <= record.counters.get(key, 0) or incarnation == self.incarnation:
             return False
         if key not in record.counters and len(record.counters) >= self.max_keys:
@@ -192,8 +197,10 @@
         return True
 
     def update_membership(self, now: int, present: Collection[Incarnation]) -> None:
-        """Levels of incarnations that are not present no longer count; their counters do, and are folded
-        after FOLD_AFTER."""
+        """Excludes the gauges of incarnations that are not present.
+
+        Their counters still count, and are folded after FOLD_AFTER.
+        """
         for incarnation, record in list(self.by_incarnation.items()):
             if incarnation == self.incarnation or incarnation in present:
                 record.missing_since = None
@@ -206,7 +213,7 @@
         for key, value in self.by_incarnation.pop(incarnation).counters.items():
             self.folded[key] = self.folded.get(key, 0) + value
             self.key_relays.pop((incarnation, key), None)
-        self.level_relays.pop(incarnation, None)
+        self.gauge_relays.pop(incarnation, None)
         name, epoch = incarnation
         self.folded_epochs[name] = max(epoch, self.folded_epochs.pop(name, 0))
         if len(self.folded_epochs) > MAX_FOLDED_EPOCHS:
@@ -215,44 +222,44 @@
     # Values
 
     def age(self, now: int, incarnation: Incarnation) -> int | None:
-        """How old an incarnation's levels are; None where its clock is not known yet."""
+        """Returns the age of an incarnation's gauges, or None if its clock offset is not known yet."""
         return self.age_of_timestamp(now, incarnation, self.by_incarnation[incarnation].timestamp)
 
     def age_of_timestamp(self, now: int, incarnation: Incarnation, timestamp: int) -> int | None:
-        """How old a timestamp of an incarnation is; None where its clock is not known yet."""
+        """Returns the age of an incarnation's timestamp, or None if its clock offset is not known yet."""
         record = self.by_incarnation.get(incarnation)
         if record is None or record.clock_offset is None:
             return None
         return max(0, now - timestamp - record.clock_offset)
 
     def in_flight(self, now: int, max_age: int) -> FleetInFlight:
-        """Threads in flight of all other dispatchers, by levels that are at most `max_age` old."""
+        """Sums the threads in flight of all other dispatchers whose gauges are at most `max_age` old."""
         threads_by_engine: dict[str, int] = {}
         oldest_age = 0
         age_sum = 0
-        counted = 0
-        left_out = 0
+        included = 0
+        excluded = 0
         for incarnation, record in self.by_incarnation.items():
             if incarnation == self.incarnation or record.missing_since is not None:
                 continue
             age = self.age(now, incarnation)
             if age is None or age > max_age:
-                left_out += 1
+                excluded += 1
                 continue
-            counted += 1
+            included += 1
             age_sum += age
             oldest_age = max(oldest_age, age)
-            for engine, threads in record.levels.items():
+            for engine, threads in record.gauges.items():
                 threads_by_engine[engine] = threads_by_engine.get(engine, 0) + threads
-        return FleetInFlight(threads_by_engine, age_sum // max(1, counted), oldest_age, counted, left_out)
+        return FleetInFlight(threads_by_engine, age_sum // max(1, included), oldest_age, included, excluded)
 
     def total(self, key: str) -> int:
-        """The fleet's total of a counter."""
+        """Returns the fleet's total of a counter."""
         values = (record.counters.get(key, 0) for record in self.by_incarnation.values())
         return self.folded.get(key, 0) + sum(values)
 
     def totals(self) -> dict[str, int]:
-        """The fleet's totals of all counters."""
+        """Returns the fleet's totals of all counters."""
         totals = dict(self.folded)
         for record in self.by_incarnation.values():
             for key, value in record.counters.items():
@@ -261,38 +268,38 @@
 
     # Dissemination
 
-    def next_page(self, room: int) -> CountersPage:
-        """Levels and counters for one datagram of at most `room` octets."""
-        levels, room = self._next_levels(room - PAGE_OVERHEAD)
-        return CountersPage(levels, self._next_counters(room))
+    def next_page(self, free_octets: int) -> CountersPage:
+        """Returns gauges and counters that fit into `free_octets` of one datagram."""
+        gauges, free_octets = self._next_gauges(free_octets - PAGE_OVERHEAD)
+        return CountersPage(gauges, self._next_counters(free_octets))
 
-    def _next_levels(self, room: int) -> tuple[list[LevelsUpdate], int]:
-        """Levels to send, and the room that they leave."""
+    def _next_gauges(self, free_octets: int) -> tuple[list[GaugesUpdate], int]:
+        """Returns the gauges to send, and the octets that they leave free."""
         updates = []
-        for incarnation in list(self.level_relays):
+        for incarnation in list(self.gauge_relays):
             record = self.by_incarnation[incarnation]
-            rows = list(record.levels.items())
-            size = LEVELS_OVERHEAD + sum(wire.row_size(*row) for row in rows)
-            if size > room - LEVELS_ROOM_KEPT:
+            rows = list(record.gauges.items())
+            size = GAUGES_OVERHEAD + sum(wire.row_size(*row) for row in rows)
+            if size > free_octets - MIN_COUNTER_OCTETS:
                 break
-            room -= size
-            updates.append(LevelsUpdate(incarnation, record.timestamp, rows))
-            self.level_relays[incarnation] += 1
-            if self.level_relays[incarnation] >= RELAYS:
-                del self.level_relays[incarnation]
+            free_octets -= size
+            updates.append(GaugesUpdate(incarnation, record.timestamp, rows))
+            self.gauge_relays[incarnation] += 1
+            if self.gauge_relays[incarnation] >= MAX_ENTRY_RELAYS:
+                del self.gauge_relays[incarnation]
             else:
-                self.level_relays.move_to_end(incarnation)
-        return updates, room
+                self.gauge_relays.move_to_end(incarnation)
+        return updates, free_octets
 
-    def _next_counters(self, room: int) -> list[CounterUpdate]:
+    def _next_counters(self, free_octets: int) -> list[CounterUpdate]:
         updates = []
-        max_relays = KEY_RELAYS * len(str(len(self.by_incarnation)))
+        max_relays = KEY_RELAYS_PER_DIGIT * len(str(len(self.by_incarnation)))
         for incarnation, key in self._next_keys():
             value = self.by_incarnation[incarnation].counters[key]
             size = COUNTER_OVERHEAD + wire.row_size(key, value)
-            if size > room:
+            if size > free_octets:
                 break
-            room -= size
+            free_octets -= size
             updates.append(CounterUpdate(incarnation, key, value))
             if (incarnation, key) in self.key_relays:
                 self.key_relays[incarnation, key] += 1
@@ -303,9 +310,9 @@
         return updates
 
     def _next_keys(self) -> Iterator[tuple[Incarnation, str]]:
-        """Changed counters first, then the next few of all, in turn."""
-        yield from list(islice(self.key_relays, MAX_CHANGED_KEYS))
-        for _ in range(MAX_REPEATED_KEYS):
+        """Yields changed counters first, then a few of all counters in rotation."""
+        yield from list(islice(self.key_relays, MAX_CHANGED_KEYS_PER_PAGE))
+        for _ in range(MAX_REPEATED_KEYS_PER_PAGE):
             if not self.keys_to_repeat:
                 self.keys_to_repeat = [
                     (incarnation, key)
--- a/wickvane/quotas/decider_notifier.py
+++ b/wickvane/quotas/decider_notifier.py
@@ -1,4 +1,4 @@
-"""Hands what other dispatchers published to the decider's inbox, and logs changes of the judgement."""
+"""Puts the reports of other dispatchers into the decider's inbox, and logs changes of the verdicts."""
 
 from collections.abc import Callable, Collection
 from typing import Any
@@ -6,18 +6,18 @@
 from wickvane.net.decider import OBSERVED
 from wickvane.quotas.counters import FleetInFlight
 from wickvane.quotas.decision_observer import InFlightReport, ObserverMessage, UsageReport, VerdictsReport
-from wickvane.quotas.engine_judgement import SLOW_POOL, Judgement
+from wickvane.quotas.engine_judgement import MIN_POOL_SLOWDOWN, Judgement
 from wickvane.quotas.lease_broker import QuotaUpdate
 from wickvane.quotas.snapshot import SnapshotBuffer
 
-# What decisions may go by, as the settings call it; quotas they always go by.
+# The reports that decisions may use, by their names in the settings. Quotas are always used.
 USES_IN_FLIGHT = "others"
 USES_TENANT_USAGE = "charges"
 USES_JUDGEMENT = "opinions"
 
 
 class DeciderNotifier:
-    """The decider's side of a QuotaGossip, called in the cluster's thread."""
+    """Connects a QuotaGossip to the decider; called in the cluster's thread."""
 
     def __init__(
         self,
@@ -27,8 +27,11 @@
         uses: Collection[str],
         log: Callable[[str, dict], None],
     ) -> None:
-        """uses: of USES_IN_FLIGHT, USES_TENANT_USAGE and USES_JUDGEMENT; clock: the decider's; log: takes an
-        event's name and fields."""
+        """Creates a notifier.
+
+        clock: the decider's; uses: a subset of USES_IN_FLIGHT, USES_TENANT_USAGE and USES_JUDGEMENT; log:
+        called with an event's name and fields.
+        """
         self.inbox = inbox
         self.clock = clock
         self.buffer = buffer
@@ -38,23 +41,23 @@
         self.suspected: frozenset[str] = frozenset()
 
     def update_in_flight(self, in_flight: FleetInFlight) -> None:
-        """Threads in flight of the others, which matter to a dispatcher that has queries."""
+        """Passes on the other dispatchers' threads in flight, unless this dispatcher has no queries."""
         now = self.clock.now()
-        if USES_IN_FLIGHT in self.uses and in_flight.counted and not self.buffer.is_idle(now):
+        if USES_IN_FLIGHT in self.uses and in_flight.included and not self.buffer.is_idle(now):
             self._put(InFlightReport(in_flight.threads_by_engine, in_flight.mean_age, now))
 
     def charge_tenants(self, work_by_tenant: dict[str, int]) -> None:
-        """New work of the others by tenant, in milliseconds."""
+        """Passes on new work of the other dispatchers by tenant, in milliseconds."""
         if USES_TENANT_USAGE in self.uses and not self.buffer.is_idle(self.clock.now()):
             self._put(UsageReport(work_by_tenant))
 
     def update_quotas(self, update: QuotaUpdate) -> None:
-        """Quotas that changed."""
-        # Never dropped: units that were granted are used by another as soon as this is acknowledged.
+        """Passes on quotas that have changed."""
+        # Never dropped: as soon as this update is acknowledged, other dispatchers may use the granted units.
         self._put(update, always=True)
 
     def update_judgement(self, judgement: Judgement) -> None:
-        """The verdicts on engines; their changes are logged."""
+        """Passes on the verdicts on engines, and logs their changes."""
         now = self.clock.now()
         if USES_JUDGEMENT in self.uses and judgement.verdicts and not self.buffer.is_idle(now):
             self._put(VerdictsReport(judgement.verdicts, now))
@@ -65,7 +68,7 @@
         self.inbox.put((OBSERVED, message), always=always)
 
     def _log_pool(self, slowdown: float | None) -> None:
-        is_slow = slowdown is not None and slowdown >= SLOW_POOL
+        is_slow = slowdown is not None and slowdown >= MIN_POOL_SLOWDOWN
         if is_slow != self.pool_is_slow:
             self.pool_is_slow = is_slow
             event = "shares-pool-slow" if is_slow else "shares-pool-well"
@@ -74,7 +77,7 @@
     def _log_suspected(self, judgement: Judgement) -> None:
         suspected = frozenset(engine for engine, verdict in judgement.verdicts.items() if verdict.faulty)
         for engine in sorted(suspected - self.suspected):
-            self.log("shares-engine-doubted", {"engine": engine, "spared": len(judgement.spared)})
+            self.log("shares-engine-doubted", {"engine": engine, "spared": len(judgement.exempted)})
         for engine in sorted(self.suspected - suspected):
             self.log("shares-engine-cleared", {"engine": engine})
         self.suspected = suspected
--- a/wickvane/quotas/decision_observer.py
+++ b/wickvane/quotas/decision_observer.py
@@ -1,8 +1,8 @@
-"""Observes one dispatcher's decider for the other dispatchers, and hands their news to it.
+"""Collects one dispatcher's data for the other dispatchers, and turns their reports into scheduler events.
 
-A decider that has an observer calls its hooks, all in the decider's thread. What the hooks collect goes to
-the cluster's thread by a SnapshotBuffer; what the cluster's thread has for the decider comes as messages
-through the decider's inbox (wickvane.quotas.decider_notifier).
+A decider that has an observer calls its hooks, all in the decider's thread. The cluster's thread reads the
+collected data from a SnapshotBuffer. In the other direction, the cluster's thread puts messages into the
+decider's inbox (wickvane.quotas.decider_notifier).
 """
 
 from collections.abc import Iterator, Sequence
@@ -22,15 +22,17 @@
 from wickvane.quotas.snapshot import AttemptOutcome, SnapshotBuffer
 from wickvane.units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 
-MEASURE_INTERVAL = TICKS_PER_SECOND // 10  # between two measurements of the budgets' use
+MEASURE_INTERVAL = TICKS_PER_SECOND // 10  # between two measurements of the use of budgets
 FAILURE_ENDINGS = frozenset((Ending.ERROR, Ending.RESET, Ending.NO_CONNECTION, Ending.NO_ANSWER))
-SLOWDOWN_ALLOWANCE = (
-    500  # ticks added to the expected time, as in scheduling, so that short pauses count little
-)
+# Ticks added to the expected time, as in wickvane.scheduling, so that short pauses have little effect.
+SLOWDOWN_ALLOWANCE = 500
 
 
 class InFlightReport(NamedTuple):
-    """Threads in flight of all others by engine, `age` old at `reported_at` by the decider's clock."""
+    """Threads in flight of all other dispatchers by engine.
+
+    age: in ticks, at the time `reported_at` by the decider's clock.
+    """
 
     threads_by_engine: dict[str, int]
     age: int
@@ -38,13 +40,13 @@
 
 
 class UsageReport(NamedTuple):
-    """New work of all others by tenant, in milliseconds."""
+    """New work of all other dispatchers by tenant, in milliseconds."""
 
     work_by_tenant: dict[str, int]
 
 
 class VerdictsReport(NamedTuple):
-    """Verdicts on engines at `reported_at` by the decider's clock."""
+    """Verdicts on engines at the time `reported_at` by the decider's clock."""
 
     verdicts: dict[str, EngineVerdict]
     reported_at: int
@@ -54,10 +56,10 @@
 
 
 def newly_ejected_engines(scheduler: Any, known_times: list[int]) -> list[int]:
-    """Engines that the scheduler ejected by its own evidence since the last call, some without the end of an
-    attempt: those that are silent.
+    """Returns engines that the scheduler has ejected by its own evidence since the last call.
 
-    known_times: the ejection times at the last call, which this one updates.
+    An engine that does not respond may be ejected before any attempt on it has ended. known_times: the
+    ejection times at the last call, which this call updates.
     """
     times = scheduler.engines.ejection_time
     ejected = [
@@ -70,10 +72,10 @@
 
 
 class DecisionObserver:
-    """The hooks of one decider."""
+    """The hooks that one decider calls."""
 
     def __init__(self, scheduler: Any, registry: Any, clock_offset: int = 0) -> None:
-        """clock_offset: the decider's clock less the cluster's, in ticks."""
+        """clock_offset: the decider's clock minus the cluster's, in ticks."""
         self.scheduler = scheduler
         self.registry = registry
         self.clock_offset = clock_offset
@@ -81,22 +83,22 @@
         self.fleet = fleet_decisions.join(scheduler)
         self.tenant_names = list(registry.tenants.index)
         self.measured_at = 0
-        self.update_in_use = 0  # number of the latest quota update that the scheduler was given
+        self.update_in_use = 0  # number of the latest quota update that the scheduler has received
         self.known_ejection_times: list[int] = []
 
     # Hooks
 
     def round_finished(self, now: int) -> None:
-        """After each round of decisions."""
+        """Records the state after a round of decisions."""
         names = self.registry.engines.names
         scheduler = self.scheduler
         buffer = self.buffer
-        buffer.levels = {
+        buffer.threads_by_engine = {
             names[engine]: threads
             for engine, threads in enumerate(scheduler.engines.in_flight)
             if threads > 0 and names[engine]
         }
-        # The scheduler has this update: all its decisions from here on go by it.
+        # The scheduler has this update, so all its later decisions use it.
         buffer.acknowledged_update = self.update_in_use
         if now - self.measured_at >= MEASURE_INTERVAL:
             self.measured_at = now
@@ -106,17 +108,17 @@
             buffer.set_budget_uses(now, [BudgetUse(*use) for use in self.fleet.needs()])
 
     def query_accepted(self, now: int, pending: Any) -> None:
-        """A query was taken in."""
+        """Counts a query that was accepted."""
         work = pending.cost or int(self.scheduler.estimates.mean_cost[pending.resource_group])
         self.buffer.add_request(now, work)
         self._count_query("taken", pending)
 
     def attempt_started(self, engine: str) -> None:
-        """An attempt is about to be sent to an engine."""
+        """Counts an attempt that is about to be sent to an engine."""
         self.buffer.increment(f"sent/{engine}")
 
     def attempt_ended(self, attempt: Any, ending: Ending, elapsed: int) -> None:
-        """An attempt has ended, after `elapsed` ticks."""
+        """Records the end of an attempt after `elapsed` ticks."""
         if attempt.queue is None:
             return
         engine = attempt.queue.name
@@ -127,15 +129,15 @@
             self.buffer.add_outcome(AttemptOutcome(engine, int(ending in FAILURE_ENDINGS), slowdown))
 
     def query_rejected(self, pending: Any) -> None:
-        """A query is rejected and may be sent again."""
+        """Counts a query that was rejected; a retry of it is harmless."""
         self._count_query("deferred", pending)
 
     def query_failed(self, pending: Any) -> None:
-        """A query has failed for good."""
+        """Counts a query that has failed."""
         self._count_query("killed", pending)
 
     def _count_finished(self, attempt: Any, elapsed: int) -> float | None:
-        """Counts a finished attempt; returns its slowdown where the expected time is known."""
+        """Counts a finished attempt; returns its slowdown, or None if the expected time is unknown."""
         pending = attempt.pending
         threads = self.registry.deployment.groups[pending.resource_group].threads
         self.buffer.increment(f"done/{attempt.queue.name}")
@@ -148,14 +150,14 @@
     def _tenant_name(self, pending: Any) -> str:
         return self.tenant_names[pending.tenant] if pending.tenant < len(self.tenant_names) else ""
 
-    def _count_query(self, what: str, pending: Any) -> None:
+    def _count_query(self, outcome: str, pending: Any) -> None:
         group = self.registry.group_names[pending.resource_group]
-        self.buffer.increment(f"{what}/{group}/{self._tenant_name(pending)}")
+        self.buffer.increment(f"{outcome}/{group}/{self._tenant_name(pending)}")
 
     # Messages
 
     def events_of(self, message: ObserverMessage, now: int) -> Iterator[NamedTuple]:
-        """The events that a message is to the scheduler."""
+        """Returns the scheduler events for a message."""
         match message:
             case InFlightReport(threads_by_engine, age, reported_at):
                 return self._in_flight_events(threads_by_engine, age + max(0, now - reported_at))
--- a/wickvane/quotas/extension.py
+++ b/wickvane/quotas/extension.py
@@ -1,4 +1,4 @@
-"""The extension `shares`: its node in the extensions' document, and what it adds to a dispatcher."""
+"""The extension `shares`: reads its node in the extensions document, and adds quotas to a dispatcher."""
 
 from typing import Any, NamedTuple
 
@@ -7,11 +7,11 @@
 from wickvane.net import shape
 from wickvane.quotas.lease_broker import BudgetConfig
 
-# An attempt that was decided longer ago is not sent: the quota that it counted on may be another's by now.
-DECISION_FENCE = 5_000
-# Threads in use may stay so for a while after their units were leased out.
+# In ticks. An attempt that was decided longer ago is not sent, since its units may be leased out by now.
+MAX_DECISION_AGE = 5_000
+# In ticks. Threads may stay in use for a while after their units were leased out.
 THREADS_RATE_WINDOW = 10_000
-# The node's settings, and what they turn off.
+# The node's settings, and the reports whose use they turn off.
 USES_BY_SETTING = {
     "heeds-others": "others",
     "heeds-charges": "charges",
@@ -22,8 +22,8 @@
 class QuotaSettings(NamedTuple):
     """The node's settings.
 
-    page_interval: between two pages of counters, in ticks; uses: what decisions go by, of "others", "charges"
-    and "opinions"; leases_budgets: whether units of budgets are leased.
+    page_interval: between two pages of counters, in ticks; uses: the reports that decisions use, a subset of
+    "others", "charges" and "opinions"; leases_budgets: whether units of budgets are leased.
     """
 
     page_interval: int
@@ -32,7 +32,7 @@
 
 
 def read(node: parts.Node) -> QuotaSettings:
-    """The settings of a node; parts.InvalidDocumentError where a value cannot be used."""
+    """Returns the settings of a node; raises parts.InvalidDocumentError if a value is invalid."""
     uses = frozenset(use for setting, use in USES_BY_SETTING.items() if node.value(setting, parts.flag, True))
     return QuotaSettings(
         node.value("every", parts.duration("20ms", "10s"), 1_000),
@@ -42,29 +42,29 @@
 
 
 def budget_configs(deployment: Any) -> tuple[BudgetConfig, BudgetConfig]:
-    """How the concurrency limits, and what engines get while they warm up, are leased."""
+    """Returns how the budgets for concurrency and for engines in slow start are leased."""
     return (
         BudgetConfig(THREADS_RATE_WINDOW, usable_at_once=True, demand_by_traffic=False),
         BudgetConfig(
-            deployment.collapse_window + DECISION_FENCE, usable_at_once=False, demand_by_traffic=True
+            deployment.collapse_window + MAX_DECISION_AGE, usable_at_once=False, demand_by_traffic=True
         ),
     )
 
 
 class At(shape.Part):
-    """The quotas in one dispatcher; the extension `peers` carries their messages."""
+    """Runs the quotas in one dispatcher; the extension `peers` carries their messages."""
 
     name = "shares"
     threads = 0
 
     def join(self, service: Any, found: dict) -> None:
-        """Gives the decider an observer, and the cluster's node what it carries.
+        """Attaches an observer to the decider, and the gossip of quotas to the cluster's node.
 
-        ConfigError: the document has no node peers.
+        Raises ConfigError if the document has no node `peers`.
         """
         cluster = next((part.cluster for part in service.parts if part.name == "peers"), None)
         if cluster is None:
-            raise ConfigError("the parts document: shares: expected a node peers beside it", 2)
+            raise ConfigError("the extensions document: shares: expected a node peers as well", 2)
         from wickvane.cluster.clock import now
         from wickvane.quotas.decider_notifier import DeciderNotifier
         from wickvane.quotas.decision_observer import DecisionObserver
@@ -78,7 +78,7 @@
         budgets = ()
         if self.terms.leases_budgets:
             budgets = budget_configs(service.registry.deployment)
-            service.links.stale = DECISION_FENCE
+            service.links.stale = MAX_DECISION_AGE
         view = MembershipView(cluster.node)
         self.cluster = cluster
         self.gossip = QuotaGossip(
@@ -92,13 +92,13 @@
         view.attach(self.gossip)
 
     def stop(self) -> None:
-        """Publishes what was counted, and releases all leases."""
+        """Publishes the latest counters, and releases all leases."""
         from wickvane.cluster.clock import now
 
         with self.cluster.lock:
             self.gossip.shutdown(now(), self.cluster.transport)
 
     def status(self) -> dict[str, Any]:
-        """Figures for the line of counters."""
+        """Returns figures for operators."""
         with self.cluster.lock:
             return self.gossip.status()
--- a/wickvane/quotas/gossip.py
+++ b/wickvane/quotas/gossip.py
@@ -1,8 +1,9 @@
-"""Dissemination of what dispatchers share, by the datagrams of the cluster. Free of I/O.
+"""Disseminates counters, reports and lease messages in the datagrams of the cluster. Free of I/O.
 
-Each PAGE_INTERVAL a page of levels and counters goes to a few random members, the latest levels first, so
-that an update reaches all members in a few steps whatever their number; each REPORT_INTERVAL a page of engine
-reports and of tenants' work likewise. Lease messages go to their recipients alone and are not repeated.
+At each PAGE_INTERVAL, a page of gauges and counters is sent to a few random members, with the latest gauges
+first, so that an update reaches all members in a few steps in clusters of any size. At each REPORT_INTERVAL,
+a page of engine reports and tenants' work is sent in the same way. Lease messages are sent only to their
+recipients, and are not repeated.
 """
 
 from collections import defaultdict
@@ -17,9 +18,9 @@
 from wickvane.quotas.gossip_register import RegisterUpdate
 from wickvane.quotas.incarnation import Incarnation
 from wickvane.quotas.lease_broker import BudgetConfig, LeaseBroker, QuotaUpdate
-from wickvane.quotas.membership_view import MembershipView, mark_of
+from wickvane.quotas.membership_view import MembershipView, incarnation_hash
 from wickvane.quotas.snapshot import DispatcherSnapshot
-from wickvane.quotas.status import status_of
+from wickvane.quotas.status import gossip_status
 from wickvane.quotas.usage import TenantUsage
 from wickvane.units import TICKS_PER_SECOND
 
@@ -27,46 +28,49 @@
 REPORT_INTERVAL = TICKS_PER_SECOND // 2
 LEASE_INTERVAL = TICKS_PER_SECOND // 5
 MEMBERSHIP_INTERVAL = TICKS_PER_SECOND
-FANOUT = 3  # members that get a page
-SHUTDOWN_FANOUT = 8  # members that get the last page
-PAGE_ROOM = 860  # octets of a datagram, beside those of the cluster
-USAGE_ROOM = 300  # of them, for the tenants' work
-MESSAGE_OVERHEAD = 16  # octets that frame the message of reports and work
-MAX_LEVELS_AGE = 2 * TICKS_PER_SECOND
-MAX_LESSOR_CANDIDATES = 8  # random members, of which the least loaded are asked for leases
+FANOUT = 3  # members to which a page is sent
+SHUTDOWN_FANOUT = 8  # members to which the last page is sent
+MAX_PAGE_OCTETS = 860  # in a datagram, in addition to those of the cluster
+MAX_USAGE_OCTETS = 300  # of MAX_PAGE_OCTETS, for the tenants' work
+MESSAGE_OVERHEAD = 16  # octets of framing of a message with reports and work
+MAX_GAUGES_AGE = 2 * TICKS_PER_SECOND
+MAX_LESSOR_CANDIDATES = 8  # random members; leases are requested from the least loaded ones
 
 
 class GossipListener(Protocol):
-    """The decider's side, which is notified of what the other dispatchers published."""
+    """Receives the data that other dispatchers published, for the decider."""
 
     def update_in_flight(self, in_flight: FleetInFlight) -> None:
-        """Threads in flight of the others, after each page."""
+        """Called after each page with the threads in flight of the other dispatchers."""
 
     def update_quotas(self, update: QuotaUpdate) -> None:
-        """Quotas that changed."""
+        """Called with quotas that have changed."""
 
     def charge_tenants(self, work_by_tenant: dict[str, int]) -> None:
-        """New work of the others, in milliseconds."""
+        """Called with new work of the other dispatchers by tenant, in milliseconds."""
 
     def update_judgement(self, judgement: Judgement) -> None:
-        """The verdicts on engines, each REPORT_INTERVAL."""
+        """Called at each REPORT_INTERVAL with the verdicts on engines."""
 
 
-def incarnations_by_mark(incarnations: Iterable[Incarnation]) -> dict[int, Incarnation]:
-    """The incarnations that marks in messages stand for; those that share a mark are all left out."""
-    by_mark: dict[int, Incarnation] = {}
+def incarnations_by_hash(incarnations: Iterable[Incarnation]) -> dict[int, Incarnation]:
+    """Returns incarnations by the hash that identifies them in messages.
+
+    Incarnations with the same hash are all omitted.
+    """
+    by_hash: dict[int, Incarnation] = {}
     ambiguous = set()
     for incarnation in incarnations:
-        mark = mark_of(incarnation)
-        if by_mark.setdefault(mark, incarnation) != incarnation:
-            ambiguous.add(mark)
-    for mark in ambiguous:
-        del by_mark[mark]
-    return by_mark
+        hash_value = incarnation_hash(incarnation)
+        if by_hash.setdefault(hash_value, incarnation) != incarnation:
+            ambiguous.add(hash_value)
+    for hash_value in ambiguous:
+        del by_hash[hash_value]
+    return by_hash
 
 
 class QuotaGossip:
-    """All state that one dispatcher shares, and its dissemination."""
+    """All state that one dispatcher shares with others, and its dissemination."""
 
     def __init__(
         self,
@@ -77,7 +81,7 @@
         page_interval: int = PAGE_INTERVAL,
         budgets: Sequence[BudgetConfig] = (),
     ) -> None:
-        """budgets: none where nothing is leased, and there is no broker."""
+        """budgets: empty if no budget is leased; then there is no broker."""
         self.view = view
         self.take_snapshot = take_snapshot
         self.listener = listener
@@ -88,7 +92,7 @@
         self.engine_reports = EngineReports(view.max_members)
         self.tenant_usage = TenantUsage(view.max_members)
         self.judgement = Judgement({}, None, [])
-        self.by_mark: dict[int, Incarnation] = {}
+        self.by_hash: dict[int, Incarnation] = {}
         self.malformed = 0
         self.next_at = now + view.random_delay(page_interval)
         self.next_membership_at = now
@@ -97,10 +101,10 @@
         if self.broker:
             self._announce_quotas(now)
 
-    # What arrives
+    # Receiving
 
     def receive(self, now: int, sender: Incarnation, payload: bytes) -> None:
-        """A member's message; incarnations that are not known here are ignored."""
+        """Handles a member's message; entries of unknown incarnations are ignored."""
         message = wire.decode(payload)
         if message is None:
             self.malformed += 1
@@ -112,33 +116,33 @@
                 self.broker.receive(now, sender, wire.lease_message(entry))
 
     def _merge_counters(self, now: int, message: wire.GossipMessage) -> None:
-        for mark, timestamp, levels in message.levels:
-            incarnation = self.by_mark.get(mark)
+        for writer_hash, timestamp, gauges in message.gauges:
+            incarnation = self.by_hash.get(writer_hash)
             if incarnation is not None:
-                self.counters.merge_levels(now, incarnation, timestamp, levels)
-        for mark, key, value in message.counters:
-            incarnation = self.by_mark.get(mark)
+                self.counters.merge_gauges(now, incarnation, timestamp, gauges)
+        for writer_hash, key, value in message.counters:
+            incarnation = self.by_hash.get(writer_hash)
             if incarnation is not None:
                 self.counters.merge_counter(now, incarnation, key, value)
 
     def _merge_reports(self, message: wire.GossipMessage) -> None:
-        for mark, timestamp, reports in message.engine_reports:
-            incarnation = self._other_incarnation(mark)
+        for writer_hash, timestamp, reports in message.engine_reports:
+            incarnation = self._other_incarnation(writer_hash)
             if incarnation is not None:
                 self.engine_reports.store(incarnation, timestamp, reports)
-        for mark, timestamp, usage in message.tenant_usage:
-            incarnation = self._other_incarnation(mark)
+        for writer_hash, timestamp, usage in message.tenant_usage:
+            incarnation = self._other_incarnation(writer_hash)
             if incarnation is not None:
                 self.tenant_usage.merge(incarnation, timestamp, usage)
 
-    def _other_incarnation(self, mark: int) -> Incarnation | None:
-        incarnation = self.by_mark.get(mark)
+    def _other_incarnation(self, writer_hash: int) -> Incarnation | None:
+        incarnation = self.by_hash.get(writer_hash)
         return incarnation if incarnation != self.counters.incarnation else None
 
-    # What is done in turn
+    # Periodic steps
 
     def run(self, now: int) -> None:
-        """Does what is due; called in each round of the cluster's node."""
+        """Runs the steps that are due; called in each round of the cluster's node."""
         if self.broker and self.broker.outbox:
             self._send_lease_messages()
         if now < self.next_at:
@@ -156,13 +160,13 @@
         if snapshot is None:
             return
         if self.broker:
-            self._lease(now, snapshot)
+            self._exchange_leases(now, snapshot)
         if now >= self.next_reports_at:
             self.next_reports_at = now + REPORT_INTERVAL
             self._exchange_reports(now, snapshot)
 
     def shutdown(self, now: int, writer: Any) -> None:
-        """Publishes what was counted until now to a few more members, and releases all leases."""
+        """Publishes the latest counters to SHUTDOWN_FANOUT members, and releases all leases."""
         self.next_at = now
         with self.view.final_round(now, writer):
             if self.broker:
@@ -173,7 +177,7 @@
     def _record(self, now: int, snapshot: DispatcherSnapshot) -> None:
         for key, amount in snapshot.increments:
             self.counters.increment(key, amount)
-        self.counters.set_levels(now, snapshot.levels)
+        self.counters.set_gauges(now, snapshot.threads_by_engine)
         for outcome in snapshot.outcomes:
             self.evidence.record(now, *outcome)
 
@@ -182,20 +186,25 @@
         self.counters.update_membership(now, present)
         self.engine_reports.retain(present)
         self.tenant_usage.retain(present)
-        self.by_mark = incarnations_by_mark({*self.view.known_incarnations(), *self.counters.by_incarnation})
+        self.by_hash = incarnations_by_hash({*self.view.known_incarnations(), *self.counters.by_incarnation})
 
     def _send_pages(self, fanout: int) -> None:
         for member in self.view.random_members(fanout):
-            levels, counters = self.counters.next_page(PAGE_ROOM)
+            gauges, counters = self.counters.next_page(MAX_PAGE_OCTETS)
             page = wire.GossipMessage(
-                levels=[(mark_of(incarnation), timestamp, rows) for incarnation, timestamp, rows in levels],
-                counters=[(mark_of(incarnation), key, value) for incarnation, key, value in counters],
+                gauges=[
+                    (incarnation_hash(incarnation), timestamp, rows)
+                    for incarnation, timestamp, rows in gauges
+                ],
+                counters=[
+                    (incarnation_hash(incarnation), key, value) for incarnation, key, value in counters
+                ],
             )
             self.view.send(member, wire.encode(page))
 
     # Leases
 
-    def _lease(self, now: int, snapshot: DispatcherSnapshot) -> None:
+    def _exchange_leases(self, now: int, snapshot: DispatcherSnapshot) -> None:
         if now >= self.next_leases_at:
             self.next_leases_at = now + LEASE_INTERVAL
             self.broker.request_leases(
@@ -209,11 +218,11 @@
         self._send_lease_messages()
 
     def _lessors_by_load(self) -> list[Incarnation]:
-        """Random members to request leases from, those with the fewest threads in flight first."""
+        """Returns random members to request leases from, in ascending order of threads in flight."""
         counts = self.counters.by_incarnation
 
         def threads_in_flight(incarnation: Incarnation) -> int:
-            return sum(counts[incarnation].levels.values()) if incarnation in counts else 0
+            return sum(counts[incarnation].gauges.values()) if incarnation in counts else 0
 
         return sorted(self.view.random_alive(MAX_LESSOR_CANDIDATES), key=threads_in_flight)
 
@@ -245,12 +254,14 @@
         self._judge(now, own, snapshot.ready_engines)
 
     def _send_reports(self, member: Member) -> None:
-        usage, room_left = self.tenant_usage.next_page(USAGE_ROOM)
-        reports, _ = self.engine_reports.next_page(PAGE_ROOM - MESSAGE_OVERHEAD - USAGE_ROOM + room_left)
+        usage, free_octets = self.tenant_usage.next_page(MAX_USAGE_OCTETS)
+        reports, _ = self.engine_reports.next_page(
+            MAX_PAGE_OCTETS - MESSAGE_OVERHEAD - MAX_USAGE_OCTETS + free_octets
+        )
         if usage or reports:
             page = wire.GossipMessage(
-                engine_reports=_with_marks(reports),
-                tenant_usage=_with_marks(usage),
+                engine_reports=_with_hashes(reports),
+                tenant_usage=_with_hashes(usage),
             )
             self.view.send(member, wire.encode(page))
 
@@ -265,13 +276,13 @@
         self.listener.update_judgement(self.judgement)
 
     def in_flight(self, now: int) -> FleetInFlight:
-        """Threads in flight of all other dispatchers whose levels are recent."""
-        return self.counters.in_flight(now, MAX_LEVELS_AGE)
+        """Returns the threads in flight of all other dispatchers whose gauges are recent."""
+        return self.counters.in_flight(now, MAX_GAUGES_AGE)
 
     def status(self) -> dict[str, Any]:
-        """Figures for operators."""
-        return status_of(self, self.view.now)
+        """Returns figures for operators."""
+        return gossip_status(self, self.view.now)
 
 
-def _with_marks(updates: list[RegisterUpdate]) -> list[tuple[int, int, list]]:
-    return [(mark_of(incarnation), timestamp, rows) for incarnation, timestamp, rows in updates]
+def _with_hashes(updates: list[RegisterUpdate]) -> list[tuple[int, int, list]]:
+    return [(incarnation_hash(incarnation), timestamp, rows) for incarnation, timestamp, rows in updates]
--- a/wickvane/quotas/gossip_register.py
+++ b/wickvane/quotas/gossip_register.py
@@ -1,8 +1,9 @@
-"""The latest entry of each incarnation, and how it is disseminated. Free of I/O.
+"""Stores and disseminates the latest entry of each incarnation. Free of I/O.
 
-One last-writer-wins register for each incarnation, which alone writes it: an entry is complete, with the
-timestamp of its writer's own clock, and a later one replaces it. Each entry is relayed RELAYS times by each
-dispatcher that has it; what one relay misses, the next one reaches.
+Each incarnation has one last-writer-wins register, which only that incarnation writes. An entry is complete,
+has a timestamp by its writer's clock, and is replaced by an entry with a later timestamp. Each dispatcher
+that has an entry relays it MAX_ENTRY_RELAYS times to random members, so that a member that one relay misses
+is reached by another.
 """
 
 from collections.abc import Collection
@@ -11,14 +12,14 @@
 from wickvane.quotas import wire
 from wickvane.quotas.incarnation import Incarnation
 
-RELAYS = 3
-ENTRY_OVERHEAD = 17  # octets of an entry without its rows: mark, timestamp and their framing
+MAX_ENTRY_RELAYS = 3
+ENTRY_OVERHEAD = 17  # octets of an entry without its rows: hash, timestamp and their framing
 
-Row = tuple  # a name and whole figures
+Row = tuple  # a name and integers
 
 
 class RegisterEntry(NamedTuple):
-    """What an incarnation wrote, by its own clock."""
+    """The rows of an incarnation, with a timestamp by its own clock."""
 
     timestamp: int
     rows: list[Row]
@@ -33,22 +34,24 @@
 
 
 class RegisterPage(NamedTuple):
-    """What one datagram carries, and the octets that it leaves free."""
+    """The entries that one datagram carries, and the octets that they leave free."""
 
     updates: list[RegisterUpdate]
-    room_left: int
+    free_octets: int
 
 
 class GossipRegisters:
-    """Registers of at most `max_incarnations`."""
+    """The registers of at most `max_incarnations`."""
 
     def __init__(self, max_incarnations: int = 4096) -> None:
         self.max_incarnations = max_incarnations
         self.entries: dict[Incarnation, RegisterEntry] = {}
-        self.relays: dict[Incarnation, int] = {}  # how often an entry was relayed, until RELAYS
+        self.relays: dict[
+            Incarnation, int
+        ] = {}  # how often each entry was relayed; only below MAX_ENTRY_RELAYS
 
     def store(self, incarnation: Incarnation, timestamp: int, rows: list[Row]) -> bool:
-        """Stores an entry, received in whatever way; whether it was new."""
+        """Stores an entry, from any relay; returns whether it was new."""
         before = self.entries.get(incarnation)
         if before is None:
             if len(self.entries) >= self.max_incarnations:
@@ -65,33 +68,33 @@
             del self.entries[incarnation]
             self.relays.pop(incarnation, None)
 
-    def next_page(self, room: int) -> RegisterPage:
-        """Entries for one datagram of `room` octets, the least relayed first.
+    def next_page(self, free_octets: int) -> RegisterPage:
+        """Returns entries that fit into `free_octets` of a datagram; the least relayed ones come first.
 
-        An entry that is longer than a datagram is cut to its first rows.
+        An entry that does not fit into an otherwise empty page is truncated to its first rows.
         """
         updates: list[RegisterUpdate] = []
         by_relays = sorted(self.relays.items(), key=lambda item: (item[1], item[0]))
         for incarnation, relays in by_relays:
             timestamp, rows = self.entries[incarnation]
-            fitting, room_left = _fitting_rows(rows, room - ENTRY_OVERHEAD)
+            fitting, remaining_octets = _fitting_rows(rows, free_octets - ENTRY_OVERHEAD)
             if fitting < len(rows) and (updates or not fitting):
                 break
-            room = max(0, room_left)
+            free_octets = max(0, remaining_octets)
             updates.append(RegisterUpdate(incarnation, timestamp, rows[:fitting]))
-            if relays + 1 >= RELAYS:
+            if relays + 1 >= MAX_ENTRY_RELAYS:
                 del self.relays[incarnation]
             else:
                 self.relays[incarnation] = relays + 1
-        return RegisterPage(updates, room)
+        return RegisterPage(updates, free_octets)
 
 
-def _fitting_rows(rows: list[Row], room: int) -> tuple[int, int]:
-    """How many rows fit, and the room left; negative where a row did not fit."""
+def _fitting_rows(rows: list[Row], free_octets: int) -> tuple[int, int]:
+    """Returns the number of rows that fit and the octets left, which are negative if a row did not fit."""
     fitting = 0
     for row in rows:
-        room -= wire.row_size(*row)
-        if room < 0:
+        free_octets -= wire.row_size(*row)
+        if free_octets < 0:
             break
         fitting += 1
-    return fitting, room
+    return fitting, free_octets
--- a/wickvane/quotas/incarnation.py
+++ b/wickvane/quotas/incarnation.py
@@ -1,4 +1,4 @@
-"""How one start of a dispatcher is identified."""
+"""The identity of one run of a dispatcher process."""
 
-# Name and epoch. A dispatcher that restarts is a new incarnation with a later epoch.
+# The dispatcher's name and epoch. A restarted dispatcher is a new incarnation with a later epoch.
 Incarnation = tuple[str, int]
--- a/wickvane/quotas/lease_broker.py
+++ b/wickvane/quotas/lease_broker.py
@@ -1,14 +1,15 @@
 """Decides which leases a dispatcher requests, grants, renews and releases. Free of I/O.
 
-The safety of leases is in wickvane.quotas.escrow, one Escrow for each budget: a mistake here costs
-utilization, never a limit. The demand for a budget follows from what is in use, or, where units change hands
-so slowly that present use says little, from this dispatcher's share of the traffic. Each dispatcher owns
-UNITS_PER_DISPATCHER of each budget and never leases out RESERVED_UNITS of them. It grants what it did not
-need lately, and requests leases where its units were insufficient. So idle units move in one step to where
-work waits, and return within a term after their owner needs them, since it then renews no grant.
-
-Granted units must have left the lessor's own decisions before the holder receives the grant: each update of
-quotas has a number, and a grant is deferred until the decider has acknowledged the update without its units.
+wickvane.quotas.escrow ensures that no unit is spent twice, with one Escrow per budget: a wrong decision here
+lowers utilization, but never exceeds a limit. The demand for a budget is computed from the units in use or,
+for a budget whose units are transferred too slowly for present use to be a guide, from this dispatcher's
+share of the traffic. Each dispatcher owns UNITS_PER_DISPATCHER of each budget and never leases out
+RESERVED_UNITS of them. It grants units that it has not needed recently, and requests leases if its units were
+insufficient. So idle units move in one step to dispatchers with waiting work, and return within a term after
+their owner needs them, since the owner then stops renewing the grants.
+
+The lessor's decider must have stopped using granted units before the holder receives the grant: each quota
+update has a number, and a grant is deferred until the decider has acknowledged the update without its units.
 Times are ticks of the local monotonic clock.
 """
 
@@ -24,19 +25,21 @@
 RESERVED_UNITS = 16
 MAX_DEMAND_UNITS = 16 * UNITS_PER_DISPATCHER
 LEASE_TERM = 2 * TICKS_PER_SECOND
-RENEW_BELOW = 8 * LEASE_TERM // 10  # remaining time; early, so that lost datagrams leave time for retries
-MAX_PARALLEL_REQUESTS = 2  # lessors that are asked at once for a budget
+# A lease with less remaining time is renewed; early, so that there is time for retries if datagrams are lost.
+RENEWAL_THRESHOLD = 8 * LEASE_TERM // 10
+MAX_PARALLEL_REQUESTS = 2  # lessors that get a request for the same budget at once
 REQUEST_TIMEOUT = TICKS_PER_SECOND // 2  # after which an unanswered request is no longer expected to succeed
-DEMAND_MARGIN = 1.25  # demand over what is in use
-GROWTH_FACTOR = 2.5  # demand over what may be used, where that was insufficient
+DEMAND_MARGIN = 1.25  # demand divided by the units in use
+GROWTH_FACTOR = 2.5  # demand divided by the usable units, if these were insufficient
 DEMAND_DECAY = 4 * TICKS_PER_SECOND
 
 
 class BudgetConfig(NamedTuple):
     """How one budget is leased.
 
-    rate_window: in which spending is limited, in ticks; usable_at_once: whether a new incarnation may spend
-    its reserved units at once; demand_by_traffic: whether demand follows from traffic, not from use.
+    rate_window: the window in which spending is limited, in ticks; usable_at_once: whether a new incarnation
+    may spend its reserved units at once; demand_by_traffic: whether demand is computed from traffic instead
+    of use.
     """
 
     rate_window: int
@@ -45,9 +48,10 @@
 
 
 class BudgetUse(NamedTuple):
-    """What the decider uses of a budget.
+    """The decider's use of a budget.
 
-    used: in use now, as a fraction of the configured quota; insufficient: whether more would be used.
+    used: the fraction of the configured quota that is in use; insufficient: whether the quota limited
+    decisions.
     """
 
     used: float
@@ -55,9 +59,9 @@
 
 
 class Quota(NamedTuple):
-    """A dispatcher's quota of one budget, as fractions of its configured one.
+    """A dispatcher's quota of one budget, as fractions of its configured quota.
 
-    fraction: until `expires_at` (None: without end); fraction_after: from then on.
+    fraction: valid until `expires_at` (None: it does not expire); fraction_after: valid from then on.
     """
 
     fraction: float
@@ -66,35 +70,35 @@
 
 
 class QuotaUpdate(NamedTuple):
-    """The quotas of all budgets; the decider acknowledges the number."""
+    """The quotas of all budgets; the decider acknowledges the update by its number."""
 
     number: int
     quotas: list[Quota]
 
 
 class Envelope(NamedTuple):
-    """A message and the incarnation that it is for."""
+    """A message and the incarnation that receives it."""
 
     recipient: Incarnation
     message: LeaseMessage
 
 
 class DeferredMessage(NamedTuple):
-    """A message that must not leave before the decider has acknowledged a quota update."""
+    """A message that must not be sent before the decider has acknowledged the quota update `after_update`."""
 
     after_update: int
     envelope: Envelope
 
 
 class ExpectedGrant(NamedTuple):
-    """Units that a request is expected to bring, until it times out."""
+    """Units that a request is expected to add until it times out at `expires_at`."""
 
     units: int
-    until: int
+    expires_at: int
 
 
 class BudgetLeases:
-    """One budget: its escrow, and this dispatcher's demand for it in units."""
+    """The escrow of one budget, and this dispatcher's demand for the budget in units."""
 
     __slots__ = (
         "escrow",
@@ -125,7 +129,7 @@
         self.leased_total = 0
 
     def update_demand(self, now: int, use: BudgetUse, usable_units: int, traffic_weight: float) -> None:
-        """Computes the demand anew; traffic_weight: this dispatcher's traffic over the mean."""
+        """Computes the demand; traffic_weight: this dispatcher's traffic divided by the mean of all."""
         elapsed = now - self.updated_at
         self.updated_at = now
         self.insufficient = use.insufficient
@@ -146,18 +150,18 @@
         return Quota(usable * scale, min(expiries, default=None), own * scale)
 
     def missing_units(self, now: int, usable_units: int) -> int:
-        """Units in demand beyond those that are usable, leased for later, or expected by requests."""
+        """Returns the demanded units that are neither usable, leased from a later time on, nor requested."""
         self.expected = {
             number: expected
             for number, expected in self.expected.items()
-            if now < expected.until and number in self.escrow.requests
+            if now < expected.expires_at and number in self.escrow.requests
         }
         expected = sum(expected.units for expected in self.expected.values())
-        later = sum(lease.units for lease in self.escrow.held.values() if lease.usable_from > now)
-        return int(self.demand) - usable_units - (expected + later)
+        not_yet_usable = sum(lease.units for lease in self.escrow.held.values() if lease.usable_from > now)
+        return int(self.demand) - usable_units - (expected + not_yet_usable)
 
     def units_by_lessor(self) -> dict[Incarnation, int]:
-        """What each lessor has granted, or was requested for and may grant."""
+        """Returns the units that each lessor has granted, or may grant for a pending request."""
         units: dict[Incarnation, int] = {}
         for number, request in self.escrow.requests.items():
             lease = self.escrow.held.get(number)
@@ -167,10 +171,10 @@
 
 
 class LeaseBroker:
-    """All budgets of one dispatcher, as a lessor and as a holder of leases."""
+    """The leases of one dispatcher in all budgets, as a lessor and as a holder."""
 
     def __init__(self, now: int, budgets: Sequence[BudgetConfig], configured_count: int) -> None:
-        """configured_count: dispatchers in the settings, among which each budget is divided."""
+        """configured_count: number of dispatchers in the settings, among which each budget is divided."""
         self.budgets = [BudgetLeases(now, config) for config in budgets]
         self.configured_count = configured_count
         self.outbox: list[Envelope] = []
@@ -179,18 +183,19 @@
         self.acknowledged = 0
         self.announced: list[Quota] | None = None
 
-    # Quotas of the decider
+    # Quotas for the decider
 
     def quotas(self, now: int, divisor: int) -> list[Quota]:
-        """What may be used of each budget now, as far as is known now.
+        """Returns the quota of each budget, from the leases that are known now.
 
-        divisor: the number of dispatchers that may exist; more than are configured reduce each quota.
+        divisor: the number of dispatchers that may exist; if it exceeds the configured number, each quota is
+        reduced.
         """
         scale = min(1.0, self.configured_count / max(1, divisor)) / UNITS_PER_DISPATCHER
         return [budget.quota(now, scale) for budget in self.budgets]
 
     def next_update(self, now: int, divisor: int) -> QuotaUpdate | None:
-        """The quotas where they differ from those that were announced last."""
+        """Returns the quotas if they differ from those that were announced last, else None."""
         quotas = self.quotas(now, divisor)
         if quotas == self.announced:
             # Grants and returned units cancelled out, so the decider already has these quotas.
@@ -205,7 +210,7 @@
         return QuotaUpdate(self.update_number, quotas)
 
     def acknowledge(self, number: int) -> None:
-        """The decider uses the quotas of that update: messages that were deferred until it may leave."""
+        """Sends the messages that were deferred until the decider uses the quotas of this update."""
         self.acknowledged = max(self.acknowledged, number)
         ready = [message for message in self.deferred if message.after_update <= self.acknowledged]
         self.deferred = [message for message in self.deferred if message.after_update > self.acknowledged]
@@ -220,10 +225,10 @@
         lessors: Sequence[Incarnation],
         traffic_weight: float = 1.0,
     ) -> None:
-        """Releases, renews and requests leases as the demand for each budget wants it.
+        """Releases, renews and requests leases according to the demand for each budget.
 
-        uses: by budget; lessors: whom to request units from, the best first; traffic_weight: this
-        dispatcher's traffic over the mean of all.
+        uses: by budget; lessors: to request units from, in order of preference; traffic_weight: this
+        dispatcher's traffic divided by the mean of all.
         """
         for index, (budget, use) in enumerate(zip(self.budgets, uses, strict=True)):
             usable_units = budget.escrow.usable_units(now)
@@ -245,18 +250,18 @@
     def _renew_leases(self, now: int, index: int) -> None:
         escrow = self.budgets[index].escrow
         for number, lease in list(escrow.held.items()):
-            if lease.expires_at - now < RENEW_BELOW and escrow.renew(now, number):
+            if lease.expires_at - now < RENEWAL_THRESHOLD and escrow.renew(now, number):
                 self._send(lease.lessor, LeaseRequest(index, number, lease.units, now))
 
     def _request_new_leases(
         self, now: int, index: int, missing_units: int, lessors: Sequence[Incarnation]
     ) -> None:
         budget = self.budgets[index]
-        most_units = UNITS_PER_DISPATCHER - RESERVED_UNITS  # that one lessor may grant
+        max_lease_units = UNITS_PER_DISPATCHER - RESERVED_UNITS  # from one lessor
         units_by_lessor = budget.units_by_lessor()
-        able = [lessor for lessor in lessors if units_by_lessor.get(lessor, 0) < most_units]
-        for lessor in able[:MAX_PARALLEL_REQUESTS]:
-            units = min(missing_units, most_units - units_by_lessor.get(lessor, 0))
+        candidates = [lessor for lessor in lessors if units_by_lessor.get(lessor, 0) < max_lease_units]
+        for lessor in candidates[:MAX_PARALLEL_REQUESTS]:
+            units = min(missing_units, max_lease_units - units_by_lessor.get(lessor, 0))
             number = budget.escrow.request(now, lessor) if units > 0 else None
             if number is None:
                 break
@@ -265,7 +270,7 @@
             self._send(lessor, LeaseRequest(index, number, units, now))
 
     def release_all(self, now: int) -> None:
-        """Releases all held leases at shutdown; those that were granted expire by their terms."""
+        """Releases all held leases at shutdown; granted leases expire after their terms."""
         for index, budget in enumerate(self.budgets):
             for number, lease in list(budget.escrow.held.items()):
                 budget.escrow.release(now, number)
@@ -274,7 +279,7 @@
     # Messages
 
     def receive(self, now: int, sender: Incarnation, message: LeaseMessage) -> None:
-        """A message of another dispatcher; unknown budgets and leases are ignored."""
+        """Handles a message from another dispatcher; unknown budgets and leases are ignored."""
         if message.budget >= len(self.budgets):
             return
         match message:
@@ -291,14 +296,14 @@
         needed_units = int(budget.demand)
         is_renewal = (holder, request.number) in escrow.granted
         if is_renewal and escrow.own_usable_units(now) < needed_units:
-            return  # needed here: the lease expires with its term
+            return  # This dispatcher needs the units, so the lease is left to expire.
         units = escrow.grant(now, holder, request.number, request.units, needed_units)
         if not units:
             return
         after_update = self.update_number
         if not is_renewal:
             budget.granted_total += units
-            after_update += 1  # the next update is the first one without these units
+            after_update += 1  # The next update is the first one without these units.
         grant = LeaseGrant(request.budget, request.number, units, request.requested_at)
         self._defer(after_update, holder, grant)
 
@@ -311,7 +316,7 @@
             if not is_renewal:
                 budget.leased_total += grant.units
         elif not is_renewal and (number not in escrow.requests or escrow.requests[number].lessor == lessor):
-            # No longer wanted: released now, so that the lessor need not wait for the term.
+            # The units are no longer needed. Their release saves the lessor from waiting for the term.
             escrow.release(now, number)
             self._send(lessor, LeaseRelease(grant.budget, number))
         budget.expected.pop(number, None)
@@ -323,7 +328,7 @@
         self.deferred.append(DeferredMessage(after_update, Envelope(recipient, message)))
 
     def take_outbox(self) -> list[Envelope]:
-        """The messages to send, each returned once."""
+        """Returns the messages to send, and empties the outbox."""
         outbox = self.outbox
         self.outbox = []
         return outbox
--- a/wickvane/quotas/lease_messages.py
+++ b/wickvane/quotas/lease_messages.py
@@ -1,4 +1,4 @@
-"""What lessors and holders of leases send each other; on the wire, wickvane.quotas.wire encodes it."""
+"""Messages between lessors and holders of leases; wickvane.quotas.wire encodes them."""
 
 from typing import NamedTuple
 
@@ -6,8 +6,8 @@
 class LeaseRequest(NamedTuple):
     """A holder requests or renews a lease.
 
-    budget: its index; number: of the lease, by the holder's own counting; units: requested at most;
-    requested_at: the holder's clock, which the grant repeats.
+    budget: index of the budget; number: the lease's number, assigned by the holder; units: maximum to grant;
+    requested_at: time by the holder's clock, which the grant repeats.
     """
 
     budget: int
@@ -17,7 +17,7 @@
 
 
 class LeaseGrant(NamedTuple):
-    """A lessor grants or renews a lease; its term began at `requested_at` by the holder's clock."""
+    """A lessor grants or renews a lease; the term begins at `requested_at` by the holder's clock."""
 
     budget: int
     number: int
@@ -26,7 +26,7 @@
 
 
 class LeaseRelease(NamedTuple):
-    """A holder has stopped spending a lease, or does not take its grant."""
+    """A holder has stopped spending a lease, or declines its grant."""
 
     budget: int
     number: int
--- a/wickvane/quotas/membership_view.py
+++ b/wickvane/quotas/membership_view.py
@@ -1,5 +1,7 @@
-"""What the quotas use of cluster membership: all names of wickvane.cluster that this package needs are here,
-except for those that the extension and the command use to find the cluster. Free of I/O.
+"""Adapts cluster membership for the quotas. Free of I/O.
+
+Other modules of this package import nothing from wickvane.cluster, except for the type Member, and for what
+the extension and the command use to find the cluster.
 """
 
 from collections.abc import Iterable, Iterator
@@ -14,93 +16,93 @@
 
 
 class GossipTask(Protocol):
-    """What is carried by the cluster's datagrams."""
+    """A task whose payloads the cluster's datagrams carry."""
 
     next_at: int
 
     def run(self, now: int) -> None:
-        """Does what is due."""
+        """Runs the steps that are due."""
 
     def receive(self, now: int, sender: Incarnation, payload: bytes) -> None:
-        """Takes in the payload of a datagram."""
+        """Handles the payload of a datagram."""
 
     def status(self) -> dict[str, Any]:
-        """Figures for operators."""
+        """Returns figures for operators."""
 
 
 @lru_cache(1 << 14)
-def mark_of(incarnation: Incarnation) -> int:
-    """The 32 bits by which messages identify an incarnation."""
+def incarnation_hash(incarnation: Incarnation) -> int:
+    """Returns the 32-bit hash by which messages identify an incarnation."""
     return member_hash(*incarnation) & 0xFFFFFFFF
 
 
 class MembershipView:
-    """The members of the cluster as one of its nodes believes them, and the way to send to them."""
+    """One node's view of the members of the cluster; sends payloads to them."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
 
     def attach(self, task: GossipTask) -> None:
-        """Lets the node call a task in its rounds, and hand it what arrives for it."""
+        """Makes the node run a task in its rounds and pass received payloads to it."""
         self._node.delegate = _TaskDelegate(task)
 
     @property
     def now(self) -> int:
-        """The time of the node's latest round."""
+        """The time of the node's latest round, in ticks."""
         return self._node.now
 
     @property
     def own_incarnation(self) -> Incarnation:
-        """The incarnation of this dispatcher, which may take a later epoch."""
+        """The incarnation of this dispatcher; its epoch may increase while the process runs."""
         return self._node.table.local.id
 
     @property
     def max_members(self) -> int:
-        """How many incarnations the node knows at most."""
+        """The maximum number of incarnations that the node knows."""
         return self._node.table.capacity
 
     @property
     def configured_count(self) -> int:
-        """Dispatchers in the settings."""
+        """The number of dispatchers in the settings."""
         return self._node.configured
 
     def divisor(self) -> int:
-        """The number of dispatchers that may exist, at least the configured one."""
+        """Returns the number of dispatchers that may exist, which is at least the configured number."""
         return divisor(self._node.configured, self._node.table)
 
     def known_incarnations(self) -> Iterable[Incarnation]:
-        """All incarnations in the node's table."""
+        """Returns all incarnations in the node's table."""
         return self._node.table.members
 
     def present_incarnations(self) -> set[Incarnation]:
-        """Those that are alive, or suspected and not confirmed as failed."""
+        """Returns the incarnations that are alive, or suspected and not confirmed as failed."""
         return {member.id for member in self._node.table.living if member.state in VIEW_STATES}
 
     def random_delay(self, bound: int) -> int:
-        """A random time below a bound, so that members do not act in step."""
+        """Returns a random delay below a bound, so that members do not act at the same time."""
         return self._node.random.randrange(bound)
 
     def random_members(self, count: int) -> list[Member]:
-        """Up to `count` random other members, for send()."""
+        """Returns up to `count` random other members, for send()."""
         return self._node.detector.sample_members(count)
 
     def random_alive(self, count: int) -> list[Incarnation]:
-        """Of up to `count` random other members, those that are alive."""
+        """Returns those of up to `count` random other members that are alive."""
         return [member.id for member in self.random_members(count) if member.state == ALIVE]
 
     def send(self, member: Member, payload: bytes) -> None:
-        """Sends to a member: may be lost, is delivered once at most."""
+        """Sends a payload to a member; it may be lost, and is delivered at most once."""
         self._node.send_payload(member, payload)
 
     def send_to(self, incarnation: Incarnation, payload: bytes) -> None:
-        """Sends to an incarnation; nothing where the node does not know it."""
+        """Sends a payload to an incarnation; does nothing if the node does not know it."""
         member = self._node.table.members.get(incarnation)
         if member is not None:
             self._node.send_payload(member, payload)
 
     @contextmanager
     def final_round(self, now: int, writer: Any) -> Iterator[None]:
-        """A last round of the node, after which more can be sent until the block ends."""
+        """Runs a last round of the node, after which payloads can be sent until the block ends."""
         self._node.run_round(now, [], writer)
         self._node.sender.begin(now, writer)
         yield
@@ -108,14 +110,14 @@
 
 
 class _TaskDelegate:
-    """A GossipTask as a delegate of the cluster's node."""
+    """Adapts a GossipTask to the delegate interface of the cluster's node."""
 
     def __init__(self, task: GossipTask) -> None:
         self._task = task
 
     @property
     def next_at(self) -> int:
-        """When the task wants to run."""
+        """The time at which the task is due."""
         return self._task.next_at
 
     def run_round(self, now: int) -> None:
@@ -123,9 +125,9 @@
         self._task.run(now)
 
     def receive_payload(self, now: int, sender: Member, payload: bytes) -> None:
-        """Hands a payload to the task."""
+        """Passes a payload to the task."""
         self._task.receive(now, sender.id, payload)
 
     def status(self) -> dict[str, Any]:
-        """The task's figures."""
+        """Returns the task's figures for operators."""
         return self._task.status()
--- a/wickvane/quotas/status.py
+++ b/wickvane/quotas/status.py
@@ -1,4 +1,4 @@
-"""The figures that operators see in the status file, by the names that are documented for them."""
+"""The figures in the status file for operators, under their documented names."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
     return ticks // TICKS_PER_MILLISECOND
 
 
-def status_of(gossip: QuotaGossip, now: int) -> dict[str, Any]:
-    """All figures of one dispatcher; ages and terms in milliseconds, budgets in units."""
+def gossip_status(gossip: QuotaGossip, now: int) -> dict[str, Any]:
+    """Returns all figures of one dispatcher; ages and terms are in milliseconds, budgets in units."""
     counters = gossip.counters
     in_flight = gossip.in_flight(now)
     budgets = gossip.broker.budgets if gossip.broker else []
     return {
         "lives": len(counters.by_incarnation),
-        "counted": in_flight.counted,
-        "left_out": in_flight.left_out,
+        "counted": in_flight.included,
+        "left_out": in_flight.excluded,
         "age_ms": _milliseconds(in_flight.mean_age),
         "oldest_ms": _milliseconds(in_flight.oldest_age),
         "held_by_others": dict(sorted(in_flight.threads_by_engine.items())),
@@ -42,12 +42,12 @@
 
 
 def _judgement_status(gossip: QuotaGossip) -> dict[str, Any]:
-    verdicts, pool_slowdown, spared = gossip.judgement
+    verdicts, pool_slowdown, exempted = gossip.judgement
     return {
         "of": len(gossip.engine_reports.entries),
         "pool_slow": pool_slowdown and round(pool_slowdown, 2),
         "doubted": sorted(engine for engine, verdict in verdicts.items() if verdict.faulty),
-        "spared": sorted(spared),
+        "spared": sorted(exempted),
         "slow": {
             engine: round(verdict.slowdown, 2)
             for engine, verdict in sorted(verdicts.items())
--- a/wickvane/quotas/usage.py
+++ b/wickvane/quotas/usage.py
@@ -1,8 +1,8 @@
-"""Work that was requested from each dispatcher, and that it did for each tenant. Free of I/O.
+"""Exchanges the work requested from each dispatcher, and the work that it did for each tenant. Free of I/O.
 
-Each incarnation publishes the work that it has done for its busiest tenants since it started. Those totals
-only grow, so lost, late or duplicated updates do not matter in the end: the growth since the last update is
-charged here. What a tenant's first update contains is of unknown age, so nothing of it is charged.
+Each incarnation publishes its total work for its busiest tenants since it started. The totals only grow, and
+tenants are charged for their growth since the last update, so lost, late or duplicated updates have no
+lasting effect. The work in a tenant's first update has an unknown age, so it is not charged.
 """
 
 from collections.abc import Collection
@@ -10,11 +10,11 @@
 from wickvane.quotas.gossip_register import GossipRegisters, Row
 from wickvane.quotas.incarnation import Incarnation
 
-MAX_PUBLISHED_TENANTS = 8  # of one entry: those with most work since the last one
-REQUESTED_WORK_KEY = "/"  # in place of a tenant: all work that was requested
-RATE_SMOOTHING = 0.1  # weight of the latest sample of the request rates, which are taken each half second
-MAX_TENANTS = 4096  # of one incarnation
-MIN_MEAN_RATE = 1e-6
+MAX_PUBLISHED_TENANTS = 8  # in one entry: those with the most work since the previous entry
+REQUESTED_WORK_KEY = "/"  # instead of a tenant's name: all requested work
+RATE_SMOOTHING = 0.1  # weight of the latest sample of the request rates; there is a sample each half second
+MAX_TENANTS = 4096  # per incarnation
+MIN_MEAN_RATE = 1e-6  # at lower rates, the traffic weight is unknown
 
 
 class TenantUsage(GossipRegisters):
@@ -23,16 +23,16 @@
     def __init__(self, max_incarnations: int = 4096) -> None:
         super().__init__(max_incarnations)
         self.work_by_incarnation: dict[Incarnation, dict[str, int]] = {}
-        self.new_work: dict[str, int] = {}  # by tenant: not taken yet
+        self.new_work: dict[str, int] = {}  # by tenant: not yet returned by take_new_work()
         self.published_work: dict[str, int] = {}
         self.requested_before: int | None = None
-        self.own_rate = 0.0  # requested work a sample
-        self.mean_rate = 0.0  # the same of all dispatchers
+        self.own_rate = 0.0  # requested work per sample
+        self.mean_rate = 0.0  # mean requested work per sample of all dispatchers
 
     def publish(
         self, own: Incarnation, timestamp: int, work_by_tenant: dict[str, int], requested_work: int
     ) -> None:
-        """This incarnation's work in total, by tenant and as requested."""
+        """Stores this incarnation's entry from its total work by tenant and its total requested work."""
         most_growth_first = sorted(
             work_by_tenant,
             key=lambda tenant: (self.published_work.get(tenant, 0) - work_by_tenant[tenant], tenant),
@@ -43,7 +43,7 @@
         self.store(own, timestamp, [(REQUESTED_WORK_KEY, requested_work), *rows])
 
     def merge(self, incarnation: Incarnation, timestamp: int, rows: list[Row]) -> None:
-        """Another incarnation's entry."""
+        """Merges the entry of another incarnation."""
         known = self.work_by_incarnation.get(incarnation)
         if known is None and len(self.work_by_incarnation) >= self.max_incarnations:
             return
@@ -65,9 +65,9 @@
             del self.work_by_incarnation[incarnation]
 
     def take_new_work(self, requested_work: int) -> dict[str, int]:
-        """By tenant, the work of other dispatchers since the last call.
+        """Returns other dispatchers' work by tenant since the last call, and updates the request rates.
 
-        requested_work: from this dispatcher, in total; the request rates follow from it.
+        requested_work: total work requested from this dispatcher.
         """
         new_work = self.new_work
         self.new_work = {}
@@ -81,6 +81,6 @@
         return new_work
 
     def traffic_weight(self) -> float:
-        """This dispatcher's request rate over the mean of all; 1 where that is not known."""
+        """Returns this dispatcher's request rate divided by the mean of all, or 1 if that is unknown."""
         known = self.mean_rate > MIN_MEAN_RATE and self.work_by_incarnation
         return self.own_rate / self.mean_rate if known else 1.0
--- a/wickvane/quotas/wire.py
+++ b/wickvane/quotas/wire.py
@@ -1,7 +1,7 @@
-"""The quotas' messages in MessagePack, which the datagrams of the cluster carry. A message is decoded as a
-whole and with all types and bounds checked, or not at all.
+"""Encodes and decodes the quotas' messages in MessagePack, which the datagrams of the cluster carry.
 
-Dispatchers' incarnations are identified by marks: 32 bits of a hash, which all members of the cluster know.
+A message is decoded only if all its types and bounds are valid. Messages identify a dispatcher's incarnation
+by a 32-bit hash, which every member of the cluster can compute.
 """
 
 from enum import IntEnum
@@ -21,13 +21,13 @@
 Threads = Annotated[int, msgspec.Meta(ge=0, le=1 << 20)]
 Tenths = Annotated[int, msgspec.Meta(ge=0, le=10_000)]
 Units = Annotated[int, msgspec.Meta(ge=0, le=4096)]
-Mark = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
+IncarnationHash = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
 
 
 class EngineReport(NamedTuple):
-    """What one dispatcher's own attempts on an engine found, in tenths.
+    """The outcome of one dispatcher's own attempts on an engine, in tenths.
 
-    attempts, failures: recent counts; slowdown: the time that answers took over the expected time.
+    attempts, failures: recent counts; slowdown: time that answers took, divided by the expected time.
     """
 
     engine: Name
@@ -37,7 +37,7 @@
 
 
 class LeaseKind(IntEnum):
-    """The kinds of lease messages, as they are on the wire."""
+    """The kinds of lease messages, with their codes on the wire."""
 
     REQUEST = 0
     GRANT = 1
@@ -45,7 +45,7 @@
 
 
 class LeaseEntry(NamedTuple):
-    """A lease message as it is on the wire; of a release, units and requested_at are 0."""
+    """A lease message in its wire format; units and requested_at are 0 in a release."""
 
     kind: LeaseKind
     budget: Annotated[int, msgspec.Meta(ge=0, le=7)]
@@ -54,22 +54,24 @@
     requested_at: Count
 
 
-# Entries that a datagram has dozens of are plain tuples, since each is unpacked where it is used.
-# mark, timestamp of that dispatcher's clock, and (engine, threads in flight)
-LevelsEntry = tuple[Mark, Count, Annotated[list[tuple[Name, Threads]], msgspec.Meta(max_length=200)]]
-# mark, and one counter of that dispatcher, which only grows
-CounterEntry = tuple[Mark, Key, Count]
-# mark, timestamp of that dispatcher's clock, and its reports
-ReportsEntry = tuple[Mark, Count, Annotated[list[EngineReport], msgspec.Meta(max_length=64)]]
-# mark, timestamp, and (tenant, work in milliseconds of a thread since the dispatcher started)
-UsageEntry = tuple[Mark, Count, Annotated[list[tuple[Name, Count]], msgspec.Meta(max_length=16)]]
+# Entries that occur dozens of times in a datagram are plain tuples, since each is unpacked when it is used.
+# Hash of the incarnation, timestamp by its clock, and (engine, threads in flight).
+GaugesEntry = tuple[
+    IncarnationHash, Count, Annotated[list[tuple[Name, Threads]], msgspec.Meta(max_length=200)]
+]
+# Hash of the incarnation, and key and value of one of its counters, which only grows.
+CounterEntry = tuple[IncarnationHash, Key, Count]
+# Hash of the incarnation, timestamp by its clock, and its reports.
+ReportsEntry = tuple[IncarnationHash, Count, Annotated[list[EngineReport], msgspec.Meta(max_length=64)]]
+# Hash of the incarnation, timestamp by its clock, and (tenant, work in thread-milliseconds since its start).
+UsageEntry = tuple[IncarnationHash, Count, Annotated[list[tuple[Name, Count]], msgspec.Meta(max_length=16)]]
 
 
 class GossipMessage(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """One datagram's payload. Lease messages are for its receiver alone; all else may be relayed."""
+    """The payload of one datagram. Lease messages are for its recipient only; the rest may be relayed."""
 
     version: Annotated[int, msgspec.Meta(ge=VERSION, le=VERSION)] = VERSION
-    levels: Annotated[list[LevelsEntry], msgspec.Meta(max_length=64)] = []
+    gauges: Annotated[list[GaugesEntry], msgspec.Meta(max_length=64)] = []
     counters: Annotated[list[CounterEntry], msgspec.Meta(max_length=128)] = []
     leases: Annotated[list[LeaseEntry], msgspec.Meta(max_length=MAX_LEASE_MESSAGES)] = []
     engine_reports: Annotated[list[ReportsEntry], msgspec.Meta(max_length=64)] = []
@@ -81,12 +83,12 @@
 
 
 def encode(message: GossipMessage) -> bytes:
-    """The payload of a message."""
+    """Returns the payload of a message."""
     return _ENCODER.encode(message)
 
 
 def decode(payload: bytes) -> GossipMessage | None:
-    """The message of a payload, or None where it is invalid or of another version."""
+    """Returns the message of a payload, or None if it is invalid or has another version."""
     try:
         return _DECODER.decode(payload)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
@@ -94,7 +96,7 @@
 
 
 def lease_entry(message: LeaseMessage) -> LeaseEntry:
-    """A lease message as it is on the wire."""
+    """Returns the wire entry of a lease message."""
     match message:
         case LeaseRequest():
             return LeaseEntry(LeaseKind.REQUEST, *message)
@@ -105,7 +107,7 @@
 
 
 def lease_message(entry: LeaseEntry) -> LeaseMessage:
-    """The lease message of an entry that was decoded."""
+    """Returns the lease message of a decoded entry."""
     kind, budget, number, units, requested_at = entry
     if kind == LeaseKind.REQUEST:
         return LeaseRequest(budget, number, units, requested_at)
@@ -120,17 +122,17 @@
     return 1 + octets + (1 if octets < 32 else 2)
 
 
-def row_size(name: str, *figures: int) -> int:
-    """Octets of an encoded row of a name and whole figures."""
+def row_size(name: str, *values: int) -> int:
+    """Returns the size in octets of an encoded row of a name and integers."""
     size = _name_size(name)
-    for figure in figures:
-        if figure < 1 << 7:
+    for value in values:
+        if value < 1 << 7:
             size += 1
-        elif figure < 1 << 8:
+        elif value < 1 << 8:
             size += 2
-        elif figure < 1 << 16:
+        elif value < 1 << 16:
             size += 3
-        elif figure < 1 << 32:
+        elif value < 1 << 32:
             size += 5
         else:
             size += 9
--- a/wickvane/rehearsal/shared.py
+++ b/wickvane/rehearsal/shared.py
@@ -100,7 +100,7 @@
         return what in self.world.heeds and not self.host.killed
 
     def update_in_flight(self, in_flight):
-        if in_flight.counted and self.heeds("others"):
+        if in_flight.included and self.heeds("others"):
             totals = in_flight.threads_by_engine
             for e, process in self.host.engines.items():
                 self.tell(InFlightElsewhere(e, totals.get(process.name, 0), in_flight.mean_age))
