--- a/tests/quotas/__init__.py
+++ b/tests/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of leased quotas and shared counts."""
+"""Tests of leased quotas, shared counters and verdicts on engines."""
--- a/tests/quotas/test_counters.py
+++ b/tests/quotas/test_counters.py
@@ -1,4 +1,4 @@
-"""Counters and levels that dispatchers share: merged in any order to the same, of known age, bounded."""
+"""Shared counters and gauges: merging does not depend on order, ages are known, sizes are bounded."""
 
 from random import Random
 from typing import NamedTuple
@@ -16,7 +16,7 @@
 INCARNATIONS = [("a", 1), ("a", 2), ("b", 1)]
 
 
-class CounterWord(NamedTuple):
+class PublishedCounter(NamedTuple):
     """A counter that another incarnation publishes."""
 
     incarnation: Incarnation
@@ -24,84 +24,92 @@
     value: int
 
 
-class LevelsWord(NamedTuple):
-    """The time at which another incarnation publishes its levels."""
+class PublishedGauges(NamedTuple):
+    """The time at which another incarnation publishes its gauges."""
 
     incarnation: Incarnation
     timestamp: int
 
 
-counter_words = st.builds(
-    CounterWord, st.sampled_from(INCARNATIONS), st.sampled_from(["x", "y"]), st.integers(1, 20)
+published_counters = st.builds(
+    PublishedCounter, st.sampled_from(INCARNATIONS), st.sampled_from(["x", "y"]), st.integers(1, 20)
 )
-levels_words = st.builds(LevelsWord, st.sampled_from(INCARNATIONS), st.integers(0, 50))
+published_gauges = st.builds(PublishedGauges, st.sampled_from(INCARNATIONS), st.integers(0, 50))
 
 
-def merge(counters: FleetCounters, now: int, word: CounterWord | LevelsWord) -> None:
-    """An update arrives."""
-    if isinstance(word, CounterWord):
-        counters.merge_counter(now, *word)
+def merge(counters: FleetCounters, now: int, update: PublishedCounter | PublishedGauges) -> None:
+    """Merges an update that has arrived."""
+    if isinstance(update, PublishedCounter):
+        counters.merge_counter(now, *update)
         return
-    # One timestamp has one content: an incarnation publishes each once.
-    (name, _), timestamp = word
+    # An incarnation uses each timestamp once, so the gauges are derived from its name and the timestamp.
+    (name, _), timestamp = update
     gauges = {engine: (len(name) + timestamp) % 6 for engine in ("e1", "e2")}
-    counters.merge_gauges(now, word.incarnation, timestamp, gauges)
+    counters.merge_gauges(now, update.incarnation, timestamp, gauges)
 
 
 @settings(max_examples=300, deadline=None)
-@given(st.lists(counter_words | levels_words, max_size=30), st.randoms(use_true_random=False))
-def test_updates_in_any_order_and_any_number_of_times_come_to_the_same(words, chance):
-    one, other = FleetCounters(0, OWN), FleetCounters(0, OWN)
-    shuffled = words + chance.choices(words, k=len(words)) if words else []
-    chance.shuffle(shuffled)
-    for counters, order in ((one, words), (other, shuffled)):
-        for word in order:
-            merge(counters, 100, word)
-    assert one.totals() == other.totals()
-    assert {x: (v.counters, v.gauges, v.timestamp) for x, v in one.by_incarnation.items()} == {
-        x: (v.counters, v.gauges, v.timestamp) for x, v in other.by_incarnation.items()
+@given(st.lists(published_counters | published_gauges, max_size=30), st.randoms(use_true_random=False))
+def test_updates_merge_to_the_same_state_in_any_order_and_number(updates, random):
+    first, second = FleetCounters(0, OWN), FleetCounters(0, OWN)
+    shuffled = updates + random.choices(updates, k=len(updates)) if updates else []
+    random.shuffle(shuffled)
+    for counters, order in ((first, updates), (second, shuffled)):
+        for update in order:
+            merge(counters, 100, update)
+    assert first.totals() == second.totals()
+    assert {
+        incarnation: (record.counters, record.gauges, record.timestamp)
+        for incarnation, record in first.by_incarnation.items()
+    } == {
+        incarnation: (record.counters, record.gauges, record.timestamp)
+        for incarnation, record in second.by_incarnation.items()
     }
-    # And to what the updates alone say: of each key the highest.
+    # The total is the sum of the highest values of each incarnation and key.
     highest = {}
-    for word in words:
-        if isinstance(word, CounterWord):
-            highest[word[:2]] = max(highest.get(word[:2], 0), word.value)
+    for update in updates:
+        if isinstance(update, PublishedCounter):
+            highest[update[:2]] = max(highest.get(update[:2], 0), update.value)
     for key in ("x", "y"):
-        assert one.total(key) == sum(n for (_, k), n in highest.items() if k == key)
+        assert first.total(key) == sum(n for (_, k), n in highest.items() if k == key)
 
 
-def test_an_incarnation_long_missing_is_folded_once_and_a_late_update_of_it_is_rejected():
+def test_a_missing_incarnation_is_folded_once_and_its_late_updates_are_rejected():
     counters = FleetCounters(0, OWN)
     counters.increment("x", 3)
     counters.merge_counter(1, ("a", 1), "x", 5)
     counters.merge_gauges(1, ("a", 1), 1, {"e1": 4})
     assert counters.in_flight(2, TICKS_PER_SECOND).threads_by_engine == {"e1": 4}
     counters.update_membership(2, set())
-    # Nothing in flight, and still counted.
+    # The gauges no longer count, but the counters do.
     assert counters.in_flight(2, TICKS_PER_SECOND).threads_by_engine == {} and counters.total("x") == 8
     counters.update_membership(2 + FOLD_AFTER, set())
     assert ("a", 1) not in counters.by_incarnation and counters.total("x") == 8
     assert not counters.merge_counter(3 + FOLD_AFTER, ("a", 1), "x", 9) and counters.total("x") == 8
     assert counters.rejected["folded"] == 1
-    counters.merge_counter(4 + FOLD_AFTER, ("a", 2), "x", 1)  # its next incarnation counts for itself
+    # The next incarnation has counters of its own.
+    counters.merge_counter(4 + FOLD_AFTER, ("a", 2), "x", 1)
     assert counters.total("x") == 9
 
 
-def test_a_late_update_is_as_old_as_it_is_whatever_clock_stamped_it():
+def test_the_age_of_a_late_update_does_not_depend_on_the_clock_of_its_writer():
     counters = FleetCounters(0, OWN)
-    apart = 77 * TICKS_PER_SECOND  # the other's clock against this one
-    counters.merge_gauges(10, ("a", 1), 5 + apart, {"e1": 1})
+    clock_difference = 77 * TICKS_PER_SECOND  # the other clock minus this one
+    counters.merge_gauges(10, ("a", 1), 5 + clock_difference, {"e1": 1})
     assert counters.age(10, ("a", 1)) == 0
     assert counters.age(10 + TICKS_PER_SECOND, ("a", 1)) == TICKS_PER_SECOND
-    counters.merge_gauges(40 * TICKS_PER_SECOND, ("a", 1), 10 * TICKS_PER_SECOND + apart, {"e1": 2})
+    counters.merge_gauges(
+        40 * TICKS_PER_SECOND, ("a", 1), 10 * TICKS_PER_SECOND + clock_difference, {"e1": 2}
+    )
     assert 29 * TICKS_PER_SECOND < counters.age(40 * TICKS_PER_SECOND, ("a", 1)) <= 30 * TICKS_PER_SECOND
     assert counters.in_flight(40 * TICKS_PER_SECOND, 2 * TICKS_PER_SECOND) == ({}, 0, 0, 0, 1)
+    # This timestamp is older than the known one.
     assert not counters.merge_gauges(
-        41 * TICKS_PER_SECOND, ("a", 1), 9 * TICKS_PER_SECOND + apart, {"e1": 3}
-    )  # older than what is known
+        41 * TICKS_PER_SECOND, ("a", 1), 9 * TICKS_PER_SECOND + clock_difference, {"e1": 3}
+    )
 
 
-def test_tables_are_bounded_and_what_does_not_fit_is_counted():
+def test_tables_are_bounded_and_rejected_entries_are_counted():
     counters = FleetCounters(0, OWN, max_incarnations=3, max_keys=2)
     for n in range(5):
         counters.merge_counter(1, (f"p{n}", 1), "x", 1)
@@ -114,7 +122,7 @@
 
 @settings(max_examples=100, deadline=None)
 @given(st.randoms(use_true_random=False))
-def test_a_page_fits_its_room_and_is_decoded_as_it_was(chance: Random):
+def test_a_page_fits_its_maximum_size_and_is_decoded_to_the_same_values(random: Random):
     counters = FleetCounters(0, OWN)
     for n in range(60):
         incarnation = (f"n{n}", 1)
@@ -122,10 +130,10 @@
             1 << 50,
             incarnation,
             (1 << 50) - n,
-            {"e" * chance.randrange(1, 65): chance.randrange(1 << 20) for _ in range(chance.randrange(12))},
+            {"e" * random.randrange(1, 65): random.randrange(1 << 20) for _ in range(random.randrange(12))},
         )
-        key = "k" * chance.randrange(1, 120)
-        counters.merge_counter(1, incarnation, key, chance.randrange(1, 1 << 40))
+        key = "k" * random.randrange(1, 120)
+        counters.merge_counter(1, incarnation, key, random.randrange(1, 1 << 40))
     for _ in range(20):
         gauges, values = [
             [(0xFFFFFFFF, *rest) for _, *rest in part] for part in counters.next_page(MAX_PAGE_OCTETS)
--- a/tests/quotas/test_decision_observer.py
+++ b/tests/quotas/test_decision_observer.py
@@ -1,4 +1,4 @@
-"""What a dispatcher counts of its own queries for others, and what their news does to its decider."""
+"""A decider's observer counts its queries for other dispatchers, and turns their reports into events."""
 
 import pytest
 from bench_free import SETTINGS, statement
@@ -23,7 +23,7 @@
 READER = Reader(IdRegistry(SETTINGS))
 
 
-class StillClock:
+class FixedClock:
     """A clock that does not advance."""
 
     def now(self) -> int:
@@ -31,7 +31,7 @@
 
 
 class Recorder:
-    """Log and counters that keep what they are given."""
+    """A log and counters that record log lines."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict]] = []
@@ -45,17 +45,17 @@
 
 @pytest.fixture
 def decider() -> Decider:
-    clock, recorder = StillClock(), Recorder()
+    clock, recorder = FixedClock(), Recorder()
     exchange = Exchange(clock, recorder)
-    made = Decider(exchange, IdRegistry(SETTINGS), 1, clock, recorder, recorder)
+    decider = Decider(exchange, IdRegistry(SETTINGS), 1, clock, recorder, recorder)
     # The cluster's clock is 500 ticks behind the decider's.
-    made.observer = DecisionObserver(made.scheduler, made.registry, 500)
-    made.round([("listed", True, [ENGINE])])
-    return made
+    decider.observer = DecisionObserver(decider.scheduler, decider.registry, 500)
+    decider.round([("listed", True, [ENGINE])])
+    return decider
 
 
 def accept(decider: Decider, n: int) -> PendingQuery:
-    """A query that the decider takes in and sends to the only engine."""
+    """Submits a query, which the decider accepts and sends to the only engine; returns it."""
     pending = PendingQuery(NOW, **READER.read(statement(n=n).encode()))
     decider.exchange.submit(pending)
     decider.round(decider.exchange.inbox.take(0))
@@ -63,12 +63,12 @@
 
 
 def snapshot(decider: Decider) -> DispatcherSnapshot:
-    """What the cluster's thread takes after a round."""
+    """Returns the snapshot that the cluster's thread takes after a round."""
     decider.observer.round_finished(decider.now)
     return decider.observer.buffer.take(NOW)
 
 
-def test_a_query_is_counted_when_it_is_taken_sent_and_finished(decider):
+def test_a_query_is_counted_when_it_is_accepted_sent_and_finished(decider):
     pending = accept(decider, 1)
     group = decider.registry.group_names[pending.resource_group]
     tenant = decider.observer.tenant_names[pending.tenant]
@@ -84,14 +84,14 @@
     assert ended.ready_engines == ["e"]
 
 
-def test_an_attempt_that_fails_is_evidence_against_its_engine(decider):
+def test_a_failed_attempt_is_evidence_against_its_engine(decider):
     pending = accept(decider, 1)
     snapshot(decider)
     decider.round([("ended", pending.attempt, Ending.RESET, 700, True)])
     assert snapshot(decider).outcomes == [("e", 1, None)]
 
 
-def test_a_query_that_is_rejected_or_fails_is_counted(decider):
+def test_rejected_and_failed_queries_are_counted(decider):
     pending = accept(decider, 1)
     group = decider.registry.group_names[pending.resource_group]
     tenant = decider.observer.tenant_names[pending.tenant]
@@ -104,7 +104,7 @@
     }
 
 
-def test_a_quota_is_in_effect_from_the_round_that_takes_it_in(decider):
+def test_a_quota_takes_effect_in_the_round_that_receives_it(decider):
     assert snapshot(decider).acknowledged_update == 0
     update = QuotaUpdate(3, [Quota(0.5, NOW + 1_000, 0.25), Quota(2.0, None, 1.0)])
     decider.exchange.inbox.put((OBSERVED, update), always=True)
@@ -113,7 +113,7 @@
     assert list(decider.observer.fleet.leases.values()) == [(0.5, NOW + 1_500, 0.25), (2.0, FOREVER, 1.0)]
 
 
-def test_news_of_others_become_events_as_old_as_they_are(decider):
+def test_reports_of_other_dispatchers_become_events_with_their_age(decider):
     observer = decider.observer
     engine = decider.registry.engines.index_of["e"]
     in_flight = InFlightReport({"e": 5, "unlisted": 7}, 30, NOW - 20)
--- a/tests/quotas/test_engine_reports.py
+++ b/tests/quotas/test_engine_reports.py
@@ -1,4 +1,4 @@
-"""Reports of engines: evidence decays, tables are bounded, the latest report of an incarnation counts."""
+"""Reports on engines: evidence decays, tables are bounded, the latest report of an incarnation counts."""
 
 from wickvane.quotas import wire
 from wickvane.quotas.engine_judgement import HEALTHY_RATIO
@@ -13,7 +13,7 @@
 
 
 def reports_of(*failing: str) -> list[EngineReport]:
-    """One dispatcher's reports of eight engines."""
+    """Returns one dispatcher's reports on eight engines."""
     engines = [f"e{n}" for n in range(8)]
     return [EngineReport(engine, 20, 20 if engine in failing else 0, 10) for engine in engines]
 
@@ -26,7 +26,7 @@
     reports = {report.engine: report for report in evidence.reports(1000)}
     assert reports["e2"].failures == reports["e2"].attempts and reports["e1"].failures == 0
     assert 17 <= reports["e1"].slowdown <= 20
-    # A success weighs at once when the failures are old.
+    # A success makes the engine healthy at once if the failures are old.
     evidence.record(1000 + EVIDENCE_DECAY, "e2", 0, 1.0)
     reports = {report.engine: report for report in evidence.reports(1000 + EVIDENCE_DECAY)}
     assert reports["e2"].failures <= HEALTHY_RATIO * reports["e2"].attempts
@@ -45,7 +45,7 @@
         entries = [(1 << 31, t + (1 << 60), reports) for _, t, reports in updates]
         data = wire.encode(wire.GossipMessage(engine_reports=entries))
         assert len(data) <= 300 - free_octets + 16
-    assert received.next_page(300).updates == []  # relayed often enough
+    assert received.next_page(300).updates == []  # All entries were relayed MAX_ENTRY_RELAYS times.
 
 
 def test_the_latest_report_of_an_incarnation_counts_until_it_expires():
