--- a/wickvane/quotas/fleet_decisions.py
+++ b/wickvane/quotas/fleet_decisions.py
@@ -45,8 +45,8 @@
 class Need(NamedTuple):
     """The use of one budget.
 
-    used: the fraction of the configured quota that is in use; insufficient: whether the quota limited
-    decisions.
+    used: the fraction of the configured quota that is in use; insufficient: whether more would be used if the
+    quota allowed it.
     """
 
     used: float
--- a/wickvane/quotas/lease_broker.py
+++ b/wickvane/quotas/lease_broker.py
@@ -50,8 +50,8 @@
 class BudgetUse(NamedTuple):
     """The decider's use of a budget.
 
-    used: the fraction of the configured quota that is in use; insufficient: whether the quota limited
-    decisions.
+    used: the fraction of the configured quota that is in use; insufficient: whether more would be used if the
+    quota allowed it.
     """
 
     used: float
@@ -143,7 +143,7 @@
         self.demand = min(MAX_DEMAND_UNITS, demand)
 
     def quota(self, now: int, scale: float) -> Quota:
-        """What may be used now, and from the earliest expiry of a lease on."""
+        """Returns the quota that is valid now, and the one from the earliest expiry of a held lease on."""
         usable = self.escrow.usable_units(now)
         own = self.escrow.own_usable_units(now)
         expiries = [lease.expires_at for lease in self.escrow.held.values() if lease.usable_from <= now]
@@ -210,7 +210,7 @@
         return QuotaUpdate(self.update_number, quotas)
 
     def acknowledge(self, number: int) -> None:
-        """Sends the messages that were deferred until the decider uses the quotas of this update."""
+        """Moves the messages to the outbox that were deferred until the decider uses this update."""
         self.acknowledged = max(self.acknowledged, number)
         ready = [message for message in self.deferred if message.after_update <= self.acknowledged]
         self.deferred = [message for message in self.deferred if message.after_update > self.acknowledged]
--- a/wickvane/quotas/snapshot.py
+++ b/wickvane/quotas/snapshot.py
@@ -10,7 +10,7 @@
 
 # Time without a query after which a dispatcher is idle: the load of others then affects no decision.
 IDLE_AFTER = TICKS_PER_SECOND
-USE_TTL = TICKS_PER_SECOND  # age at which the use of budgets expires, so that they count as unused
+USE_TTL = TICKS_PER_SECOND  # age at which recorded budget uses expire and count as NO_USE
 MAX_OUTCOMES = 1024  # buffered for the next snapshot
 NO_USE = (BudgetUse(0.0, False),) * 2
 
@@ -32,8 +32,8 @@
 
     threads_by_engine: threads in flight; increments: of counters, since the last snapshot; work_by_tenant:
     finished work; requested_work: work of accepted queries; both are totals in milliseconds; budget_uses: by
-    budget; outcomes: of attempts, since the last snapshot; acknowledged_update: number of the quota update
-    that decisions use.
+    budget; outcomes: of attempts, since the last snapshot; ready_engines: those to which queries may be sent;
+    acknowledged_update: number of the quota update that decisions use.
     """
 
     threads_by_engine: dict[str, int] = field(default_factory=dict)
--- a/wickvane/quotas/usage.py
+++ b/wickvane/quotas/usage.py
@@ -25,7 +25,7 @@
         self.work_by_incarnation: dict[Incarnation, dict[str, int]] = {}
         self.new_work: dict[str, int] = {}  # by tenant: not yet returned by take_new_work()
         self.published_work: dict[str, int] = {}
-        self.requested_before: int | None = None
+        self.previous_requested_work: int | None = None
         self.own_rate = 0.0  # requested work per sample
         self.mean_rate = 0.0  # mean requested work per sample of all dispatchers
 
@@ -44,19 +44,19 @@
 
     def merge(self, incarnation: Incarnation, timestamp: int, rows: list[Row]) -> None:
         """Merges the entry of another incarnation."""
-        known = self.work_by_incarnation.get(incarnation)
-        if known is None and len(self.work_by_incarnation) >= self.max_incarnations:
+        known_work = self.work_by_incarnation.get(incarnation)
+        if known_work is None and len(self.work_by_incarnation) >= self.max_incarnations:
             return
         if not self.store(incarnation, timestamp, rows):
             return
-        known = self.work_by_incarnation.setdefault(incarnation, {})
+        known_work = self.work_by_incarnation.setdefault(incarnation, {})
         for tenant, work in rows:
-            if tenant not in known and len(known) >= MAX_TENANTS:
+            if tenant not in known_work and len(known_work) >= MAX_TENANTS:
                 continue
-            growth = work - known.get(tenant, work)
+            growth = work - known_work.get(tenant, work)
             if growth > 0:
                 self.new_work[tenant] = self.new_work.get(tenant, 0) + growth
-            known[tenant] = max(work, known.get(tenant, 0))
+            known_work[tenant] = max(work, known_work.get(tenant, 0))
 
     def retain(self, present: Collection[Incarnation]) -> None:
         """Drops the work of all other incarnations."""
@@ -71,9 +71,11 @@
         """
         new_work = self.new_work
         self.new_work = {}
-        before = requested_work if self.requested_before is None else self.requested_before
-        own_growth = requested_work - before
-        self.requested_before = requested_work
+        previous_work = (
+            requested_work if self.previous_requested_work is None else self.previous_requested_work
+        )
+        own_growth = requested_work - previous_work
+        self.previous_requested_work = requested_work
         dispatchers = 1 + len(self.work_by_incarnation)
         mean_growth = (own_growth + new_work.pop(REQUESTED_WORK_KEY, 0)) / dispatchers
         self.own_rate += (own_growth - self.own_rate) * RATE_SMOOTHING
@@ -82,5 +84,5 @@
 
     def traffic_weight(self) -> float:
         """Returns this dispatcher's request rate divided by the mean of all, or 1 if that is unknown."""
-        known = self.mean_rate > MIN_MEAN_RATE and self.work_by_incarnation
-        return self.own_rate / self.mean_rate if known else 1.0
+        is_known = self.mean_rate > MIN_MEAN_RATE and self.work_by_incarnation
+        return self.own_rate / self.mean_rate if is_known else 1.0
