--- a/tests/config_log/lease_model.py
+++ b/tests/config_log/lease_model.py
@@ -22,8 +22,8 @@
         self.module = module
         self.time = 0
         self.clocks = dict.fromkeys((*VOTERS, *HOLDERS), STARTED_AT)
-        self.grantors = {
-            voter: module.LeaseGrantor(STARTED_AT - 50, OLD_NUMBER, None, DURATION, DRIFT) for voter in VOTERS
+        self.lessors = {
+            voter: module.Lessor(STARTED_AT - 50, OLD_NUMBER, None, DURATION, DRIFT) for voter in VOTERS
         }
         self.holders = {name: module.LeaseHolder(OLD_NUMBER, DURATION) for name in HOLDERS}
         self.disks = dict.fromkeys(VOTERS, (OLD_NUMBER, None))  # number and successor by voter
@@ -43,10 +43,10 @@
         other.disks = dict(self.disks)
         other.reported_drained = set(self.reported_drained)
         other.numbers_used = set(self.numbers_used)
-        other.grantors = {voter: copy.copy(grantor) for voter, grantor in self.grantors.items()}
+        other.lessors = {voter: copy.copy(lessor) for voter, lessor in self.lessors.items()}
         other.holders = {name: copy.copy(holder) for name, holder in self.holders.items()}
-        for grantor in other.grantors.values():
-            grantor.expires_at = dict(grantor.expires_at)
+        for lessor in other.lessors.values():
+            lessor.expires_at = dict(lessor.expires_at)
         for holder in other.holders.values():
             holder.grants_expire_at = dict(holder.grants_expire_at)
         return other
@@ -70,14 +70,14 @@
             self.time,
             tuple(
                 (
-                    grantor.active_number,
-                    grantor.successor,
+                    lessor.active_number,
+                    lessor.successor,
                     tuple(
-                        sorted((name, expiry - clocks[voter]) for name, expiry in grantor.expires_at.items())
+                        sorted((name, expiry - clocks[voter]) for name, expiry in lessor.expires_at.items())
                     ),
-                    max(0, grantor.earlier_leases_expire_at - clocks[voter]),
+                    max(0, lessor.earlier_leases_expire_at - clocks[voter]),
                 )
-                for voter, grantor in self.grantors.items()
+                for voter, lessor in self.lessors.items()
             ),
             tuple(
                 (
@@ -103,23 +103,23 @@
         """A holder's requests, answered at once."""
         holder = self.holders[name]
         for voter in voters:
-            if self.grantors[voter].grant(self.clocks[voter], name, holder.number):
+            if self.lessors[voter].grant(self.clocks[voter], name, holder.number):
                 holder.record_grant(voter, holder.number, self.clocks[name])
 
     def drain(self, voter: str) -> None:
         """A voter learns of the successor, and saves it."""
-        self.grantors[voter].drain(NEW_NUMBER)
+        self.lessors[voter].drain(NEW_NUMBER)
         self.disks[voter] = (OLD_NUMBER, NEW_NUMBER)
 
     def activate(self, voter: str) -> None:
         """A voter learns that the successor is active, and saves it."""
-        self.grantors[voter].activate(NEW_NUMBER)
+        self.lessors[voter].activate(NEW_NUMBER)
         self.disks[voter] = (NEW_NUMBER, None)
 
     def crash(self, voter: str) -> None:
         """A voter restarts with its disk."""
         now = self.clocks[voter]
-        self.grantors[voter] = self.module.LeaseGrantor(now, *self.disks[voter], DURATION, DRIFT)
+        self.lessors[voter] = self.module.Lessor(now, *self.disks[voter], DURATION, DRIFT)
 
     def successors(self) -> Iterator["LeaseModel"]:
         """Each state that one step leads to."""
@@ -131,7 +131,7 @@
             other = self.fork()
             other.deliver(position)
             yield other.check()
-        for voter in self.grantors:
+        for voter in self.lessors:
             yield from self._voter_steps(voter)
         if len(self.reported_drained) >= 2 and not self.is_activated:
             other = self.fork()
@@ -144,7 +144,7 @@
         self.in_flight = self.in_flight[:position] + self.in_flight[position + 1 :]
         if kind == "grant":
             self.holders[name].record_grant(voter, number, requested_at)
-        elif self.grantors[voter].grant(self.clocks[voter], name, number):
+        elif self.lessors[voter].grant(self.clocks[voter], name, number):
             self.in_flight += (("grant", name, voter, number, requested_at),)
 
     def _clock_steps(self) -> Iterator["LeaseModel"]:
@@ -170,16 +170,16 @@
             yield other.check()
 
     def _voter_steps(self, voter: str) -> Iterator["LeaseModel"]:
-        grantor = self.grantors[voter]
-        if grantor.successor is None and grantor.active_number == OLD_NUMBER and not self.is_activated:
+        lessor = self.lessors[voter]
+        if lessor.successor is None and lessor.active_number == OLD_NUMBER and not self.is_activated:
             other = self.fork()
             other.drain(voter)
             yield other
-        if grantor.is_drained(self.clocks[voter]) and voter not in self.reported_drained:
+        if lessor.is_drained(self.clocks[voter]) and voter not in self.reported_drained:
             other = self.fork()
             other.reported_drained.add(voter)
             yield other
-        if self.is_activated and grantor.active_number == OLD_NUMBER:
+        if self.is_activated and lessor.active_number == OLD_NUMBER:
             other = self.fork()
             other.activate(voter)
             yield other
@@ -230,7 +230,7 @@
         case "crash":
             _for_each(names, model.crash)
         case "commit":
-            drained = [voter for voter in names if model.grantors[voter].is_drained(model.clocks[voter])]
+            drained = [voter for voter in names if model.lessors[voter].is_drained(model.clocks[voter])]
             model.is_activated = len(drained) >= 2
         case "activate":
             if model.is_activated:  # at these voters, and the second holder switches
--- a/tests/config_log/test_message_digest.py
+++ b/tests/config_log/test_message_digest.py
@@ -12,7 +12,7 @@
 from config_log.plain_records import plain, plain_effect, plain_entry
 from wickvane.config_log.log_entry import ChangeVoters, Command, LogEntry
 from wickvane.config_log.messages import CommitEntry, Effect, PersistState, SendMessage
-from wickvane.config_log.policy_lease import LeaseGrantor, LeaseHolder
+from wickvane.config_log.policy_lease import LeaseHolder, Lessor
 from wickvane.config_log.raft_node import RaftNode
 from wickvane.config_log.rollout import Rollout, RolloutStep
 from wickvane.config_log.state_machine import PolicyStateMachine
@@ -56,7 +56,7 @@
         initial_voters = [f"{name}/0" for name in NAMES]
         self.node = RaftNode(now, self.node_id, initial_voters, random, self.disk)
         self.state_machine = PolicyStateMachine("first")
-        self.grantor = LeaseGrantor(now, 0)
+        self.lessor = Lessor(now, 0)
         self.holder = LeaseHolder(0)
         self.rollout = None
         self.next_lease_request_at = now
@@ -88,9 +88,9 @@
         changed = self.state_machine.apply(index, entry)
         active, successor = self.state_machine.lease_numbers()
         self.record(now, "applied", index, changed, active, successor)
-        self.grantor.activate(active)
+        self.lessor.activate(active)
         if successor is not None:
-            self.grantor.drain(successor)
+            self.lessor.drain(successor)
         self.holder.switch_to(active)
 
     def propose(self, now: int, command: Command) -> None:
@@ -113,12 +113,12 @@
     def handle(self, now: int, sender: str, message: tuple) -> None:
         match message:
             case "lease", number, requested_at:
-                granted = self.grantor.grant(now, sender, number)
+                granted = self.lessor.grant(now, sender, number)
                 self.send(now, sender, "leased", number, requested_at, granted)
             case "leased", number, requested_at, True:
                 self.holder.record_grant(sender, number, requested_at)
             case ("released",):
-                self.grantor.release(sender)
+                self.lessor.release(sender)
             case "closed", number if self.rollout is not None:
                 self.rollout.record_drained(sender, number)
             case "checked", name, None if self.rollout is not None:
@@ -140,8 +140,8 @@
             self.report_drained(now)
 
     def report_drained(self, now: int) -> None:
-        if self.grantor.is_drained(now) and self.node.leader is not None and now % 1_000 == 0:
-            successor = self.grantor.successor
+        if self.lessor.is_drained(now) and self.node.leader is not None and now % 1_000 == 0:
+            successor = self.lessor.successor
             self.send(now, self.node.leader, "closed", successor)
             if self.reported_drained != successor:
                 self.reported_drained = successor
--- a/tests/config_log/test_policy_lease.py
+++ b/tests/config_log/test_policy_lease.py
@@ -10,7 +10,7 @@
 from config_log.mutation import mutated
 from config_log.raft_model import VOTERS
 from wickvane.config_log import policy_lease
-from wickvane.config_log.policy_lease import LeaseGrantor, LeaseHolder
+from wickvane.config_log.policy_lease import LeaseHolder, Lessor
 
 
 def test_no_interleaving_makes_the_old_number_valid_after_the_new():
@@ -68,25 +68,25 @@
     )
 )
 def test_a_grantor_never_activates_a_lower_number_nor_grants_two(steps):
-    grantor = LeaseGrantor(0, 0, duration=10)
+    lessor = Lessor(0, 0, duration=10)
     now = 100
     highest = 0
     for step, number, holder in steps:
         now += number
         match step:
             case "grant":
-                may_grant = number == grantor.active_number and grantor.successor is None
-                assert grantor.grant(now, holder, number) is may_grant
+                may_grant = number == lessor.active_number and lessor.successor is None
+                assert lessor.grant(now, holder, number) is may_grant
             case "wait":
                 now += 10 * number
             case "release":
-                grantor.release(holder)
+                lessor.release(holder)
             case "drain":
-                grantor.drain(number)
+                lessor.drain(number)
             case "activate":
-                grantor.activate(number)
-        highest = max(highest, grantor.active_number)
-        assert grantor.active_number == highest
+                lessor.activate(number)
+        highest = max(highest, lessor.active_number)
+        assert lessor.active_number == highest
 
 
 def test_a_holder_needs_the_grants_of_a_majority():
--- a/tests/config_log/test_rollout.py
+++ b/tests/config_log/test_rollout.py
@@ -26,7 +26,7 @@
     machine.apply(2, LogEntry(1, ActivatePolicy(1)))
     rollout.next_command(now, machine, any_voter_is_quorum)
     assert rollout.step is RolloutStep.ACTIVE and machine.lease_numbers() == (1, None)
-    assert machine.history[0].ended == "followed by 1"
+    assert machine.history[0].end_reason == "followed by 1"
 
 
 def test_any_rejection_ends_it_by_name_and_reason_and_nothing_is_proposed():
--- a/wickvane/config_log/__init__.py
+++ b/wickvane/config_log/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated configuration: policies in a Raft log, rolled out to all dispatchers or none, under leases."""
+"""Replicated configuration: policies in a Raft log that all dispatchers or none apply, under leases."""
--- a/wickvane/config_log/command.py
+++ b/wickvane/config_log/command.py
@@ -1,6 +1,7 @@
 """`wickvane policy check`: validates a policy against a configuration and prints what it would change.
 
-No dispatcher is contacted. Exit status: 0 where the policy is valid, 2 where it is not, or for wrong usage.
+No dispatcher is contacted. The exit status is 0 if the policy is valid, and 2 if the policy is invalid or the
+command line is wrong.
 """
 
 import os
@@ -18,14 +19,14 @@
 from wickvane.net.service import configuration
 from wickvane.units import to_milliseconds
 
-MAX_BYTES_PER_CHARACTER = 4  # of UTF-8
+MAX_BYTES_PER_CHARACTER = 4  # in UTF-8
 EXIT_OK = 0
 EXIT_INVALID = 2
-DURATION_SETTINGS = (" target", " timeout")  # how the names of settings end whose values are times
+DURATION_SUFFIXES = (" target", " timeout")  # of the names of settings whose values are times
 
 
 def main(arguments: dict) -> int:
-    """Runs the command with docopt's arguments; its exit status."""
+    """Runs the command with docopt's arguments and returns its exit status."""
     config_path = arguments["--config"]
     if config_path == "$LB_CONFIG":
         config_path = os.environ.get("LB_CONFIG")
@@ -39,7 +40,7 @@
         print(f"wickvane: {error}", file=sys.stderr)
         return EXIT_INVALID
     except (KeyError, TypeError, ValueError) as error:
-        print(f"wickvane: the configuration lacks, or does not know, {error}", file=sys.stderr)
+        print(f"wickvane: the configuration has a missing or unknown value: {error}", file=sys.stderr)
         return EXIT_INVALID
     if arguments["--json"]:
         _print_json(text, changes)
@@ -57,14 +58,17 @@
 
 
 def _read_document(path: str) -> str:
-    """A document's text, at most one byte more than the longest that is valid."""
+    """Returns a document's text, of which at most one byte more than the maximum valid size is read.
+
+    Raises InvalidDocumentError if the file cannot be read or is not valid UTF-8.
+    """
     try:
         with Path(path).open("rb") as file:
             return file.read(MAX_DOCUMENT_CHARACTERS * MAX_BYTES_PER_CHARACTER + 1).decode()
     except OSError as error:
         raise parts.InvalidDocumentError(f"the policy {path} cannot be read: {error.strerror}") from None
     except UnicodeDecodeError:
-        raise parts.InvalidDocumentError(f"the policy {path} is no UTF-8") from None
+        raise parts.InvalidDocumentError(f"the policy {path} is not valid UTF-8") from None
 
 
 def _print_json(text: str, changes: list[SettingChange]) -> None:
@@ -75,7 +79,7 @@
 def _print_text(text: str, changes: list[SettingChange]) -> None:
     print(f"{content_digest(text)}: {len(changes)} changes")
     for change in changes:
-        if change.setting.endswith(DURATION_SETTINGS):
+        if change.setting.endswith(DURATION_SUFFIXES):
             before = to_milliseconds(change.before)
             after = to_milliseconds(change.after)
             print(f"  {change.setting}: {before:g}ms to {after:g}ms")
--- a/wickvane/config_log/errors.py
+++ b/wickvane/config_log/errors.py
@@ -6,13 +6,13 @@
 
 
 class VoteFileError(WickvaneError):
-    """A vote file that cannot be trusted: another version, cut short, or damaged."""
+    """A vote file that cannot be used: it has an unknown version, or is truncated or damaged."""
 
 
 class InvalidTransitionError(WickvaneError):
-    """A state machine was to enter a state that cannot follow its present one."""
+    """A transition that a state machine's current state does not allow."""
 
-    def __init__(self, present: Enum, wanted: Enum) -> None:
-        super().__init__(f"{wanted} cannot follow {present}")
-        self.present = present
-        self.wanted = wanted
+    def __init__(self, current: Enum, requested: Enum) -> None:
+        super().__init__(f"no transition from {current} to {requested} is allowed")
+        self.current = current
+        self.requested = requested
--- a/wickvane/config_log/log_entry.py
+++ b/wickvane/config_log/log_entry.py
@@ -1,4 +1,4 @@
-"""The entries of the replicated log, the commands that they carry, and the state that a node persists."""
+"""Defines the entries of the replicated log, the commands in them, and the state that a node persists."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -6,12 +6,15 @@
 
 @dataclass(frozen=True, slots=True)
 class NoOp:
-    """Appended by each new leader, so that it can commit the entries of earlier terms."""
+    """Changes nothing; each new leader appends it so that it can commit the entries of earlier terms."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProposePolicy:
-    """A policy under a new number. digest: of the text; author, comment: as given with the proposal."""
+    """Proposes a policy under a new number.
+
+    digest: the content_digest() of the text; author, comment: as given with the proposal.
+    """
 
     number: int
     digest: str
@@ -22,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ActivatePolicy:
-    """The pending policy becomes the active one."""
+    """Makes the pending policy the active one."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class AbandonPolicy:
-    """The pending policy will never be active."""
+    """Ends the pending policy, which never becomes active."""
 
     number: int
     reason: str
@@ -37,14 +40,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeVoters:
-    """The voters from this entry on; one more or one fewer than before."""
+    """Sets the voters from this entry on: one more or one fewer than before."""
 
     voters: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class UnknownCommand:
-    """A stored command that this version does not know: kept as it was read, and never applied."""
+    """A stored command that this version does not know; it is kept as it was read and never applied."""
 
     kind: int
     payload: object
@@ -54,21 +57,24 @@
 
 
 class LogEntry(NamedTuple):
-    """A command, and the term of the leader that appended it."""
+    """A command and the term of the leader that appended it."""
 
     term: int
     command: Command
 
 
 class LogPosition(NamedTuple):
-    """The end of a log. Of two logs the one with the greater position is more up to date (section 5.4.1)."""
+    """The term and index of a log's last entry.
+
+    Of two logs the one with the greater position is more up to date (section 5.4.1 of the Raft paper).
+    """
 
     term: int
     index: int
 
 
 class PersistentState(NamedTuple):
-    """What a node must have on disk before it answers anybody (figure 2 of the paper)."""
+    """The state that a node must have on disk before it answers a message (figure 2 of the Raft paper)."""
 
     current_term: int = 0
     voted_for: str | None = None
--- a/wickvane/config_log/messages.py
+++ b/wickvane/config_log/messages.py
@@ -1,7 +1,7 @@
-"""The messages between Raft nodes, and the effects that a node asks its caller to carry out.
+"""Defines the messages between Raft nodes, and the effects that a node asks its caller to carry out.
 
-Names and fields are those of the paper (Ongaro and Ousterhout 2014, figure 2); pre-votes are those of
-Ongaro's thesis, section 9.6. Messages may be lost, late, reordered or duplicated.
+Names and fields follow the Raft paper (Ongaro and Ousterhout 2014, figure 2); pre-votes follow section 9.6 of
+Ongaro's thesis. Messages may be lost, delayed, reordered or duplicated.
 """
 
 from dataclasses import dataclass
@@ -11,7 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestVote:
-    """Asks for a vote. pre_vote: asks only whether a vote would be granted, in a term that has not begun."""
+    """Requests a vote.
+
+    pre_vote: asks only whether the vote would be granted; the term is the next one, which has not begun.
+    """
 
     term: int
     last_log_term: int
@@ -21,7 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteResponse:
-    """The answer to RequestVote. term: the responder's, or the requested one for a pre-vote."""
+    """The response to RequestVote.
+
+    term: the responder's current term, or the requested term in a response to a pre-vote.
+    """
 
     term: int
     vote_granted: bool
@@ -30,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendEntries:
-    """Replicates entries; without any it is a heartbeat."""
+    """Replicates entries; a message without entries is a heartbeat."""
 
     term: int
     previous_log_index: int
@@ -41,7 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendEntriesResponse:
-    """The answer to AppendEntries. match_index: how far the logs agree; without success, an upper bound."""
+    """The response to AppendEntries.
+
+    match_index: the index up to which the logs agree, or an upper bound of it if success is False.
+    """
 
     term: int
     success: bool
@@ -53,14 +62,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistState:
-    """The state must be on disk before any later effect is carried out; if that fails, those are dropped."""
+    """Saves the state to disk.
+
+    It must be saved before any later effect is carried out; if that fails, the later effects are dropped.
+    """
 
     state: PersistentState
 
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """A message to another node."""
+    """Sends a message to another node."""
 
     recipient: str
     message: Message
@@ -68,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommitEntry:
-    """The entry at an index is committed and is to be applied; each index once, in order."""
+    """Applies the committed entry at an index; each index occurs once, in ascending order."""
 
     index: int
     entry: LogEntry
--- a/wickvane/config_log/policy_document.py
+++ b/wickvane/config_log/policy_document.py
@@ -1,4 +1,4 @@
-"""Reads a policy, a KDL document that overrides settings of a deployment, and validates it; no I/O.
+"""Reads and validates a policy, a KDL document that overrides settings of a deployment; performs no I/O.
 
     policy {
         group "lookup" { target "1500ms"; timeout "5s"; value 2.0; late 0.2 }
@@ -7,12 +7,12 @@
         cold multiple=2.0
     }
 
-What a document leaves out stays as the settings have it. Where the settings bound what a dispatcher may do
-(rules 1, 4 and 7 of the service) a policy may only be stricter: a shorter timeout, a smaller retry budget, a
-lower load on engines that are warming up. A policy cannot override effects, idempotency keys, placement or
-idempotency windows, since a query admitted under one policy may complete under the next.
+A setting that the document omits keeps its configured value. If a setting bounds what a dispatcher may do
+(rules 1, 4 and 7 of the service), a policy may only be stricter: a shorter timeout, a smaller retry budget, a
+lower load on engines in slow start. A policy cannot override effects, idempotency keys, placement or
+idempotency windows, since a query that was admitted under one policy may complete under the next.
 
-This module alone knows the document's node names; the records that it returns have the settings' field names.
+The document's node names are defined only in this module; the returned records use the settings' field names.
 """
 
 from collections.abc import Sequence
@@ -24,7 +24,7 @@
 from wickvane.units import to_milliseconds
 
 MAX_DOCUMENT_CHARACTERS = 65_536
-MAX_SHARE_SUM = 1.0001  # 1 with room for rounding
+MAX_SHARE_SUM = 1.0001  # 1, with a tolerance for rounding errors
 
 _DURATION = parts.duration("1ms", "1h")
 _PRIORITY_WEIGHT = parts.number(0.001, 1e6)
@@ -33,7 +33,7 @@
 _RETRY_BUDGET_MINIMUM = parts.number(0, 1e6)
 _COLLAPSE_MULTIPLE = parts.number(0.01, 1e6)
 
-# The document's name of each setting that a policy can override.
+# The nodes of the document by the field of the settings that they override.
 GROUP_NODES = {
     "latency_objective": "target",
     "timeout": "timeout",
@@ -48,7 +48,7 @@
 
 
 class GroupOverrides(NamedTuple):
-    """What a policy overrides of one resource group; None keeps the setting. Times in ticks."""
+    """A policy's values for one resource group; None keeps the setting. Times are in ticks."""
 
     latency_objective: int | None
     timeout: int | None
@@ -57,14 +57,17 @@
 
 
 class RetryBudgetOverrides(NamedTuple):
-    """What a policy overrides of the retry budget; None keeps the setting."""
+    """A policy's values for the retry budget; None keeps the setting."""
 
     minimum: float | None = None
     ratio: float | None = None
 
 
 class Policy(NamedTuple):
-    """A document that was read; groups and tenant_shares by name, None keeps the setting."""
+    """The content of a policy document.
+
+    groups and tenant_shares are by name; a name without an entry, or None, keeps the setting.
+    """
 
     groups: dict[str, GroupOverrides]
     tenant_shares: dict[str, float]
@@ -75,21 +78,21 @@
 def parse_policy(
     text: str, group_names: Sequence[str], tenant_names: Sequence[str], deployment: Deployment
 ) -> Policy:
-    """Reads a document and checks it against the deployment that it is to override.
+    """Reads a document and validates it against the deployment whose settings it overrides.
 
-    group_names, tenant_names: names in the deployment's order. Raises InvalidDocumentError, which names
+    group_names, tenant_names: the names in the deployment's order. Raises InvalidDocumentError, which names
     the place in the document and what was expected there.
     """
     if len(text) > MAX_DOCUMENT_CHARACTERS:
-        raise InvalidDocumentError(f"it is longer than {MAX_DOCUMENT_CHARACTERS} characters")
+        raise InvalidDocumentError(f"the policy is longer than {MAX_DOCUMENT_CHARACTERS} characters")
     import ckdl
 
     try:
         document = ckdl.parse(text, version=2)
     except (ValueError, RecursionError) as error:
-        raise InvalidDocumentError(f"no KDL 2: {error}") from None
+        raise InvalidDocumentError(f"not a KDL 2 document: {error}") from None
     if [node.name for node in document.nodes] != ["policy"]:
-        raise InvalidDocumentError("expected one node policy")
+        raise InvalidDocumentError("expected a single node named policy")
     node = Node(document.nodes[0], "policy", text)
     if document.nodes[0].args:
         raise node.error("no value of its own")
@@ -104,7 +107,7 @@
 
 
 def _read_name(node: Node, known_names: Sequence[str], description: str) -> str:
-    """The node's argument, which must be one of the settings' names."""
+    """Returns the node's argument; raises InvalidDocumentError if it is not one of the settings' names."""
     return node.argument(
         parts.ValueType(
             f"{description} of the settings: {', '.join(known_names) or 'none'}",
@@ -113,10 +116,10 @@
     )
 
 
-def _require_first(read: dict, name: str, node: Node) -> None:
-    """Raises InvalidDocumentError where an earlier node had the same name."""
-    if name in read:
-        raise node.error("each by one node", name)
+def _require_unique(seen: dict, name: str, node: Node) -> None:
+    """Raises InvalidDocumentError if an earlier node has the same name."""
+    if name in seen:
+        raise node.error("a unique name", name)
 
 
 def _read_groups(
@@ -125,7 +128,7 @@
     groups = {}
     for node in policy_node.children("group"):
         name = _read_name(node, group_names, "a resource group")
-        _require_first(groups, name, node)
+        _require_unique(groups, name, node)
         settings = deployment.groups[list(group_names).index(name)]
         overrides = GroupOverrides(
             latency_objective=node.value(GROUP_NODES["latency_objective"], _DURATION),
@@ -155,14 +158,14 @@
     shares = {}
     for node in policy_node.children("tenant"):
         name = _read_name(node, tenant_names, "a tenant")
-        _require_first(shares, name, node)
+        _require_unique(shares, name, node)
         share = node.property("share", _TENANT_SHARE)
         if share is None:
             raise node.error("a property share")
         node.reject_unknown()
         shares[name] = share
     if sum(shares.values()) > MAX_SHARE_SUM:
-        raise policy_node.error("shares of at most 1 together", name="tenant")
+        raise policy_node.error("shares whose sum is at most 1", name="tenant")
     return shares
 
 
@@ -176,7 +179,7 @@
     ratio = node.property(ratio_name, _FRACTION)
     node.reject_unknown()
     if not deployment.retry_budget_window:
-        raise node.error("settings with a window of further submissions")
+        raise node.error("settings with a retry budget window")
     _check_limit(node, minimum_name, minimum, deployment.retry_budget_minimum, rule=7)
     _check_limit(node, ratio_name, ratio, deployment.retry_budget_ratio, rule=7)
     return RetryBudgetOverrides(minimum, ratio)
@@ -194,6 +197,6 @@
 
 
 def _check_limit(node: Node, name: str, value: float | None, limit: float, rule: int) -> None:
-    """Raises InvalidDocumentError where a policy would be less strict than the settings."""
+    """Raises InvalidDocumentError if the policy's value is less strict than the settings'."""
     if value is not None and value > limit:
         raise node.error(f"at most the settings' {limit:g} (rule {rule})", value, name)
--- a/wickvane/config_log/policy_overrides.py
+++ b/wickvane/config_log/policy_overrides.py
@@ -1,4 +1,4 @@
-"""Applies policies to a deployment's settings, and compares deployments; no I/O."""
+"""Applies policies to a deployment's settings, and compares deployments; performs no I/O."""
 
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple, TypeVar
@@ -12,7 +12,7 @@
 class SettingChange(NamedTuple):
     """One setting that differs between two deployments.
 
-    setting: its name in a policy document, for operators; times in ticks.
+    setting: its name in a policy document, which operators know; times are in ticks.
     """
 
     setting: str
@@ -23,10 +23,10 @@
 def apply_policy(
     policy: Policy, deployment: Deployment, group_names: Sequence[str], tenant_names: Sequence[str]
 ) -> Deployment:
-    """The deployment as the policy overrides it.
+    """Returns the deployment with the settings that the policy overrides.
 
-    group_names, tenant_names: names in the deployment's order; a group's name may occur once for each client
-    protocol.
+    group_names, tenant_names: the names in the deployment's order; a group's name may occur once for each
+    client protocol.
     """
     groups = [
         _apply_to_group(policy.groups[name], group) if name in policy.groups else group
@@ -46,24 +46,27 @@
     )
 
 
-def strictest(one: Deployment, other: Deployment) -> Deployment:
-    """The lower of each bound and weight of two deployments.
+def strictest(first: Deployment, second: Deployment) -> Deployment:
+    """Returns a deployment with the lower of each bound and weight of two deployments.
 
-    For a dispatcher that does not know which of two policies is active.
+    A dispatcher that does not know which of two policies is active can follow it without breaking either.
     """
-    groups = [_strictest_group(*pair) for pair in zip(one.groups, other.groups, strict=True)]
+    groups = [_strictest_group(*pair) for pair in zip(first.groups, second.groups, strict=True)]
     tenants = [
-        (min(one_share, other_share), rate)
-        for (one_share, rate), (other_share, _) in zip(one.tenants, other.tenants, strict=True)
+        (min(first_share, second_share), rate)
+        for (first_share, rate), (second_share, _) in zip(first.tenants, second.tenants, strict=True)
     ]
-    lower = {field: min(getattr(one, field), getattr(other, field)) for field in DEPLOYMENT_NODES}
-    return one._replace(groups=groups, tenants=tenants, **lower)
+    lower = {field: min(getattr(first, field), getattr(second, field)) for field in DEPLOYMENT_NODES}
+    return first._replace(groups=groups, tenants=tenants, **lower)
 
 
 def differences(
     before: Deployment, after: Deployment, group_names: Iterable[str], tenant_names: Iterable[str]
 ) -> list[SettingChange]:
-    """The differences in what a policy can override: groups', then tenants', then the deployment's."""
+    """Returns the settings that a policy can override and that differ.
+
+    The groups' settings come first, then the tenants', then the deployment's.
+    """
     changes = []
     for name, old_group, new_group in zip(group_names, before.groups, after.groups, strict=True):
         for field, node_name in GROUP_NODES.items():
@@ -77,13 +80,13 @@
 
 
 def _apply_to_group(overrides: GroupOverrides, group: ResourceGroup) -> ResourceGroup:
-    given = {field: value for field, value in overrides._asdict().items() if value is not None}
-    return group._replace(**given)
+    changes = {field: value for field, value in overrides._asdict().items() if value is not None}
+    return group._replace(**changes)
 
 
-def _strictest_group(one: ResourceGroup, other: ResourceGroup) -> ResourceGroup:
-    lower = {field: min(getattr(one, field), getattr(other, field)) for field in GROUP_NODES}
-    return one._replace(**lower)
+def _strictest_group(first: ResourceGroup, second: ResourceGroup) -> ResourceGroup:
+    lower = {field: min(getattr(first, field), getattr(second, field)) for field in GROUP_NODES}
+    return first._replace(**lower)
 
 
 def _compare(setting: str, before: NamedTuple, after: NamedTuple, field: str) -> list[SettingChange]:
--- a/wickvane/config_log/raft_node.py
+++ b/wickvane/config_log/raft_node.py
@@ -1,16 +1,17 @@
-"""One node of a Raft cluster (Ongaro and Ousterhout 2014): no socket, clock, file or thread.
+"""One node of a Raft cluster (Ongaro and Ousterhout 2014); uses no socket, clock, file or thread.
 
-With pre-votes, and with voters that change one at a time. A node is called with the time and the messages
-that were received, and returns the effects that its caller carries out in order (messages.Effect).
+The node supports pre-votes and single-server membership changes. Its caller passes the time and the received
+messages, and carries out the returned effects in order (messages.Effect).
 
-Why no index is committed with two contents: a vote is on disk before it is sent, a node grants one vote a
-term, and only to a candidate whose log is at least as up to date as its own; an entry is committed when a
-majority of the leader's current voters has it on disk, and it is of the leader's own term. Voters change by
-entries of the log, each of which adds or removes one, in force as soon as it is in the log; the next may
-follow only once it is committed. Any two successive majorities so share a voter.
+No two different entries are committed at one index, for these reasons: a vote is on disk before it is sent. A
+node grants one vote per term, and only to a candidate whose log is at least as up to date as its own. An
+entry is committed when a majority of the leader's current voters has it on disk and it is of the leader's own
+term. Entries of the log change the voters: each adds or removes one voter and is in force as soon as it is in
+the log, and the next may be appended only once it is committed, so any two successive majorities share a
+voter.
 
-A node whose disk was lost must not vote again under its former identity. It gets a new node id, which starts
-as a non-voting member: it follows the log, and votes once an entry of the log has added it.
+A node that has lost its disk must not vote again under its former identity. It gets a new node id and starts
+as a non-voting member: it replicates the log, and votes once an entry of the log has added it to the voters.
 
 Times are ticks of a clock that does not step.
 """
@@ -37,7 +38,7 @@
 from wickvane.config_log.replicated_log import ReplicatedLog
 from wickvane.units import TICKS_PER_SECOND
 
-# A follower that hears of no leader for a random time between these two asks for votes.
+# A follower that receives nothing from a leader for a random time between these two requests votes.
 MIN_ELECTION_TIMEOUT = 3 * TICKS_PER_SECOND // 2
 MAX_ELECTION_TIMEOUT = 3 * TICKS_PER_SECOND
 HEARTBEAT_INTERVAL = TICKS_PER_SECOND // 2
@@ -45,7 +46,7 @@
 
 
 class Role(Enum):
-    """What a node is in its current term."""
+    """The role of a node in its current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -62,14 +63,14 @@
 
 
 class Proposal(NamedTuple):
-    """A command that a leader appended: its index, and the effects to carry out."""
+    """The index of a command that a leader appended, and the effects to carry out."""
 
     index: int
     effects: list[Effect]
 
 
 class RaftNode:
-    """The consensus module of one node."""
+    """The consensus state of one node, and its handling of messages and timers."""
 
     def __init__(
         self,
@@ -81,19 +82,19 @@
     ) -> None:
         """Starts as a follower.
 
-        initial_voters: node ids, in force until the log changes them; state: as last persisted, None for an
-        empty disk.
+        initial_voters: node ids, in force until the log changes them; state: the state that was last
+        persisted, or None if the disk is empty.
         """
         state = state or PersistentState()
         self.now = now
         self.node_id = node_id
         self.initial_voters = tuple(initial_voters)
         self.random = random
-        # Persistent
+        # Persistent state
         self.current_term = state.current_term
         self.voted_for = state.voted_for
         self.log = ReplicatedLog(state.entries)
-        # Volatile
+        # Volatile state
         self.commit_index = 0
         self.role = Role.FOLLOWER
         self.leader: str | None = None
@@ -102,25 +103,28 @@
         self.next_heartbeat_at = now
         self.election_deadline = now + self._election_timeout()
         self.is_halted = False
-        self.peer_progress: dict[str, PeerProgress] = {}  # a leader's, by node id
+        self.peer_progress: dict[str, PeerProgress] = {}  # by node id; used by a leader only
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node is the leader of its term."""
+        """Returns whether this node is the leader of its term."""
         return self.role is Role.LEADER
 
     def voters(self) -> tuple[str, ...]:
-        """The current voters: those of the last entry that changes them, committed or not."""
-        changed = self.log.latest_voters()
-        return self.initial_voters if changed is None else changed
+        """Returns the current voters: those of the last entry that changes them, committed or not."""
+        voters = self.log.latest_voters()
+        return self.initial_voters if voters is None else voters
 
     def is_quorum(self, node_ids: Collection[str]) -> bool:
-        """Whether these nodes include a majority of the current voters."""
+        """Returns whether these nodes include a majority of the current voters."""
         voters = self.voters()
         return 2 * sum(voter in node_ids for voter in voters) > len(voters)
 
     def has_quorum_contact(self) -> bool:
-        """Whether this is a leader that a majority answered lately; else another may have been elected."""
+        """Returns whether this is a leader that a majority responded to within MIN_ELECTION_TIMEOUT.
+
+        Otherwise another leader may have been elected.
+        """
         since = self.now - MIN_ELECTION_TIMEOUT
         responsive = {
             peer for peer, progress in self.peer_progress.items() if progress.responded_since(since)
@@ -128,11 +132,11 @@
         return self.is_leader and self.is_quorum(responsive | {self.node_id})
 
     def halt(self) -> None:
-        """The state could not be persisted: the node takes no part any more until it is restarted."""
+        """Stops all processing until the node is restarted; called when its state could not be persisted."""
         self.is_halted = True
 
     def process_messages(self, now: int, received: Iterable[tuple[str, Message]] = ()) -> list[Effect]:
-        """Handles received messages, each with its sender, then the timers; what to do, in order."""
+        """Handles received messages, each with its sender, then the timers; returns the effects in order."""
         self.now = now
         if self.is_halted:
             return []
@@ -179,7 +183,10 @@
         self.election_deadline = self.now + self._election_timeout()
 
     def _change_role(self, role: Role, leader: str | None) -> None:
-        """The one place where the role changes, with the state that belongs to the new one."""
+        """Changes the role and resets the state of the new role; no other method changes the role.
+
+        Raises InvalidTransitionError if the current role does not allow the new one.
+        """
         if role not in _NEXT_ROLES[self.role]:
             raise InvalidTransitionError(self.role, role)
         self.role = role
@@ -206,7 +213,7 @@
     def start_pre_vote(self) -> list[Effect]:
         """Asks the voters whether they would elect this node, before it begins a new term.
 
-        A node that was partitioned so does not disturb the others.
+        Pre-votes prevent a node that was partitioned from disturbing the others with its higher term.
         """
         self._change_role(Role.PRE_CANDIDATE, None)
         return self._request_votes(self.current_term + 1, pre_vote=True)
@@ -254,11 +261,11 @@
 
     def _answer_pre_vote(self, sender: str, request: RequestVote, up_to_date: bool) -> Effect:
         if request.term <= self.current_term:
-            # Tells the sender of the later term. Without it the only node with the newest log could go on
-            # asking with an old term, and no other could be elected.
+            # The response informs the sender of the later term. Otherwise the only node with the newest log
+            # could keep requesting votes for an old term, and no other node could be elected.
             return SendMessage(sender, VoteResponse(self.current_term, vote_granted=False, pre_vote=False))
-        leader_is_silent = self.now - self.last_leader_contact >= MIN_ELECTION_TIMEOUT and not self.is_leader
-        granted = up_to_date and leader_is_silent
+        leader_timed_out = self.now - self.last_leader_contact >= MIN_ELECTION_TIMEOUT and not self.is_leader
+        granted = up_to_date and leader_timed_out
         return SendMessage(sender, VoteResponse(request.term, granted, pre_vote=True))
 
     def _handle_vote_response(self, sender: str, response: VoteResponse) -> list[Effect]:
@@ -274,7 +281,11 @@
         return self._win_vote(response.pre_vote) if self.is_quorum(self.votes_received) else []
 
     def propose(self, command: Command) -> Proposal | None:
-        """Appends a command to the leader's log; None if this is no leader, or voters may not change now."""
+        """Appends a command to the leader's log.
+
+        Returns None if this node is not the leader, or if the command changes the voters in a way that is not
+        allowed now.
+        """
         if not self.is_leader:
             return None
         if isinstance(command, ChangeVoters) and not self._may_change_voters(command.voters):
@@ -283,7 +294,10 @@
         return Proposal(len(self.log), effects)
 
     def _may_change_voters(self, voters: Sequence[str]) -> bool:
-        """Adds or removes one voter, no other change is under way, and this leader has committed an entry."""
+        """Returns whether the change adds or removes one voter and no other change is pending.
+
+        The leader must also have committed an entry of its own term.
+        """
         is_single_change = len(set(self.voters()) ^ set(voters)) == 1
         is_pending = self.log.changes_voters_after(self.commit_index)
         has_committed = self.log.term_at(self.commit_index) == self.current_term
@@ -299,11 +313,11 @@
         return effects + self._advance_commit_index()
 
     def _peers(self) -> list[str]:
-        """The nodes that a leader replicates to: voters, and removed or non-voting members that follow it."""
+        """Returns the nodes that a leader replicates to: voters, and removed or non-voting members."""
         return [node for node in dict.fromkeys((*self.voters(), *self.peer_progress)) if node != self.node_id]
 
     def append_entries_to(self, peer: str) -> SendMessage:
-        """The next entries for a peer, or a heartbeat where it has them all."""
+        """Returns a message with the next entries for a peer, or a heartbeat if the peer has all entries."""
         progress = self.peer_progress.get(peer)
         next_index = progress.next_index if progress else len(self.log) + 1
         request = AppendEntries(
@@ -355,9 +369,11 @@
         return effects
 
     def _advance_commit_index(self) -> list[Effect]:
-        """Commits what a majority of the voters has, up to the last such entry of this leader's term."""
+        """Commits up to the last entry of this leader's term that a majority of the voters has."""
         for index in range(len(self.log), self.commit_index, -1):
-            replicas = {peer for peer, known in self.peer_progress.items() if known.match_index >= index}
+            replicas = {
+                peer for peer, progress in self.peer_progress.items() if progress.match_index >= index
+            }
             replicas.add(self.node_id)
             if self.log.term_at(index) == self.current_term and self.is_quorum(replicas):
                 return self._commit_up_to(index)
--- a/wickvane/config_log/replicated_log.py
+++ b/wickvane/config_log/replicated_log.py
@@ -1,6 +1,6 @@
-"""The log of one node, with the operations that Raft defines on it; no I/O.
+"""The log of one node, with the operations that Raft defines on it; performs no I/O.
 
-Indices begin at 1, as in the paper (Ongaro and Ousterhout 2014).
+Indices begin at 1, as in the Raft paper (Ongaro and Ousterhout 2014).
 """
 
 from collections.abc import Iterable, Sequence
@@ -9,7 +9,7 @@
 
 
 class ReplicatedLog:
-    """The entries of one node's log."""
+    """The entries of one node's log, with an index of those that change the voters."""
 
     __slots__ = ("entries", "_voter_change_indices")
 
@@ -23,56 +23,59 @@
         return len(self.entries)
 
     def copy(self) -> "ReplicatedLog":
-        """A log with the same entries, which changes on its own."""
+        """Returns an independent log with the same entries."""
         return ReplicatedLog(self.entries)
 
     def last_position(self) -> LogPosition:
-        """Term and index of the last entry; zeros for an empty log."""
+        """Returns the term and index of the last entry; zeros for an empty log."""
         last_term = self.entries[-1].term if self.entries else 0
         return LogPosition(last_term, len(self.entries))
 
     def entry_at(self, index: int) -> LogEntry:
-        """The entry at an index of the log."""
+        """Returns the entry at an index of the log."""
         return self.entries[index - 1]
 
     def term_at(self, index: int) -> int:
-        """The term of the entry at an index; 0 where the log has none."""
+        """Returns the term of the entry at an index; 0 if the log has no such entry."""
         return self.entries[index - 1].term if 0 < index <= len(self.entries) else 0
 
     def entries_from(self, index: int, limit: int) -> tuple[LogEntry, ...]:
-        """At most `limit` entries from an index on."""
+        """Returns at most `limit` entries from an index on."""
         return tuple(self.entries[index - 1 : index - 1 + limit])
 
     def contains(self, index: int, term: int) -> bool:
-        """The consistency check of AppendEntries: whether the entry at an index has that term."""
+        """Returns whether the entry at an index has that term (the consistency check of AppendEntries)."""
         return index <= len(self.entries) and self.term_at(index) == term
 
     def append(self, entry: LogEntry) -> None:
-        """Adds an entry at the end."""
+        """Appends an entry."""
         self.entries.append(entry)
         if isinstance(entry.command, ChangeVoters):
             self._voter_change_indices.append(len(self.entries))
 
     def replicate(self, previous_index: int, entries: Sequence[LogEntry]) -> bool:
-        """Takes a leader's entries that follow an index; whether the log changed."""
+        """Adds a leader's entries after an index, and removes entries that conflict with them.
+
+        Returns whether the log changed.
+        """
         changed = False
         for index, entry in enumerate(entries, previous_index + 1):
             if self.term_at(index) == entry.term:
                 continue
-            # A conflicting entry was never committed, or this leader's log would have it.
+            # A conflicting entry was never committed, because the leader's log has all committed entries.
             self._truncate_from(index)
             self.append(entry)
             changed = True
         return changed
 
     def latest_voters(self) -> tuple[str, ...] | None:
-        """The voters of the last ChangeVoters, committed or not; None where the log has none."""
+        """Returns the voters of the last ChangeVoters, committed or not; None if the log has none."""
         if not self._voter_change_indices:
             return None
         return self.entry_at(self._voter_change_indices[-1]).command.voters
 
     def changes_voters_after(self, index: int) -> bool:
-        """Whether any entry behind an index changes the voters."""
+        """Returns whether any entry after an index changes the voters."""
         return bool(self._voter_change_indices) and self._voter_change_indices[-1] > index
 
     def _truncate_from(self, index: int) -> None:
--- a/wickvane/config_log/state_machine.py
+++ b/wickvane/config_log/state_machine.py
@@ -1,7 +1,7 @@
-"""The replicated state machine: which policies there are, and which of them is active.
+"""The replicated state machine: it holds the policies and the number of the active one.
 
-All nodes apply the same commands in the same order, so all agree on each number: its document, and whether it
-is active, pending or abandoned. A number is never used twice. No I/O.
+All nodes apply the same commands in the same order, so they agree on each number's document and on whether it
+is active, pending or abandoned. A number is never used twice. The module performs no I/O.
 """
 
 from collections.abc import Iterable
@@ -10,20 +10,20 @@
 
 from wickvane.config_log.log_entry import AbandonPolicy, ActivatePolicy, LogEntry, ProposePolicy
 
-MAX_HISTORY = 256
+MAX_HISTORY_LENGTH = 256
 INITIAL_NUMBER = 0
 DIGEST_BYTES = 16
 
 
 def content_digest(text: str) -> str:
-    """The digest that identifies a document's content, 32 hexadecimal digits."""
+    """Returns the digest that identifies a document's content, as 32 hexadecimal digits."""
     return blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
 class PolicyRecord(NamedTuple):
-    """One number of the history.
+    """The policy of one number in the history.
 
-    author, comment: as given with the proposal; ended: why it can no longer be active, or None.
+    author, comment: as given with the proposal; end_reason: why it can no longer be active, or None.
     """
 
     number: int
@@ -31,37 +31,37 @@
     text: str
     author: str
     comment: str
-    ended: str | None = None
+    end_reason: str | None = None
 
 
 class LeaseNumbers(NamedTuple):
-    """The number that voters may grant leases on, and the one that is to follow."""
+    """The number that voters may grant leases on, and the number that is to replace it."""
 
     active: int
     successor: int | None
 
 
 class PolicyStateMachine:
-    """The policies that were committed so far."""
+    """The policies that have been committed so far."""
 
     def __init__(self, initial_text: str = "") -> None:
-        """initial_text: the document under number 0, with which each process was started."""
+        """Starts with number 0; initial_text: its document, with which each process was started."""
         self.active_number = INITIAL_NUMBER
         self.pending_number: int | None = None
         self.last_number = INITIAL_NUMBER
         self.history = {
             INITIAL_NUMBER: PolicyRecord(
-                INITIAL_NUMBER, content_digest(initial_text), initial_text, "", "as started"
+                INITIAL_NUMBER, content_digest(initial_text), initial_text, "", "initial policy"
             )
         }
         self.last_applied = 0
         self.ignored_count = 0
 
     def apply(self, index: int, entry: LogEntry) -> bool:
-        """Applies a committed entry, in order; whether it changed anything.
+        """Applies a committed entry and returns whether it changed the policies.
 
-        A command that does not fit the present state, such as the second of two concurrent proposals, is
-        ignored by all nodes alike.
+        Entries must be applied in order; one that was already applied is ignored. All nodes also ignore a
+        command that the current state does not allow, such as the second of two concurrent proposals.
         """
         if index <= self.last_applied:
             return False
@@ -80,7 +80,7 @@
         return is_applied
 
     def lease_numbers(self) -> LeaseNumbers:
-        """What voters may grant leases on."""
+        """Returns the number that voters may grant leases on, and its successor."""
         return LeaseNumbers(self.active_number, self.pending_number)
 
     def _add_pending(self, proposal: ProposePolicy) -> bool:
@@ -92,7 +92,7 @@
         self.history[proposal.number] = PolicyRecord(
             proposal.number, proposal.digest, proposal.text, proposal.author, proposal.comment
         )
-        self._drop_oldest(sorted(self.history)[:-MAX_HISTORY])
+        self._drop_oldest(sorted(self.history)[:-MAX_HISTORY_LENGTH])
         return True
 
     def _drop_oldest(self, numbers: Iterable[int]) -> None:
@@ -115,5 +115,5 @@
         self.pending_number = None
         return True
 
-    def _end(self, number: int, how: str) -> None:
-        self.history[number] = self.history[number]._replace(ended=how)
+    def _end(self, number: int, reason: str) -> None:
+        self.history[number] = self.history[number]._replace(end_reason=reason)
--- a/wickvane/config_log/vote_codec.py
+++ b/wickvane/config_log/vote_codec.py
@@ -1,9 +1,9 @@
-"""The bytes of a vote file, and the only place that knows its form.
+"""Encodes and decodes vote files; no other module depends on their format.
 
-    magic line | 16 bytes BLAKE2b of the body | body
+    magic line | 16 bytes of the BLAKE2b checksum of the body | body
 
-The body is MessagePack: [node id, current term, voted for, [[term, kind, payload], ...]]. The payload of a
-kind is given at EntryKind; its form does not change with the names of the types that it is read into.
+The body is MessagePack: [node id, current term, voted for, [[term, kind, payload], ...]]. EntryKind documents
+the payload of each kind. The format is independent of the names of the types that a file is decoded into.
 """
 
 from enum import IntEnum
@@ -30,7 +30,7 @@
 
 
 class EntryKind(IntEnum):
-    """The stored kinds of entries, each with its payload."""
+    """The stored kinds of entries; the comment behind each gives its payload."""
 
     NO_OP = 0  # nil
     PROPOSE_POLICY = 1  # [number, digest, text, author, comment]
@@ -40,7 +40,7 @@
 
 
 class VoteRecord(NamedTuple):
-    """What a vote file holds."""
+    """The content of a vote file."""
 
     node_id: str
     state: PersistentState
@@ -57,7 +57,7 @@
 
 
 def encode_vote_file(record: VoteRecord) -> bytes:
-    """The whole file."""
+    """Returns the bytes of a complete vote file."""
     state = record.state
     entries = [encode_entry(entry) for entry in state.entries]
     body = msgspec.msgpack.encode(_Body(record.node_id, state.current_term, state.voted_for, entries))
@@ -65,13 +65,13 @@
 
 
 def decode_vote_file(data: bytes) -> VoteRecord:
-    """Reads a whole file; VoteFileError where it cannot be trusted."""
+    """Decodes a complete vote file; raises VoteFileError if it is damaged or of an unknown version."""
     body_start = len(MAGIC) + CHECKSUM_BYTES
     body = data[body_start:]
     if data[: len(MAGIC)] != MAGIC:
-        raise VoteFileError("another version, or cut short")
+        raise VoteFileError("unknown version or truncated file")
     if _checksum(body) != data[len(MAGIC) : body_start]:
-        raise VoteFileError("the checksum differs")
+        raise VoteFileError("checksum mismatch")
     try:
         decoded = _DECODER.decode(body)
     except msgspec.MsgspecError as error:
@@ -81,7 +81,7 @@
 
 
 def encode_entry(entry: LogEntry) -> tuple[int, int, object]:
-    """The stored form of an entry: term, kind, payload."""
+    """Returns the stored form of an entry: term, kind, payload."""
     match entry.command:
         case NoOp():
             return entry.term, EntryKind.NO_OP, None
@@ -100,7 +100,7 @@
 
 
 def decode_entry(term: int, kind: int, payload: object) -> LogEntry:
-    """An entry of its stored form; one of an unknown kind or form is kept as UnknownCommand."""
+    """Returns an entry from its stored form; a command of an unknown kind or form becomes UnknownCommand."""
     return LogEntry(term, _decode_command(kind, payload))
 
 
@@ -121,7 +121,7 @@
 
 
 def _freeze(payload: object) -> object:
-    """Decoded lists as tuples, so that entries stay hashable."""
+    """Converts decoded lists to tuples, so that entries stay hashable."""
     return tuple(map(_freeze, payload)) if isinstance(payload, list) else payload
 
 
--- a/wickvane/config_log/vote_store.py
+++ b/wickvane/config_log/vote_store.py
@@ -1,8 +1,8 @@
-"""A node's disk: one file with its node id and its persistent state, replaced atomically.
+"""Stores a node's id and persistent state on disk, in one file that is replaced atomically.
 
 A new file is written beside the old one, synced, and renamed over it; the folder is synced before save()
-returns. A file that cannot be read completely holds no vote that can be trusted: the node then gets a new
-node id, and so never votes twice in a term.
+returns. The votes in a file that cannot be read completely are unknown, so the node gets a new node id. Hence
+it never votes twice in a term.
 """
 
 import os
@@ -21,12 +21,16 @@
 class VoteStore:
     """The state folder of one process.
 
-    is_new: whether the node id was made just now, so that the node is no voter until an entry of the log adds
-    it, unless the log begins with it. discard_reason: why an older file could not be used, or None.
+    is_new: whether the node id was just created; such a node becomes a voter only when an entry of the log
+    adds it, unless it is one of the initial voters. discard_reason: why an existing file could not be
+    used, or None.
     """
 
     def __init__(self, folder: str | os.PathLike, name: str) -> None:
-        """name: what a new node id begins with. Raises OSError where the folder cannot be used."""
+        """Loads the saved state, or creates a node id; name: the prefix of a new node id.
+
+        Raises OSError if the folder cannot be used.
+        """
         self._folder = Path(folder)
         self._path = self._folder / FILE_NAME
         self.discard_reason: str | None = None
@@ -41,7 +45,7 @@
             self.state = record.state
 
     def save(self, state: PersistentState) -> None:
-        """Replaces the file; OSError where the disk refuses, and the old file stays."""
+        """Replaces the file; raises OSError if that fails, and the old file then stays."""
         data = encode_vote_file(VoteRecord(self.node_id, state))
         new_path = self._folder / f"{FILE_NAME}.new"
         with new_path.open("wb") as file:
@@ -53,7 +57,7 @@
         self.state = state
 
     def _load(self) -> VoteRecord | None:
-        """The record on disk; None where there is none that can be trusted."""
+        """Returns the record on disk, or None if there is no file or it cannot be used."""
         try:
             with self._path.open("rb") as file:
                 return decode_vote_file(file.read(MAX_FILE_BYTES))
