--- a/tests/config_log/lease_model.py
+++ b/tests/config_log/lease_model.py
@@ -1,4 +1,7 @@
-"""A model of leases for searches: three voters, two holders, a clock each; number 2 is to follow 1."""
+"""A model of leases for state-space searches: three voters, two holders, each with a clock.
+
+Policy number 2 replaces number 1.
+"""
 
 import copy
 from collections.abc import Callable, Iterator
@@ -16,7 +19,10 @@
 
 
 class LeaseModel:
-    """violation: that the old number was valid after the new one, or None."""
+    """The state of all voters, holders and messages.
+
+    violation: states that the old number was valid after the new one; None if that has not happened.
+    """
 
     def __init__(self, module: ModuleType = policy_lease) -> None:
         self.module = module
@@ -31,13 +37,13 @@
         self.is_activated = False
         self.numbers_used = set()
         self.violation = None
-        # request or grant, holder, voter, number, when it was requested on the holder's clock
+        # "request" or "grant", holder, voter, number, time of the request on the holder's clock
         self.in_flight: tuple[tuple[str, str, str, int, int], ...] = ()
         self.slow_ticks_left = 1
         self.crashes_left = 1
 
     def fork(self) -> "LeaseModel":
-        """A copy that goes on on its own."""
+        """Returns an independent copy."""
         other = copy.copy(self)
         other.clocks = dict(self.clocks)
         other.disks = dict(self.disks)
@@ -52,7 +58,7 @@
         return other
 
     def check(self) -> "LeaseModel":
-        """Notes which numbers are valid now."""
+        """Records which numbers are valid now, and a violation if there is one; returns the model."""
         valid = {
             holder.number
             for name, holder in self.holders.items()
@@ -64,7 +70,7 @@
         return self
 
     def key(self) -> tuple:
-        """What tells two states apart; times by how far they are ahead."""
+        """Returns a key that is equal for equivalent states; expiry times are relative to the clocks."""
         clocks = self.clocks
         return (
             self.time,
@@ -100,29 +106,29 @@
         )
 
     def lease(self, name: str, voters: list[str]) -> None:
-        """A holder's requests, answered at once."""
+        """A holder requests leases, and the voters answer immediately."""
         holder = self.holders[name]
         for voter in voters:
             if self.lessors[voter].grant(self.clocks[voter], name, holder.number):
                 holder.record_grant(voter, holder.number, self.clocks[name])
 
     def drain(self, voter: str) -> None:
-        """A voter learns of the successor, and saves it."""
+        """A voter receives the successor and saves it."""
         self.lessors[voter].drain(NEW_NUMBER)
         self.disks[voter] = (OLD_NUMBER, NEW_NUMBER)
 
     def activate(self, voter: str) -> None:
-        """A voter learns that the successor is active, and saves it."""
+        """A voter applies the activation of the successor and saves it."""
         self.lessors[voter].activate(NEW_NUMBER)
         self.disks[voter] = (NEW_NUMBER, None)
 
     def crash(self, voter: str) -> None:
-        """A voter restarts with its disk."""
+        """A voter restarts with the state on its disk."""
         now = self.clocks[voter]
         self.lessors[voter] = self.module.Lessor(now, *self.disks[voter], DURATION, DRIFT)
 
     def successors(self) -> Iterator["LeaseModel"]:
-        """Each state that one step leads to."""
+        """Yields each state that one step leads to."""
         if self.time < 7:
             yield from self._clock_steps()
         for name in self.holders:
@@ -139,7 +145,7 @@
             yield other
 
     def deliver(self, position: int) -> None:
-        """A request or a grant arrives."""
+        """Delivers a request or a grant."""
         kind, name, voter, number, requested_at = self.in_flight[position]
         self.in_flight = self.in_flight[:position] + self.in_flight[position + 1 :]
         if kind == "grant":
@@ -148,7 +154,7 @@
             self.in_flight += (("grant", name, voter, number, requested_at),)
 
     def _clock_steps(self) -> Iterator["LeaseModel"]:
-        """A tick on all clocks, or on all but one."""
+        """Yields the states after a tick of all clocks, or of all clocks but one."""
         for slow in (None, "x", "a") if self.slow_ticks_left else (None,):
             other = self.fork()
             other.time += 1
@@ -191,12 +197,12 @@
 
 
 def search(max_states: int) -> tuple[str | None, int]:
-    """(violation or None, number of states), breadth first."""
+    """Searches breadth-first; returns (violation or None, number of states)."""
     seen = set()
     frontier = [LeaseModel()]
     states = 0
     while frontier and states < max_states:
-        following = []
+        next_frontier = []
         for model in frontier:
             for successor in model.successors():
                 if successor.violation:
@@ -204,13 +210,13 @@
                 if (key := hash(successor.key())) not in seen:
                     seen.add(key)
                     states += 1
-                    following.append(successor)
-        frontier = following
+                    next_frontier.append(successor)
+        frontier = next_frontier
     return None, states
 
 
 def replay(module: ModuleType, script: str) -> str | None:
-    """The violation when the steps of a script are taken in turn; one that a guard forbids is left out."""
+    """Returns the violation after a script's steps, or None; a step that a guard forbids is skipped."""
     model = LeaseModel(module)
     for step in script.split(","):
         word, *names = step.split()
@@ -233,7 +239,8 @@
             drained = [voter for voter in names if model.lessors[voter].is_drained(model.clocks[voter])]
             model.is_activated = len(drained) >= 2
         case "activate":
-            if model.is_activated:  # at these voters, and the second holder switches
+            if model.is_activated:
+                # These voters activate the new number, and the second holder switches to it.
                 model.holders["y"].switch_to(NEW_NUMBER)
                 _for_each(names, model.activate)
         case _:
--- a/tests/config_log/plain_records.py
+++ b/tests/config_log/plain_records.py
@@ -1,4 +1,4 @@
-"""Entries, messages and effects as the plain tuples of commit c5b2902, for digests and expectations."""
+"""Converts entries, messages and effects to the plain tuples of commit c5b2902, for recorded digests."""
 
 from enum import Enum
 
@@ -18,24 +18,24 @@
 
 
 def plain(value: object) -> object:
-    """Named tuples, lists and enumerations as bare tuples and numbers."""
+    """Converts named tuples, lists and enumeration members to plain tuples and values."""
     if isinstance(value, (tuple, list)):
         return tuple(map(plain, value))
     return value.value if isinstance(value, Enum) else value
 
 
 def plain_entry(entry: LogEntry) -> tuple:
-    """(term, kind, payload)"""
+    """Returns (term, kind, payload)."""
     return plain(encode_entry(entry))
 
 
 def plain_state(state: PersistentState) -> tuple:
-    """(term, voted for, log)"""
+    """Returns (term, voted for, log)."""
     return state.current_term, state.voted_for, tuple(map(plain_entry, state.entries))
 
 
 def plain_message(message: Message) -> tuple:
-    """(number of the message's kind, its fields in order)"""
+    """Returns a tuple of the number of the message's kind and its fields in order."""
     match message:
         case RequestVote(term, last_log_term, last_log_index, pre_vote):
             return (0, term, last_log_term, last_log_index, pre_vote)
@@ -48,7 +48,7 @@
 
 
 def plain_effect(effect: Effect) -> tuple:
-    """(kind, what it is about)"""
+    """Returns a tuple of the effect's kind and its fields in order."""
     match effect:
         case PersistState(state):
             return ("save", plain_state(state))
--- a/tests/config_log/raft_model.py
+++ b/tests/config_log/raft_model.py
@@ -1,4 +1,4 @@
-"""A model of a small cluster for searches, which choose the next message, crash or election."""
+"""A model of a small cluster for state-space searches, which choose the next message, crash or election."""
 
 import copy
 from collections.abc import Iterator
@@ -14,15 +14,15 @@
 
 
 def proposal(text: str) -> ProposePolicy:
-    """A command that carries a text."""
+    """Returns a command with this text."""
     return ProposePolicy(1, "digest", text, "author", "comment")
 
 
 class ModelCluster:
     """Nodes, disks and messages in flight.
 
-    committed: entry by index, of all that any node committed in any of its incarnations; violation: what
-    broke Raft's safety, or None; budget: how often each kind of step may yet be taken.
+    committed: the entries that any node committed in any of its incarnations, by index; leaders: node id by
+    term; violation: how Raft's safety was violated, or None; budget: remaining number of steps by kind.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self.budget = {"election": 3, "proposal": 2, "crash": 1, "lost disk": 0, "duplicate": 1}
 
     def fork(self) -> "ModelCluster":
-        """A copy that goes on on its own."""
+        """Returns an independent copy."""
         other = copy.copy(self)
         other.disks = dict(self.disks)
         other.committed = dict(self.committed)
@@ -48,15 +48,17 @@
         other.budget = dict(self.budget)
         other.nodes = {}
         for node_id, node in self.nodes.items():
-            twin = copy.copy(node)
-            twin.log = node.log.copy()
-            twin.votes_received = set(node.votes_received)
-            twin.peer_progress = {peer: copy.copy(known) for peer, known in node.peer_progress.items()}
-            other.nodes[node_id] = twin
+            node_copy = copy.copy(node)
+            node_copy.log = node.log.copy()
+            node_copy.votes_received = set(node.votes_received)
+            node_copy.peer_progress = {
+                peer: copy.copy(progress) for peer, progress in node.peer_progress.items()
+            }
+            other.nodes[node_id] = node_copy
         return other
 
     def key(self) -> tuple:
-        """What tells two states apart."""
+        """Returns a key that is equal for equivalent states."""
         return (
             tuple(
                 (
@@ -69,8 +71,8 @@
                     frozenset(node.votes_received),
                     tuple(
                         sorted(
-                            (peer, known.next_index, known.match_index)
-                            for peer, known in node.peer_progress.items()
+                            (peer, progress.next_index, progress.match_index)
+                            for peer, progress in node.peer_progress.items()
                         )
                     ),
                 )
@@ -81,7 +83,7 @@
         )
 
     def carry_out(self, node_id: str, effects: list[Effect]) -> None:
-        """Carries out what a node asked for."""
+        """Carries out a node's effects."""
         for effect in effects:
             match effect:
                 case PersistState(state):
@@ -97,45 +99,45 @@
             self.violation = f"term {node.current_term} has two leaders"
 
     def start_election(self, node_id: str) -> None:
-        """A node's election timeout; long enough after the last message for all to vote."""
+        """A node starts an election, long enough after the last message that all nodes may vote."""
         for node in self.nodes.values():
             node.now += 10 * TICKS_PER_SECOND
         self.carry_out(node_id, self.nodes[node_id].start_pre_vote())
 
     def propose(self, node_id: str, command: object) -> int | None:
-        """The index of what a node appended."""
+        """Returns the index of the entry that a node appended, or None."""
         proposed = self.nodes[node_id].propose(command)
         self.carry_out(node_id, proposed.effects if proposed else [])
         return proposed and proposed.index
 
     def send_entries(self, leader: str, peer: str) -> None:
-        """A leader's next AppendEntries for a peer."""
+        """Sends a leader's next AppendEntries to a peer."""
         self.carry_out(leader, [self.nodes[leader].append_entries_to(peer)])
 
     def deliver(self, position: int, keep: bool = False) -> None:
-        """A message in flight arrives; keep: and will arrive again."""
+        """Delivers a message in flight; keep: it stays in flight and is delivered again later."""
         sender, recipient, message = self.in_flight[position]
         if not keep:
             self.drop(position)
         self.carry_out(recipient, self.nodes[recipient].handle_message(sender, message))
 
     def deliver_all(self) -> None:
-        """Delivers in order until nothing is in flight."""
+        """Delivers messages in order until none is in flight."""
         while self.in_flight:
             self.deliver(0)
 
     def drop(self, position: int) -> None:
-        """A message in flight is lost."""
+        """Drops a message in flight."""
         self.in_flight = self.in_flight[:position] + self.in_flight[position + 1 :]
 
     def crash(self, node_id: str, keeps_disk: bool) -> None:
-        """A node restarts, with its disk or under its former identity without."""
+        """A node restarts under its former id; without keeps_disk it has lost its disk."""
         saved = self.disks[node_id] if keeps_disk else None
         now = self.nodes[node_id].now
         self.nodes[node_id] = self.module.RaftNode(now, node_id, self.initial_voters, Random(1), saved)
 
     def successors(self) -> Iterator["ModelCluster"]:
-        """Each state that one step leads to."""
+        """Yields each state that one step leads to."""
         for node_id in self.nodes:
             yield from self._node_steps(node_id)
         for position in range(len(self.in_flight)):
@@ -173,19 +175,19 @@
 
 
 def random_walk(seed: int, module: ModuleType = raft_node, length: int = 120, **budget: int) -> str | None:
-    """One long random path; the violation that it found, or None."""
+    """Takes random steps; returns the first violation or None. budget: maximum number of steps by kind."""
     random = Random(seed)
     cluster = ModelCluster(module, max_in_flight=12)
     cluster.budget.update({"election": 8, "proposal": 6, "crash": 4, "duplicate": 10} | budget)
     for _ in range(length):
-        # Most messages arrive: paths on which few do lead nowhere.
+        # Most steps deliver a message, because a walk with few deliveries makes no progress.
         if cluster.in_flight and random.random() < 0.75:
             cluster.deliver(random.randrange(len(cluster.in_flight)))
         else:
-            following = list(cluster.successors())
-            if not following:
+            successors = list(cluster.successors())
+            if not successors:
                 break
-            cluster = random.choice(following)
+            cluster = random.choice(successors)
         if cluster.violation:
             return cluster.violation
     return None
--- a/tests/config_log/rollout_helpers.py
+++ b/tests/config_log/rollout_helpers.py
@@ -1,4 +1,4 @@
-"""Committed entries and state machines for the tests of rollouts."""
+"""Committed entries, state machines and quorums for the tests of rollouts."""
 
 from collections.abc import Collection
 
@@ -7,12 +7,12 @@
 
 
 def proposed(number: int, text: str = "x") -> LogEntry:
-    """The entry that proposes a policy."""
+    """Returns the entry that proposes a policy."""
     return LogEntry(1, ProposePolicy(number, content_digest(text), text, "me", "why"))
 
 
 def applied(*entries: LogEntry) -> PolicyStateMachine:
-    """A state machine that has applied these entries."""
+    """Returns a state machine that has applied these entries."""
     machine = PolicyStateMachine("first")
     for index, entry in enumerate(entries, 1):
         machine.apply(index, entry)
@@ -20,10 +20,10 @@
 
 
 def any_voter_is_quorum(voters: Collection[str]) -> bool:
-    """A cluster of one voter."""
+    """The quorum of a cluster with one voter: any voter is a majority."""
     return bool(voters)
 
 
 def never_quorum(voters: Collection[str]) -> bool:
-    """A cluster whose majority is unreachable."""
+    """The quorum of a cluster whose majority is unreachable: no voters are a majority."""
     return False
--- a/tests/config_log/test_message_digest.py
+++ b/tests/config_log/test_message_digest.py
@@ -1,7 +1,8 @@
-"""Played elections and rollouts give the same messages, records and commits as commit c5b2902.
+"""Simulated elections and rollouts give the same messages, saved states and commits as commit c5b2902.
 
-The digests were recorded from that commit, before its modules were renamed: what is hashed is every effect of
-every node in order, in that commit's own plain tuples, whatever the types are called today."""
+The digests were recorded with that commit, before its modules were renamed. They cover every effect of every
+node in order, as the plain tuples of that commit, and so do not depend on the present names of the types.
+"""
 
 from collections import Counter
 from hashlib import blake2b
@@ -18,8 +19,8 @@
 from wickvane.config_log.state_machine import PolicyStateMachine
 
 NAMES = ("n1", "n2", "n3", "n4", "n5")
-ROUND = 100  # ticks
-# What c5b2902 called the steps of a rollout, as they were hashed.
+ROUND_TICKS = 100
+# The hashed names of the steps of a rollout: those of commit c5b2902.
 STEP_NAMES = {
     RolloutStep.VALIDATING: "checking",
     RolloutStep.REPLICATING: "agreeing",
@@ -31,20 +32,20 @@
 }
 FINAL_STEPS = (RolloutStep.ACTIVE, RolloutStep.REJECTED, RolloutStep.ABANDONED)
 
-TIMEOUT_SEED = 6  # no fault, abort or report of draining: rollouts end by the timeout of draining
+TIMEOUT_SEED = 6  # without faults, aborts and reports of drained voters: rollouts end by DRAIN_TIMEOUT
 
 
 class Process:
-    """One process: its node, its state machine, both sides of its leases, and what its disk holds."""
+    """One process: its node, its state machine, the leases that it grants and holds, and its disk."""
 
-    def __init__(self, play: "Play", name: str) -> None:
-        self.play = play
+    def __init__(self, simulation: "Simulation", name: str) -> None:
+        self.simulation = simulation
         self.name = name
         self.incarnation = 0
         self.disk = None
         self.node_id = f"{name}/0"
         self.down_until = 0
-        self.disk_refuses_until = 0
+        self.disk_fails_until = 0
         self.start(0)
 
     def start(self, now: int, lost_disk: bool = False) -> None:
@@ -52,7 +53,7 @@
         if lost_disk:
             self.disk = None
             self.node_id = f"{self.name}/{self.incarnation}"
-        random = Random(f"{self.play.seed}/{self.node_id}/{self.incarnation}")
+        random = Random(f"{self.simulation.seed}/{self.node_id}/{self.incarnation}")
         initial_voters = [f"{name}/0" for name in NAMES]
         self.node = RaftNode(now, self.node_id, initial_voters, random, self.disk)
         self.state_machine = PolicyStateMachine("first")
@@ -63,10 +64,10 @@
         self.reported_drained = None
 
     def record(self, now: int, kind: str, *rest: object) -> None:
-        self.play.record(now, self.node_id, kind, *rest)
+        self.simulation.record(now, self.node_id, kind, *rest)
 
     def send(self, now: int, recipient: str, *message: object) -> None:
-        self.play.send(now, self.node_id, recipient, message)
+        self.simulation.send(now, self.node_id, recipient, message)
 
     def carry_out(self, now: int, effects: list[Effect]) -> None:
         for effect in effects:
@@ -74,7 +75,7 @@
             self.record(now, kind, tuple(rest))
             match effect:
                 case PersistState(state):
-                    if now < self.disk_refuses_until:
+                    if now < self.disk_fails_until:
                         self.node.halt()
                         self.record(now, "muted")
                         return
@@ -130,13 +131,13 @@
         voters = self.node.voters()
         if now >= self.next_lease_request_at:
             self.next_lease_request_at = now + 5_000
-            if self.play.random.random() < 0.03:
+            if self.simulation.random.random() < 0.03:
                 for voter in self.holder.release():
                     self.send(now, voter, "released")
             for voter in voters:
                 self.send(now, voter, "lease", self.holder.number, now)
             self.record(now, "holds", self.holder.number, self.holder.expires_at(voters))
-        if self.play.seed != TIMEOUT_SEED:
+        if self.simulation.seed != TIMEOUT_SEED:
             self.report_drained(now)
 
     def report_drained(self, now: int) -> None:
@@ -151,12 +152,12 @@
         self.replace_lost_voters(now)
         if self.rollout is None:
             self.rollout = Rollout.resume(now, self.state_machine)
-        if self.rollout is None and self.play.random.random() < 0.01:
+        if self.rollout is None and self.simulation.random.random() < 0.01:
             self.start_rollout(now)
         if self.rollout is None:
             return
         rollout = self.rollout
-        if self.play.seed != TIMEOUT_SEED and self.play.random.random() < 0.002:
+        if self.simulation.seed != TIMEOUT_SEED and self.simulation.random.random() < 0.002:
             self.record(now, "abort", rollout.abort(now, "by hand"))
         command = rollout.next_command(now, self.state_machine, self.node.is_quorum)
         step = rollout.step
@@ -164,25 +165,25 @@
         if command is not None:
             self.propose(now, command)
         if step in FINAL_STEPS:
-            self.play.counts[STEP_NAMES[step]] += 1
+            self.simulation.counts[STEP_NAMES[step]] += 1
             self.rollout = None
 
     def start_rollout(self, now: int) -> None:
-        random = self.play.random
+        random = self.simulation.random
         number = self.state_machine.last_number + 1
         self.rollout = Rollout(now, number, f"text {number}", self.name, "because", NAMES)
         for name in NAMES:
             if random.random() < 0.97:
                 reason = "no such group" if random.random() < 0.04 else None
                 answered_at = now + random.randrange(100, 15_000)
-                self.play.deliver_at(answered_at, name, self.node_id, ("checked", name, reason))
+                self.simulation.deliver_at(answered_at, name, self.node_id, ("checked", name, reason))
 
     def replace_lost_voters(self, now: int) -> None:
-        """Adds the new identity of a node that lost its disk, then removes the old one."""
+        """Adds the new node id of a process that lost its disk to the voters, then removes the old one."""
         if now % 5_000:
             return
         voters = self.node.voters()
-        node_ids = [process.node_id for process in self.play.processes.values()]
+        node_ids = [process.node_id for process in self.simulation.processes.values()]
         added = [node_id for node_id in node_ids if node_id not in voters]
         removed = [node_id for node_id in voters if node_id not in node_ids]
         if added:
@@ -191,8 +192,8 @@
             self.propose(now, ChangeVoters(tuple(voter for voter in voters if voter != removed[0])))
 
 
-class Play:
-    """A fleet in virtual time with losses, partitions, restarts, lost disks and disks that refuse."""
+class Simulation:
+    """A fleet in virtual time with message losses, partitions, restarts, lost disks and failing disks."""
 
     def __init__(self, seed: int, loss: float) -> None:
         self.seed = seed
@@ -224,20 +225,20 @@
     def is_partitioned(self, node_id: str) -> bool:
         return node_id.split("/")[0] in self.partitioned
 
-    def cause_faults(self, now: int) -> None:
+    def inject_faults(self, now: int) -> None:
         random = self.random
         if random.random() < 0.002:
             self.partitioned = tuple(random.sample(NAMES, random.choice((0, 0, 1, 2))))
             self.record(now, "-", "cut", *self.partitioned)
         for process in self.processes.values():
             if now >= process.down_until:
-                self.cause_process_faults(now, process)
+                self.inject_process_faults(now, process)
 
-    def cause_process_faults(self, now: int, process: Process) -> None:
+    def inject_process_faults(self, now: int, process: Process) -> None:
         random = self.random
         if process.down_until:
             process.down_until = 0
-            # With two new identities at once the old ones may lose their majority for good.
+            # With two new node ids at once the remaining voters could lose their majority permanently.
             lost = random.random() < 0.3 and all(
                 other.node_id in other.node.voters() for other in self.processes.values()
             )
@@ -247,12 +248,12 @@
             process.down_until = now + random.randrange(1_000, 60_000)
             self.record(now, process.node_id, "down")
         elif random.random() < 0.0004:
-            process.disk_refuses_until = now + 5_000
+            process.disk_fails_until = now + 5_000
 
-    def run(self, until: int) -> "Play":
-        for now in range(ROUND, until, ROUND):
+    def run(self, until: int) -> "Simulation":
+        for now in range(ROUND_TICKS, until, ROUND_TICKS):
             if self.seed != TIMEOUT_SEED:
-                self.cause_faults(now)
+                self.inject_faults(now)
             due = sorted((sent for sent in self.in_flight if sent[0] <= now), key=lambda sent: sent[:2])
             self.in_flight = [sent for sent in self.in_flight if sent[0] > now]
             for process in self.processes.values():
@@ -262,17 +263,17 @@
         return self
 
 
-SEEN = ("save", "send", "committed", "restart", "muted", "done", "refused", "abandoned")
+COUNTED_KINDS = ("save", "send", "committed", "restart", "muted", "done", "refused", "abandoned")
 
 
 @pytest.mark.parametrize(("seed", "loss"), [(1, 0.0), (2, 0.02), (3, 0.1), (4, 0.3), (5, 0.05), (6, 0.01)])
-def test_played_elections_and_rollouts_are_those_of_c5b2902(seed, loss):
-    play = Play(seed, loss).run(4_000_000)
-    counts = {word: play.counts[word] for word in SEEN}
-    assert (play.hash.hexdigest(), counts) == DIGESTS[seed]
+def test_simulated_elections_and_rollouts_match_the_digests_of_c5b2902(seed, loss):
+    simulation = Simulation(seed, loss).run(4_000_000)
+    counts = {kind: simulation.counts[kind] for kind in COUNTED_KINDS}
+    assert (simulation.hash.hexdigest(), counts) == DIGESTS[seed]
 
 
-# seed: (digest, how much of what happened)
+# by seed: (digest, number of records by kind)
 DIGESTS = {
     1: (
         "8258f0f591dd17b3dae7dcb9c07b15ef",
--- a/tests/config_log/test_policy_command.py
+++ b/tests/config_log/test_policy_command.py
@@ -1,4 +1,4 @@
-"""`wickvane policy check` as a process: output and exit status."""
+"""Runs `wickvane policy check` as a process and checks its output and exit status."""
 
 import json
 import subprocess
@@ -10,7 +10,7 @@
 ROOT = Path(__file__).parents[2]
 
 
-def test_the_command_prints_what_would_change_and_what_is_invalid(tmp_path):
+def test_policy_check_prints_changes_and_rejects_invalid_policies(tmp_path):
     config_path = tmp_path / "config.json"
     document_path = tmp_path / "policy.kdl"
 
@@ -21,13 +21,13 @@
         return subprocess.run(command, capture_output=True, text=True, cwd=ROOT)
 
     config_path.write_text(json.dumps({"settings": SETTINGS}))
-    good = check('policy { group "lookup" { target "1s"; value 3 } }')
-    assert good.returncode == 0 and good.stdout.splitlines()[1:] == [
+    valid = check('policy { group "lookup" { target "1s"; value 3 } }')
+    assert valid.returncode == 0 and valid.stdout.splitlines()[1:] == [
         "  group lookup target: 1500ms to 1000ms",
         "  group lookup value: 1 to 3",
     ]
     printed = json.loads(check('policy { group "lookup" { value 3 } }', "--json").stdout)
     assert printed["changes"] == [{"what": "group lookup value", "before": 1.0, "after": 3.0}]
-    bad = check('policy { group "nowhere" { value 3 } }')
-    assert bad.returncode == 2 and "line 1: policy > group" in bad.stderr and not bad.stdout
+    invalid = check('policy { group "nowhere" { value 3 } }')
+    assert invalid.returncode == 2 and "line 1: policy > group" in invalid.stderr and not invalid.stdout
     assert check("policy", "--json", "--wrong").returncode == 2
--- a/tests/config_log/test_policy_document.py
+++ b/tests/config_log/test_policy_document.py
@@ -1,4 +1,4 @@
-"""Policy documents: what they override, what is refused, and which of two is the stricter."""
+"""Policy documents: the settings that they override, the errors of invalid ones, and the stricter of two."""
 
 import pytest
 from bench_free import group, site
@@ -22,7 +22,7 @@
     return apply_policy(parsed(text), SETTINGS, GROUPS, TENANTS)
 
 
-def test_what_a_document_names_is_overridden_and_the_rest_stays():
+def test_a_policy_overrides_only_the_settings_in_its_document():
     deployment = applied("""policy {
         group "lookup" { target "500ms"; timeout "5s"; value 2.0 }
         tenant "acme" share=0.25
@@ -62,13 +62,13 @@
         ("/" * 65_537, "longer than 65536"),
     ],
 )
-def test_a_document_that_is_invalid_says_what_was_expected(text, words):
+def test_the_error_for_an_invalid_document_names_what_was_expected(text, words):
     with pytest.raises(parts.InvalidDocumentError) as error:
         parsed(text)
     assert words in str(error.value)
 
 
-def test_the_stricter_of_two_has_the_lower_of_every_bound():
+def test_the_strictest_of_two_deployments_has_the_lower_of_every_bound():
     one = applied('policy { group "load" { value 9.0; timeout "5s" }; further free=1 }')
     other = applied('policy { group "load" { timeout "6s" }; cold multiple=1.5 }')
     lower = strictest(one, other)
--- a/tests/config_log/test_policy_lease.py
+++ b/tests/config_log/test_policy_lease.py
@@ -1,6 +1,7 @@
-"""Leases on policy numbers searched through: messages in any order, crashes, clocks that stand still.
+"""Leases on policy numbers: searches with messages in any order, crashes, and clocks that miss a tick.
 
-A mutation of each guard must break them."""
+A mutation of each guard must cause a violation.
+"""
 
 import pytest
 from hypothesis import given, settings
@@ -19,29 +20,30 @@
     assert violation is None and states >= 20_000
 
 
-TICKS = ", ".join(["tick"] * 4)
-MUTATIONS = {  # the guard changed; steps by which that breaks, and the guard itself does not
-    "a voter forgets what it granted": (
+FOUR_TICKS = ", ".join(["tick"] * 4)
+# By name: the guard's source, its mutation, and steps that cause a violation with the mutation only.
+MUTATIONS = {
+    "a restarted voter ignores the leases that it granted": (
         "self.earlier_leases_expire_at = now + duration + self.drift_allowance",
         "self.earlier_leases_expire_at = now",
         "lease x a b, drain a b, crash a b, commit a b, activate a b, lease y a b",
     ),
-    "drained with a valid lease": (
+    "a voter is drained while a lease is valid": (
         "            and all(now >= expiry for expiry in self.expires_at.values())\n",
         "",
         "lease x a b, drain a b, commit a b, activate a b, lease y a b",
     ),
-    "grants while it drains": (
+    "a voter grants leases while it drains": (
         "if number != self.active_number or self.successor is not None:",
         "if number != self.active_number:",
         "drain a b, commit a b, lease x a b, activate a b, lease y a b",
     ),
-    "counts longer than was granted": (
+    "a holder counts more than the granted duration": (
         "max(requested_at + self.duration,",
         "max(requested_at + 2 * self.duration,",
-        f"lease x a b, {TICKS}, drain a b, commit a b, activate a b, lease y a b",
+        f"lease x a b, {FOUR_TICKS}, drain a b, commit a b, activate a b, lease y a b",
     ),
-    "no majority is needed": (
+    "a lease is valid without a majority": (
         "expiries[len(voters) // 2]",
         "expiries[0]",
         "lease x a, drain b c, commit b c, activate b c, lease y b c",
@@ -67,10 +69,10 @@
         max_size=40,
     )
 )
-def test_a_grantor_never_activates_a_lower_number_nor_grants_two(steps):
+def test_a_lessor_never_activates_a_lower_number_nor_grants_an_inactive_one(steps):
     lessor = Lessor(0, 0, duration=10)
     now = 100
-    highest = 0
+    max_number = 0
     for step, number, holder in steps:
         now += number
         match step:
@@ -85,8 +87,8 @@
                 lessor.drain(number)
             case "activate":
                 lessor.activate(number)
-        highest = max(highest, lessor.active_number)
-        assert lessor.active_number == highest
+        max_number = max(max_number, lessor.active_number)
+        assert lessor.active_number == max_number
 
 
 def test_a_holder_needs_the_grants_of_a_majority():
--- a/tests/config_log/test_raft_node.py
+++ b/tests/config_log/test_raft_node.py
@@ -1,4 +1,4 @@
-"""A cluster on its own timers, in virtual time."""
+"""A cluster that runs on its own timers in virtual time."""
 
 from random import Random
 
@@ -10,7 +10,7 @@
 
 
 class TimedCluster:
-    """Three nodes whose messages take 10 to 40 ms."""
+    """Three nodes; each message is delivered after 10 to 40 ms."""
 
     def __init__(self) -> None:
         self.random = Random(5)
@@ -50,8 +50,8 @@
     return ProposePolicy(number, "digest", "text", "author", "comment")
 
 
-def test_three_voters_elect_follow_and_elect_again_on_their_timers():
-    """A leader within seconds, the same entries at all, a new leader when it stops."""
+def test_three_voters_elect_a_leader_replicate_and_elect_again_when_it_stops():
+    """A leader is elected within seconds, all nodes commit the same, and a stopped leader is replaced."""
     cluster = TimedCluster()
     cluster.run(80_000)
     first = cluster.leader()
--- a/tests/config_log/test_raft_safety.py
+++ b/tests/config_log/test_raft_safety.py
@@ -1,7 +1,8 @@
-"""Raft's safety searched through: every interleaving of a small cluster, with faults.
+"""Raft's safety: a search of the interleavings of a small cluster, with faults.
 
-Messages are lost and duplicated, nodes crash with and without a disk. A mutation of each guard must break
-it."""
+Messages are lost and duplicated, and nodes crash and keep or lose their disks. A mutation of each guard must
+cause a violation.
+"""
 
 from random import Random
 from types import ModuleType
@@ -21,20 +22,20 @@
     frontier = [ModelCluster()]
     states = 0
     while frontier and states < 15_000:
-        following = []
+        next_frontier = []
         for cluster in frontier:
             for successor in cluster.successors():
                 assert not successor.violation, successor.violation
                 if (key := hash(successor.key())) not in seen:
                     seen.add(key)
                     states += 1
-                    following.append(successor)
-        frontier = following
+                    next_frontier.append(successor)
+        frontier = next_frontier
     print(f"{states} states")
     assert states >= 15_000
 
 
-def test_long_random_walks_commit_and_never_twice_at_one_index():
+def test_long_random_walks_never_commit_two_entries_at_one_index():
     for seed in range(300):
         assert random_walk(seed) is None
     cluster = ModelCluster()
@@ -46,6 +47,7 @@
     assert committed == [NoOp(), proposal("x")]
 
 
+# By name: the module, the guard's source, and its mutation.
 MUTATIONS = {
     "votes twice in a term": (raft_node, "            and self.voted_for in (None, sender)\n", ""),
     "votes for an older log": (raft_node, "            and up_to_date\n", ""),
@@ -73,7 +75,7 @@
 
 
 def mutated_raft_node(module: ModuleType, before: str, after: str) -> ModuleType:
-    """raft_node with a mutation of its own, or of the log that it uses."""
+    """Returns raft_node with a mutation of its own source, or of the log that it uses."""
     if module is raft_node:
         return mutated(raft_node, before, after)
     log_class = mutated(module, before, after).ReplicatedLog
@@ -88,10 +90,10 @@
 
 
 class Figure8:
-    """Figure 8 of the paper: a leader of term 3 replicates an entry of term 1 that it alone had, and fails.
+    """Figure 8 of the Raft paper: a leader of term 3 replicates its own entry of term 1, then crashes.
 
-    At that index is in the end an entry that another leader wrote in term 2. Messages carry one entry, so
-    that the entries of terms 1 and 3 arrive apart.
+    No other node had that entry. Another leader then replaces it by one that it appended in term 2. Each
+    message carries one entry, so that the entries of terms 1 and 3 arrive separately.
     """
 
     def __init__(self, module: ModuleType) -> None:
@@ -99,7 +101,7 @@
         self.cluster = ModelCluster(module, max_in_flight=12)
 
     def exchange(self, node_id: str, other: str, limit: int, until_leader: bool = False) -> None:
-        """Delivers at most so many messages between two nodes, and drops all the others."""
+        """Delivers at most `limit` messages between two nodes, and drops all others."""
         cluster = self.cluster
         for _ in range(limit):
             positions = [n for n, sent in enumerate(cluster.in_flight) if {*sent[:2]} == {node_id, other}]
@@ -109,10 +111,10 @@
         cluster.in_flight = ()
 
     def elect(self, node_id: str, other: str) -> None:
-        """Two nodes restart, and one becomes leader by the other's vote."""
+        """Restarts two nodes, of which the first becomes leader by the second one's vote."""
         self.cluster.crash(node_id, keeps_disk=True)
         self.cluster.crash(other, keeps_disk=True)
-        for _ in range(2):  # the first attempt may only tell it of a later term
+        for _ in range(2):  # the first election may only inform it of a later term
             if not self.cluster.nodes[node_id].is_leader:
                 self.cluster.start_election(node_id)
                 self.exchange(node_id, other, 40, until_leader=True)
@@ -131,16 +133,16 @@
         return self.cluster
 
 
-def test_an_entry_of_an_earlier_term_is_committed_only_by_one_of_the_leaders_own():
+def test_an_entry_of_an_earlier_term_is_committed_only_with_one_of_the_current_term():
     one_entry = mutated(raft_node, "MAX_ENTRIES_PER_MESSAGE = 16", "MAX_ENTRIES_PER_MESSAGE = 1")
     assert not Figure8(one_entry).run().violation
     guard = "if self.log.term_at(index) == self.current_term and self.is_quorum"
     assert Figure8(mutated(raft_node, guard, "if self.is_quorum")).run().violation
 
 
-def test_a_node_without_its_disk_would_vote_twice_and_so_gets_a_new_identity():
+def test_a_node_that_lost_its_disk_could_vote_twice_and_needs_a_new_id():
     assert any(random_walk(seed, **{"lost disk": 2}) for seed in range(3000))
-    # Under a new id it follows, votes for nobody, and is added by an entry.
+    # Under a new id it replicates the log, grants no votes, and is added by an entry.
     cluster = ModelCluster(max_in_flight=12)
     cluster.start_election("a")
     cluster.deliver_all()
--- a/tests/config_log/test_replicated_log.py
+++ b/tests/config_log/test_replicated_log.py
@@ -1,4 +1,4 @@
-"""The log's voters and its consistency check, against a plain search through the entries."""
+"""The log's voters and its consistency check, compared with a linear search of the entries."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -28,7 +28,7 @@
                 assert state.changes_voters_after(index) == any(n > index for n in indices)
 
 
-def test_the_consistency_check_compares_terms_and_accepts_the_beginning():
+def test_the_consistency_check_compares_terms_and_accepts_index_zero():
     log = ReplicatedLog([LogEntry(1, NoOp()), LogEntry(3, NoOp())])
     assert log.contains(0, 0) and log.contains(1, 1) and log.contains(2, 3)
     assert not log.contains(2, 1) and not log.contains(3, 3)
--- a/tests/config_log/test_rollout.py
+++ b/tests/config_log/test_rollout.py
@@ -1,4 +1,4 @@
-"""Rollouts: validated, replicated, drained, activated; rejected or abandoned; resumed by a new leader."""
+"""The steps of rollouts, their rejection and abandonment, and their resumption by a new leader."""
 
 import pytest
 
@@ -12,7 +12,7 @@
     rollout = Rollout(0, 1, "x", "me", "why", ["a", "b"])
     rollout.record_acceptance("a")
     assert rollout.next_command(1, machine, any_voter_is_quorum) is None and rollout.unreachable() == ["b"]
-    now = VALIDATION_TIMEOUT  # who is unreachable does not hold it up
+    now = VALIDATION_TIMEOUT  # an unreachable dispatcher delays the rollout no longer
     command = rollout.next_command(now, machine, any_voter_is_quorum)
     assert isinstance(command, ProposePolicy)
     assert machine.apply(1, LogEntry(1, command)) and machine.lease_numbers() == (0, 1)
@@ -29,7 +29,7 @@
     assert machine.history[0].end_reason == "followed by 1"
 
 
-def test_any_rejection_ends_it_by_name_and_reason_and_nothing_is_proposed():
+def test_any_rejection_ends_the_rollout_with_name_and_reason_and_without_a_proposal():
     rollout = Rollout(0, 1, "x", "me", "why", ["a", "b"])
     rollout.record_rejection("b", "no group loads here")
     rollout.record_rejection("z", "never asked")
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("drains", [True, False])
-def test_a_new_leader_completes_or_abandons_it(drains):
+def test_a_new_leader_completes_or_abandons_a_pending_rollout(drains):
     assert Rollout.resume(5, applied()) is None
     machine = applied(proposed(1))
     rollout = Rollout.resume(5, machine)
@@ -68,7 +68,7 @@
         assert machine.lease_numbers() == (0, None) and machine.last_number == 1
 
 
-def test_an_operator_can_abort_it_until_it_activates():
+def test_an_operator_can_abort_a_rollout_until_activation():
     machine = applied(proposed(1))
     rollout = Rollout.resume(0, applied(proposed(1)))
     assert rollout.abort(1, "by hand")
--- a/tests/config_log/test_state_machine.py
+++ b/tests/config_log/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The state machine of policies: the same at all, and no number with two documents or active twice."""
+"""The state machine of policies: equal on all nodes; no number has two documents or is active twice."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -20,13 +20,13 @@
         max_size=30,
     )
 )
-def test_a_number_has_one_document_for_good_and_is_never_active_again(entries):
+def test_a_number_keeps_its_document_and_never_becomes_active_again(entries):
     machine = PolicyStateMachine("first")
     digests = {0: content_digest("first")}
     active_numbers = [0]
     for index, entry in enumerate(entries, 1):
         machine.apply(index, entry)
-        assert not machine.apply(index, entry)  # delivered twice
+        assert not machine.apply(index, entry)  # a second delivery
         for number, record in machine.history.items():
             assert digests.setdefault(number, record.digest) == record.digest
         if machine.active_number != active_numbers[-1]:
--- a/tests/config_log/test_vote_store.py
+++ b/tests/config_log/test_vote_store.py
@@ -1,4 +1,4 @@
-"""The vote file: read back as it was saved, discarded where it is damaged, kept where the disk refuses."""
+"""The vote file: loaded unchanged, discarded if it is damaged, kept if saving a new one fails."""
 
 import os
 from random import Random
@@ -26,13 +26,15 @@
 )
 
 
-def test_what_is_saved_is_read_back_as_it_was(tmp_path):
+def test_a_saved_state_is_loaded_unchanged(tmp_path):
     first = VoteStore(tmp_path, "n1")
     assert first.is_new and first.node_id.startswith("n1/")
     first.save(PersistentState(3, "n2/ff", ENTRIES))
-    again = VoteStore(tmp_path, "n1")
-    assert not again.is_new and again.node_id == first.node_id and again.state == (3, "n2/ff", ENTRIES)
-    node = RaftNode(0, again.node_id, ["a"], Random(1), again.state)
+    reopened = VoteStore(tmp_path, "n1")
+    assert (
+        not reopened.is_new and reopened.node_id == first.node_id and reopened.state == (3, "n2/ff", ENTRIES)
+    )
+    node = RaftNode(0, reopened.node_id, ["a"], Random(1), reopened.state)
     assert node.voters() == ("a/1", "b/2") and node.log.last_position() == (2, 4)
 
 
@@ -50,14 +52,14 @@
             assert store.node_id != first.node_id and store.state == (0, None, ())
 
 
-def test_a_disk_that_refuses_leaves_the_old_file_and_a_partial_one_is_not_read(tmp_path, monkeypatch):
+def test_a_failed_save_keeps_the_old_file_and_a_partial_file_is_not_read(tmp_path, monkeypatch):
     first = VoteStore(tmp_path, "n1")
     first.save(PersistentState(3, "n2/ff", ENTRIES))
 
-    def refuse(*arguments):
+    def fail(*arguments):
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(os, "fsync", refuse)
+    monkeypatch.setattr(os, "fsync", fail)
     with pytest.raises(OSError, match="No space"):
         first.save(PersistentState(4))
     monkeypatch.undo()
--- a/tests/config_log/test_vote_store_format.py
+++ b/tests/config_log/test_vote_store_format.py
@@ -1,7 +1,8 @@
-"""Vote files written by commit c5b2902 are read, and written again byte for byte.
+"""Vote files written by commit c5b2902 are loaded, and saved again byte for byte.
 
-tests/data/vote-store-c5b2902 was written by the store of that commit: a file with each kind of entry, one of
-a new voter, and one that a node of the played fleet of seed 1 (test_message_digest.py) held in the end."""
+tests/data/vote-store-c5b2902 was written by the vote store of that commit: a file with each kind of entry,
+the file of a new voter, and the final file of a node in the simulation of seed 1 (test_message_digest.py).
+"""
 
 import shutil
 from hashlib import blake2b
@@ -57,7 +58,7 @@
     assert plain_state(store.state) == (0, None, ())
 
 
-def test_a_file_of_a_played_fleet_is_read(tmp_path):
+def test_a_file_of_a_simulated_fleet_is_read(tmp_path):
     store = opened(tmp_path, "played")
     assert not store.is_new and store.discard_reason is None and store.node_id == "n1/0"
     term, voted_for, log = plain_state(store.state)
@@ -72,7 +73,7 @@
 
 
 @pytest.mark.parametrize("name", ["all-commands", "new-voter", "played"])
-def test_what_was_read_is_written_byte_for_byte(tmp_path, name):
+def test_a_loaded_file_is_saved_byte_for_byte(tmp_path, name):
     store = opened(tmp_path, name)
     store.save(store.state)
     assert (tmp_path / name / "vote").read_bytes() == (FIXTURES / name / "vote").read_bytes()
--- a/wickvane/config_log/policy_overrides.py
+++ b/wickvane/config_log/policy_overrides.py
@@ -49,7 +49,7 @@
 def strictest(first: Deployment, second: Deployment) -> Deployment:
     """Returns a deployment with the lower of each bound and weight of two deployments.
 
-    A dispatcher that does not know which of two policies is active can follow it without breaking either.
+    It is for a dispatcher that does not know which of two policies is active.
     """
     groups = [_strictest_group(*pair) for pair in zip(first.groups, second.groups, strict=True)]
     tenants = [
--- a/wickvane/config_log/raft_node.py
+++ b/wickvane/config_log/raft_node.py
@@ -3,7 +3,7 @@
 The node supports pre-votes and single-server membership changes. Its caller passes the time and the received
 messages, and carries out the returned effects in order (messages.Effect).
 
-No two different entries are committed at one index, for these reasons: a vote is on disk before it is sent. A
+No two different entries are committed at one index, for these reasons. A vote is on disk before it is sent. A
 node grants one vote per term, and only to a candidate whose log is at least as up to date as its own. An
 entry is committed when a majority of the leader's current voters has it on disk and it is of the leader's own
 term. Entries of the log change the voters: each adds or removes one voter and is in force as soon as it is in
--- a/wickvane/config_log/rollout.py
+++ b/wickvane/config_log/rollout.py
@@ -64,7 +64,7 @@
         self.step = RolloutStep.VALIDATING
         self.started_at = now
         self.step_started_at = now
-        self.reason: str | None = None  # for its rejection, or its present or intended abandonment
+        self.reason: str | None = None  # why it was rejected or abandoned, or is to be abandoned
         self.awaited_validators = set(validators)
         self.accepted_by: set[str] = set()
         self.rejections: dict[str, str] = {}  # reason by dispatcher name
