--- a/tests/config_log/lease_model.py
+++ b/tests/config_log/lease_model.py
@@ -1,4 +1,7 @@
-"""A model of leases for searches: three voters, two holders, a clock each; number 2 is to follow 1."""
+"""A model of leases for state-space searches: three voters, two holders, each with a clock.
+
+Policy number 2 replaces number 1.
+"""
 
 import copy
 from collections.abc import Callable, Iterator
@@ -16,14 +19,17 @@
 
 
 class LeaseModel:
-    """violation: that the old number was valid after the new one, or None."""
+    """The state of all voters, holders and messages.
+
+    violation: states that the old number was valid after the new one; None if that has not happened.
+    """
 
     def __init__(self, module: ModuleType = policy_lease) -> None:
         self.module = module
         self.time = 0
         self.clocks = dict.fromkeys((*VOTERS, *HOLDERS), STARTED_AT)
-        self.grantors = {
-            voter: module.LeaseGrantor(STARTED_AT - 50, OLD_NUMBER, None, DURATION, DRIFT) for voter in VOTERS
+        self.lessors = {
+            voter: module.Lessor(STARTED_AT - 50, OLD_NUMBER, None, DURATION, DRIFT) for voter in VOTERS
         }
         self.holders = {name: module.LeaseHolder(OLD_NUMBER, DURATION) for name in HOLDERS}
         self.disks = dict.fromkeys(VOTERS, (OLD_NUMBER, None))  # number and successor by voter
@@ -31,28 +37,28 @@
         self.is_activated = False
         self.numbers_used = set()
         self.violation = None
-        # request or grant, holder, voter, number, when it was requested on the holder's clock
+        # "request" or "grant", holder, voter, number, time of the request on the holder's clock
         self.in_flight: tuple[tuple[str, str, str, int, int], ...] = ()
         self.slow_ticks_left = 1
         self.crashes_left = 1
 
     def fork(self) -> "LeaseModel":
-        """A copy that goes on on its own."""
+        """Returns an independent copy."""
         other = copy.copy(self)
         other.clocks = dict(self.clocks)
         other.disks = dict(self.disks)
         other.reported_drained = set(self.reported_drained)
         other.numbers_used = set(self.numbers_used)
-        other.grantors = {voter: copy.copy(grantor) for voter, grantor in self.grantors.items()}
+        other.lessors = {voter: copy.copy(lessor) for voter, lessor in self.lessors.items()}
         other.holders = {name: copy.copy(holder) for name, holder in self.holders.items()}
-        for grantor in other.grantors.values():
-            grantor.expires_at = dict(grantor.expires_at)
+        for lessor in other.lessors.values():
+            lessor.expires_at = dict(lessor.expires_at)
         for holder in other.holders.values():
             holder.grants_expire_at = dict(holder.grants_expire_at)
         return other
 
     def check(self) -> "LeaseModel":
-        """Notes which numbers are valid now."""
+        """Records which numbers are valid now, and a violation if there is one; returns the model."""
         valid = {
             holder.number
             for name, holder in self.holders.items()
@@ -64,20 +70,20 @@
         return self
 
     def key(self) -> tuple:
-        """What tells two states apart; times by how far they are ahead."""
+        """Returns a key that is equal for equivalent states; expiry times are relative to the clocks."""
         clocks = self.clocks
         return (
             self.time,
             tuple(
                 (
-                    grantor.active_number,
-                    grantor.successor,
+                    lessor.active_number,
+                    lessor.successor,
                     tuple(
-                        sorted((name, expiry - clocks[voter]) for name, expiry in grantor.expires_at.items())
+                        sorted((name, expiry - clocks[voter]) for name, expiry in lessor.expires_at.items())
                     ),
-                    max(0, grantor.earlier_leases_expire_at - clocks[voter]),
+                    max(0, lessor.earlier_leases_expire_at - clocks[voter]),
                 )
-                for voter, grantor in self.grantors.items()
+                for voter, lessor in self.lessors.items()
             ),
             tuple(
                 (
@@ -100,29 +106,29 @@
         )
 
     def lease(self, name: str, voters: list[str]) -> None:
-        """A holder's requests, answered at once."""
+        """A holder requests leases, and the voters answer immediately."""
         holder = self.holders[name]
         for voter in voters:
-            if self.grantors[voter].grant(self.clocks[voter], name, holder.number):
+            if self.lessors[voter].grant(self.clocks[voter], name, holder.number):
                 holder.record_grant(voter, holder.number, self.clocks[name])
 
     def drain(self, voter: str) -> None:
-        """A voter learns of the successor, and saves it."""
-        self.grantors[voter].drain(NEW_NUMBER)
+        """A voter receives the successor and saves it."""
+        self.lessors[voter].drain(NEW_NUMBER)
         self.disks[voter] = (OLD_NUMBER, NEW_NUMBER)
 
     def activate(self, voter: str) -> None:
-        """A voter learns that the successor is active, and saves it."""
-        self.grantors[voter].activate(NEW_NUMBER)
+        """A voter applies the activation of the successor and saves it."""
+        self.lessors[voter].activate(NEW_NUMBER)
         self.disks[voter] = (NEW_NUMBER, None)
 
     def crash(self, voter: str) -> None:
-        """A voter restarts with its disk."""
+        """A voter restarts with the state on its disk."""
         now = self.clocks[voter]
-        self.grantors[voter] = self.module.LeaseGrantor(now, *self.disks[voter], DURATION, DRIFT)
+        self.lessors[voter] = self.module.Lessor(now, *self.disks[voter], DURATION, DRIFT)
 
     def successors(self) -> Iterator["LeaseModel"]:
-        """Each state that one step leads to."""
+        """Yields each state that one step leads to."""
         if self.time < 7:
             yield from self._clock_steps()
         for name in self.holders:
@@ -131,7 +137,7 @@
             other = self.fork()
             other.deliver(position)
             yield other.check()
-        for voter in self.grantors:
+        for voter in self.lessors:
             yield from self._voter_steps(voter)
         if len(self.reported_drained) >= 2 and not self.is_activated:
             other = self.fork()
@@ -139,16 +145,16 @@
             yield other
 
     def deliver(self, position: int) -> None:
-        """A request or a grant arrives."""
+        """Delivers a request or a grant."""
         kind, name, voter, number, requested_at = self.in_flight[position]
         self.in_flight = self.in_flight[:position] + self.in_flight[position + 1 :]
         if kind == "grant":
             self.holders[name].record_grant(voter, number, requested_at)
-        elif self.grantors[voter].grant(self.clocks[voter], name, number):
+        elif self.lessors[voter].grant(self.clocks[voter], name, number):
             self.in_flight += (("grant", name, voter, number, requested_at),)
 
     def _clock_steps(self) -> Iterator["LeaseModel"]:
-        """A tick on all clocks, or on all but one."""
+        """Yields the states after a tick of all clocks, or of all clocks but one."""
         for slow in (None, "x", "a") if self.slow_ticks_left else (None,):
             other = self.fork()
             other.time += 1
@@ -170,16 +176,16 @@
             yield other.check()
 
     def _voter_steps(self, voter: str) -> Iterator["LeaseModel"]:
-        grantor = self.grantors[voter]
-        if grantor.successor is None and grantor.active_number == OLD_NUMBER and not self.is_activated:
+        lessor = self.lessors[voter]
+        if lessor.successor is None and lessor.active_number == OLD_NUMBER and not self.is_activated:
             other = self.fork()
             other.drain(voter)
             yield other
-        if grantor.is_drained(self.clocks[voter]) and voter not in self.reported_drained:
+        if lessor.is_drained(self.clocks[voter]) and voter not in self.reported_drained:
             other = self.fork()
             other.reported_drained.add(voter)
             yield other
-        if self.is_activated and grantor.active_number == OLD_NUMBER:
+        if self.is_activated and lessor.active_number == OLD_NUMBER:
             other = self.fork()
             other.activate(voter)
             yield other
@@ -191,12 +197,12 @@
 
 
 def search(max_states: int) -> tuple[str | None, int]:
-    """(violation or None, number of states), breadth first."""
+    """Searches breadth-first; returns (violation or None, number of states)."""
     seen = set()
     frontier = [LeaseModel()]
     states = 0
     while frontier and states < max_states:
-        following = []
+        next_frontier = []
         for model in frontier:
             for successor in model.successors():
                 if successor.violation:
@@ -204,13 +210,13 @@
                 if (key := hash(successor.key())) not in seen:
                     seen.add(key)
                     states += 1
-                    following.append(successor)
-        frontier = following
+                    next_frontier.append(successor)
+        frontier = next_frontier
     return None, states
 
 
 def replay(module: ModuleType, script: str) -> str | None:
-    """The violation when the steps of a script are taken in turn; one that a guard forbids is left out."""
+    """Returns the violation after a script's steps, or None; a step that a guard forbids is skipped."""
     model = LeaseModel(module)
     for step in script.split(","):
         word, *names = step.split()
@@ -230,10 +236,11 @@
         case "crash":
             _for_each(names, model.crash)
         case "commit":
-            drained = [voter for voter in names if model.grantors[voter].is_drained(model.clocks[voter])]
+            drained = [voter for voter in names if model.lessors[voter].is_drained(model.clocks[voter])]
             model.is_activated = len(drained) >= 2
         case "activate":
-            if model.is_activated:  # at these voters, and the second holder switches
+            if model.is_activated:
+                # These voters activate the new number, and the second holder switches to it.
                 model.holders["y"].switch_to(NEW_NUMBER)
                 _for_each(names, model.activate)
         case _:
--- a/tests/config_log/test_policy_document.py
+++ b/tests/config_log/test_policy_document.py
@@ -1,4 +1,4 @@
-"""Policy documents: what they override, what is refused, and which of two is the stricter."""
+"""Policy documents: the settings that they override, the errors of invalid ones, and the stricter of two."""
 
 import pytest
 from bench_free import group, site
@@ -22,7 +22,7 @@
     return apply_policy(parsed(text), SETTINGS, GROUPS, TENANTS)
 
 
-def test_what_a_document_names_is_overridden_and_the_rest_stays():
+def test_a_policy_overrides_only_the_settings_in_its_document():
     deployment = applied("""policy {
         group "lookup" { target "500ms"; timeout "5s"; value 2.0 }
         tenant "acme" share=0.25
@@ -49,26 +49,26 @@
         ('policy { group "lookup" { target "6s"; timeout "5s" } }', "a target within the timeout"),
         ('policy { group "other" { value 1.0 } }', "a resource group of the settings: lookup, load"),
         ('policy { group "lookup" { effect "read-only" } }', "expected late, target, timeout, value"),
-        ('policy { group "lookup"; group "lookup" }', "each by one node"),
+        ('policy { group "lookup"; group "lookup" }', "a unique name"),
         ('policy { tenant "acme" }', "a property share"),
-        ('policy { tenant "acme" share=0.6; tenant "beta" share=0.6 }', "shares of at most 1 together"),
+        ('policy { tenant "acme" share=0.6; tenant "beta" share=0.6 }', "shares whose sum is at most 1"),
         ("policy { further free=4 }", "settings' 3 (rule 7)"),
         ("policy { further share=0.2 }", "settings' 0.1 (rule 7)"),
         ("policy { cold multiple=3.0 }", "settings' 2.5 (rule 4)"),
         ("policy { key-rest 0 }", "key-rest: expected cold, further, group, tenant"),
         ("policy 3", "no value of its own"),
-        ("other", "one node policy"),
-        ("policy {", "no KDL 2"),
+        ("other", "a single node named policy"),
+        ("policy {", "not a KDL 2 document"),
         ("/" * 65_537, "longer than 65536"),
     ],
 )
-def test_a_document_that_is_invalid_says_what_was_expected(text, words):
+def test_the_error_for_an_invalid_document_names_what_was_expected(text, words):
     with pytest.raises(parts.InvalidDocumentError) as error:
         parsed(text)
     assert words in str(error.value)
 
 
-def test_the_stricter_of_two_has_the_lower_of_every_bound():
+def test_the_strictest_of_two_deployments_has_the_lower_of_every_bound():
     one = applied('policy { group "load" { value 9.0; timeout "5s" }; further free=1 }')
     other = applied('policy { group "load" { timeout "6s" }; cold multiple=1.5 }')
     lower = strictest(one, other)
