--- a/tests/scheduling/test_connection_pacing.py
+++ b/tests/scheduling/test_connection_pacing.py
@@ -12,7 +12,7 @@
 from test_rehearsal import SMALL, Served
 
 from wickvane.net import storms
-from wickvane.scheduling.connection_pacing import EASE_STEPS, RATE_LEAST, STEP, ConnectionPacing
+from wickvane.scheduling.connection_pacing import MIN_CALM_STEPS, MIN_RATE, STEP_TICKS, ConnectionPacing
 from wickvane.units import TICKS_PER_SECOND
 
 
@@ -35,7 +35,7 @@
     for come, used, lag, urgent in steps:
         rate = pace.rate
         for n in range(come):
-            at = now + STEP * n // max(1, come)
+            at = now + STEP_TICKS * n // max(1, come)
             got = pace.admits(at, urgent == 3 and n == 0)
             if rate is None:
                 assert got
@@ -44,15 +44,15 @@
             elif not got:
                 assert 0 < pace.retry_after(at) <= 20_000
         if rate is not None:
-            credit = (credit or 0.0) + rate * STEP / TICKS_PER_SECOND
-            assert let <= credit + max(1.0, rate * STEP / TICKS_PER_SECOND)
+            credit = (credit or 0.0) + rate * STEP_TICKS / TICKS_PER_SECOND
+            assert let <= credit + max(1.0, rate * STEP_TICKS / TICKS_PER_SECOND)
         else:
             credit = None
             let = 0
-        now = now + STEP
+        now = now + STEP_TICKS
         cpu = cpu + used
         turns = pace.observe(now, lag, cpu)
-        assert pace.rate is None or pace.rate >= RATE_LEAST
+        assert pace.rate is None or pace.rate >= MIN_RATE
         assert [event for event, _ in turns] == (
             ["begins"]
             if rate is None and pace.rate is not None
@@ -60,9 +60,9 @@
             if rate is not None and pace.rate is None
             else []
         )
-        strained = lag > pace.late_lag or used > 0.9 * STEP / TICKS_PER_SECOND
+        strained = lag > pace.late_lag or used > 0.9 * STEP_TICKS / TICKS_PER_SECOND
         if rate is not None and pace.rate is not None:
-            assert pace.rate == pytest.approx(max(RATE_LEAST, 0.85 * rate) if strained else rate + 1)
+            assert pace.rate == pytest.approx(max(MIN_RATE, 0.85 * rate) if strained else rate + 1)
 
 
 def paced() -> ConnectionPacing:
@@ -70,42 +70,42 @@
     pace = ConnectionPacing(0, 5_000, 1.0, 40_000, 1)
     for n in range(25):
         pace.admits(n * 100)
-    assert [event for event, _ in pace.observe(STEP, 2_000, 0.01)] == ["begins"]
+    assert [event for event, _ in pace.observe(STEP_TICKS, 2_000, 0.01)] == ["begins"]
     return pace
 
 
 def test_connections_not_admitted_are_asked_back_one_behind_another_at_the_rate():
     pace = paced()
-    away = [pace.retry_after(STEP) for _ in range(20)]
+    away = [pace.retry_after(STEP_TICKS) for _ in range(20)]
     gaps = [b - a for a, b in zip(away, away[1:])]
     assert all(gap == pytest.approx(TICKS_PER_SECOND / pace.rate, abs=1) for gap in gaps)
-    far = [pace.retry_after(STEP) for _ in range(800)]
+    far = [pace.retry_after(STEP_TICKS) for _ in range(800)]
     assert max(far) <= 40_000 and len(set(far[-100:])) > 50
     quiet = ConnectionPacing(0, 5_000, 1.0, 0, 1)
     quiet.rate = 5.0
-    assert quiet.retry_after(STEP) == 0
+    assert quiet.retry_after(STEP_TICKS) == 0
 
 
 def test_a_pace_opens_step_by_step_and_is_let_go_only_where_nobody_is_held_any_more():
     pace = paced()
-    now = STEP
+    now = STEP_TICKS
     begun_at = paced().rate
-    for _ in range(3 * EASE_STEPS):
+    for _ in range(3 * MIN_CALM_STEPS):
         for n in range(60):  # 240 a second come
-            pace.admits(now + n * STEP // 60)
-        now += STEP
+            pace.admits(now + n * STEP_TICKS // 60)
+        now += STEP_TICKS
         assert pace.observe(now, 0, 0.01) == []  # as many wait as before: let go, they would be one wave
-    assert pace.rate == pytest.approx(begun_at + 3 * EASE_STEPS)
+    assert pace.rate == pytest.approx(begun_at + 3 * MIN_CALM_STEPS)
     for n in range(4):
         pace.admits(now + n)
-    now += STEP
+    now += STEP_TICKS
     assert [event for event, _ in pace.observe(now, 0, 0.01)] == ["ends"] and pace.rate is None
 
 
 def test_a_core_that_strains_under_few_connections_is_no_reason_to_hold_any():
     pace = ConnectionPacing(0, 5_000, 1.0, 40_000, 1)
     for n in range(1, 40):
-        assert pace.observe(n * STEP, 4_000, n * 0.25) == [] and pace.rate is None
+        assert pace.observe(n * STEP_TICKS, 4_000, n * 0.25) == [] and pace.rate is None
 
 
 def slow_query(served: Served) -> Any:
--- a/tests/scheduling/test_retry_after.py
+++ b/tests/scheduling/test_retry_after.py
@@ -17,7 +17,7 @@
 from wickvane.net.tds import errors
 from wickvane.rehearsal import script as scripts
 from wickvane.rehearsal import world
-from wickvane.scheduling.deadlines import WORK_MEMORY
+from wickvane.scheduling.deadlines import WORK_FADE_TICKS
 from wickvane.scheduling.scheduler import Scheduler
 
 STORM = SMALL.replace("retries 1", 'retries 6; back-off "100ms"; heeds #{heeds}').replace("12s", "20s")
@@ -54,7 +54,7 @@
     made = new_scheduler()
     out = RejectionRecorder()
     # four cores' worth, just now
-    made.retry_after.recent_work = 4.0 * WORK_MEMORY
+    made.retry_after.recent_work = 4.0 * WORK_FADE_TICKS
     made.retry_after.recent_work_at = 10_000
     reject_queries(made, 10_000, out, 20)
     assert len(out.retry_afters) == 20 and min(out.retry_afters) > 0
@@ -67,7 +67,7 @@
 def test_no_retry_after_is_over_the_setting_and_none_are_equal_where_nothing_is_done(pace):
     made = new_scheduler(20_000)
     out = RejectionRecorder()
-    made.retry_after.recent_work = pace * WORK_MEMORY
+    made.retry_after.recent_work = pace * WORK_FADE_TICKS
     made.retry_after.recent_work_at = 10_000
     reject_queries(made, 10_000, out, 60)
     assert len(out.retry_afters) == 60 and max(out.retry_afters) <= 20_000
@@ -94,7 +94,7 @@
         work = chance.randrange(1, 5000)
         made.round(now, [QueryArrived(q, 0, 0, 100, 10, 0, None, 30_000)], out)
         made.round(now, [AttemptEnded(q, 0, 0, Ending.FINISHED, 5, True, work, 0, None)], out)
-        plain = plain * max(0.0, 1 - (now - before) / WORK_MEMORY) + work
+        plain = plain * max(0.0, 1 - (now - before) / WORK_FADE_TICKS) + work
         before = now
         assert made.retry_after.recent_work == pytest.approx(plain)
 
--- a/wickvane/scheduling/__init__.py
+++ b/wickvane/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of the request path, free of I/O: events in, commands out (wickvane.events)."""
+"""Decides on the request path without I/O: takes events and returns commands (wickvane.events)."""
--- a/wickvane/scheduling/engine_table.py
+++ b/wickvane/scheduling/engine_table.py
@@ -1,4 +1,4 @@
-"""Storage for what the decision module knows of engines: one array a figure, under the dense indices."""
+"""Stores the state of engines for the decision modules: one list for each value, indexed by engine."""
 
 from collections import deque
 from collections.abc import Callable
@@ -11,23 +11,23 @@
 
 
 class Lifetime(Enum):
-    """How long a figure is valid."""
+    """The event that resets a column's values."""
 
-    LISTED = "set by each event of the engine list"
-    PROCESS = "reset where another process takes the place"
-    RUN = "reset at each start of a process"
+    ENTRY = "set by each update of the endpoint list"
+    IDENTITY = "reset when another engine takes over the index"
+    PROCESS = "reset at each start of a process"
 
 
 class EngineChange(Enum):
     """What is new in an engine's entry in the endpoint list."""
 
-    ENTRY = "the same process"
-    PROCESS = "a process started"
-    IDENTITY = "another engine has the index"
+    ENTRY = "the process is the same"
+    PROCESS = "a new process started"
+    IDENTITY = "another engine took over the index"
 
 
 class Column(NamedTuple):
-    """One figure of every engine; times are ticks."""
+    """A value that is stored for every engine; times are ticks."""
 
     name: str
     lifetime: Lifetime
@@ -35,41 +35,41 @@
 
 
 def constant(value: Any) -> Callable[[], Any]:
-    """A maker of one initial value that is never changed in place."""
+    """Returns a factory for an immutable initial value."""
     return lambda: value
 
 
 COLUMNS = (
-    Column("rank", Lifetime.LISTED, constant(None)),  # its own id, for the hash order
-    Column("state", Lifetime.LISTED, constant(None)),
-    Column("zone", Lifetime.LISTED, constant(None)),
-    Column("kind", Lifetime.LISTED, constant(None)),
-    Column("cell", Lifetime.LISTED, constant(None)),
-    Column("cores", Lifetime.LISTED, constant(1)),  # by kind and weight
-    Column("started_at", Lifetime.LISTED, constant(0)),  # 0: it was there from the beginning
-    Column("in_flight", Lifetime.PROCESS, constant(0)),  # threads of this dispatcher's attempts
-    Column("bulk_loads", Lifetime.PROCESS, list),  # table groups of bulk loads in flight
-    Column("slow_start_work", Lifetime.PROCESS, deque),  # (when, work) sent while it warmed up
-    Column("failure_rate", Lifetime.RUN, constant(0.0)),  # smoothed
-    Column("rejected_at", Lifetime.RUN, constant(NEVER)),  # of its last rejection
-    Column("last_contact_at", Lifetime.RUN, constant(0)),  # of its last answer or progress
-    Column("last_used_at", Lifetime.RUN, constant(NEVER)),  # of the last attempt that started or ended
-    Column("ejected_until", Lifetime.RUN, constant(0)),
-    Column("ejection_time", Lifetime.RUN, constant(0)),  # of the next ejection
-    Column("half_open", Lifetime.RUN, constant(False)),  # one probe decides whether it is ejected again
-    Column("refuses_connections", Lifetime.RUN, constant(False)),
-    Column("concurrency_limit", Lifetime.RUN, constant(FOREVER)),  # threads in flight that it accepts
-    Column("load_factor", Lifetime.RUN, constant(1.0)),  # latency against an unloaded engine's
-    Column("load_factor_at", Lifetime.RUN, constant(0)),
-    Column("admission_draw", Lifetime.RUN, constant(1.0)),  # drawn once a slow start window
-    Column("admission_draw_until", Lifetime.RUN, constant(-1)),
-    Column("others_in_flight", Lifetime.RUN, constant(0)),  # threads, as the other dispatchers reported
-    Column("others_reported_at", Lifetime.RUN, constant(NEVER)),
+    Column("wire_id", Lifetime.ENTRY, constant(None)),  # its key in the rendezvous hash order
+    Column("state", Lifetime.ENTRY, constant(None)),
+    Column("zone", Lifetime.ENTRY, constant(None)),
+    Column("kind", Lifetime.ENTRY, constant(None)),
+    Column("cell", Lifetime.ENTRY, constant(None)),
+    Column("cores", Lifetime.ENTRY, constant(1)),  # according to its kind and weight
+    Column("started_at", Lifetime.ENTRY, constant(0)),  # 0 if it started before the dispatcher
+    Column("in_flight", Lifetime.IDENTITY, constant(0)),  # threads of this dispatcher's attempts
+    Column("bulk_loads", Lifetime.IDENTITY, list),  # table groups of bulk loads in flight
+    Column("slow_start_work", Lifetime.IDENTITY, deque),  # (time, work) of attempts sent during slow start
+    Column("failure_rate", Lifetime.PROCESS, constant(0.0)),  # exponentially smoothed
+    Column("rejected_at", Lifetime.PROCESS, constant(NEVER)),  # time of the last rejection
+    Column("last_contact_at", Lifetime.PROCESS, constant(0)),  # time of the last answer or progress report
+    Column("last_used_at", Lifetime.PROCESS, constant(NEVER)),  # when an attempt last started or ended
+    Column("ejected_until", Lifetime.PROCESS, constant(0)),
+    Column("ejection_time", Lifetime.PROCESS, constant(0)),  # duration of the next ejection
+    Column("half_open", Lifetime.PROCESS, constant(False)),  # one attempt decides whether it is ejected again
+    Column("refuses_connections", Lifetime.PROCESS, constant(False)),
+    Column("concurrency_limit", Lifetime.PROCESS, constant(FOREVER)),  # maximum threads in flight
+    Column("load_factor", Lifetime.PROCESS, constant(1.0)),  # latency divided by that of an unloaded engine
+    Column("load_factor_at", Lifetime.PROCESS, constant(0)),
+    Column("admission_draw", Lifetime.PROCESS, constant(1.0)),  # drawn once per collapse window
+    Column("admission_draw_until", Lifetime.PROCESS, constant(-1)),
+    Column("others_in_flight", Lifetime.PROCESS, constant(0)),  # threads of other dispatchers
+    Column("others_reported_at", Lifetime.PROCESS, constant(NEVER)),
 )
 
 
 class EngineTable:
-    """The columns as attributes, each a list by engine."""
+    """Holds each column as an attribute: a list indexed by engine."""
 
     __slots__ = tuple(column.name for column in COLUMNS)
 
@@ -78,36 +78,35 @@
             setattr(self, column.name, [])
 
     def __len__(self) -> int:
-        return len(self.rank)
+        return len(self.wire_id)
 
     def ready(self) -> list[int]:
-        """The engines that the endpoint list says are ready."""
-        ready = (
-            EngineState.READY
-        )  # looked up once: a member of an enumeration costs as much as the comparison
+        """Returns the engines that are ready according to the endpoint list."""
+        # The enumeration member is looked up once because the lookup costs as much as the comparison.
+        ready = EngineState.READY
         return [engine for engine, state in enumerate(self.state) if state == ready]
 
     def grow(self, size: int) -> None:
-        """Makes room for engines up to index `size` - 1."""
+        """Extends every column to at least `size` engines."""
         for column in COLUMNS:
             values = getattr(self, column.name)
             values.extend(column.initial() for _ in range(size - len(values)))
 
     def update(self, event: EngineUpdated, cores: float, now: int) -> EngineChange:
-        """Takes in an engine's entry in the endpoint list."""
+        """Applies an engine's entry in the endpoint list and returns what has changed."""
         engine = event.engine
         self.grow(engine + 1)
         change = EngineChange.ENTRY
-        if self.rank[engine] != event.wire_id:
+        if self.wire_id[engine] != event.wire_id:
             change = EngineChange.IDENTITY
-            self.reset(engine, Lifetime.PROCESS)
+            self.reset(engine, Lifetime.IDENTITY)
         elif self.started_at[engine] != event.started:
             change = EngineChange.PROCESS
         if change != EngineChange.ENTRY:
-            self.reset(engine, Lifetime.RUN)
+            self.reset(engine, Lifetime.PROCESS)
             self.load_factor_at[engine] = now
             self.last_contact_at[engine] = now
-        self.rank[engine] = event.wire_id
+        self.wire_id[engine] = event.wire_id
         self.state[engine] = event.state
         self.zone[engine] = event.zone
         self.kind[engine] = event.kind
@@ -117,7 +116,7 @@
         return change
 
     def reset(self, engine: int, lifetime: Lifetime) -> None:
-        """Sets all figures of one lifetime to their initial values."""
+        """Resets an engine's values in all columns of one lifetime."""
         for column in COLUMNS:
             if column.lifetime is lifetime:
                 getattr(self, column.name)[engine] = column.initial()
--- a/wickvane/scheduling/fair_queue.py
+++ b/wickvane/scheduling/fair_queue.py
@@ -1,6 +1,7 @@
 """Queues by tenant, served by deficit round robin (Shreedhar and Varghese, 1995) in estimated cost.
 
-A tenant is charged the estimate when a query leaves, and corrected by the true cost when an attempt ends.
+A tenant is charged the estimated cost when an attempt starts; the charge is corrected to the true cost when
+the attempt ends.
 """
 
 from bisect import insort
@@ -12,11 +13,11 @@
 from wickvane.scheduling.query import Query
 from wickvane.units import TICKS_PER_SECOND
 
-QUANTUM_MEANS = 2.0  # mean costs that one visit adds
+QUANTUM_COSTS = 2.0  # quantum of a tenant with weight 1, in mean costs of a query
 
 
 class FairQueue:
-    """What waits for its first attempt."""
+    """Holds the queries that wait for their first attempt."""
 
     def __init__(self, shares: list[float], estimates: WorkEstimates) -> None:
         self.weights = [share * len(shares) / (sum(shares) or 1) or 1.0 for share in shares]
@@ -25,47 +26,52 @@
         self._estimates = estimates
         self._queues: list[list[Query]] = [[] for _ in shares]
         self._position = 0  # in `active`
-        self._is_visiting = False  # whether the tenant there has had its quantum for this visit
+        self._is_visiting = False  # whether the tenant there has received the quantum of this visit
 
     def __len__(self) -> int:
         return sum(map(len, self._queues))
 
     def add_tenants_up_to(self, tenant: int) -> None:
-        """Tenants that the settings do not name have a weight of 1."""
+        """Adds tenants up to this index; tenants that the settings don't name have weight 1."""
         while tenant >= len(self._queues):
             self._queues.append([])
             self.deficits.append(0.0)
             self.weights.append(1.0)
 
     def add(self, query: Query) -> None:
-        """A query waits, by its value for its work, so that a shortage falls on the least value."""
+        """Adds a query to its tenant's queue, sorted by priority weight per cost.
+
+        When capacity is short, the queries with the lowest weight per cost wait.
+        """
         if not self._queues[query.tenant]:
             self.deficits[query.tenant] = 0.0
             self.active.append(query.tenant)
         insort(self._queues[query.tenant], query, key=attrgetter("sort_key"))
 
     def remove(self, query: Query) -> None:
-        """A query waits no longer, if it did."""
+        """Removes a query from its tenant's queue, if it is there."""
         if query in self._queues[query.tenant]:
             self._queues[query.tenant].remove(query)
             self._deactivate_if_empty(query.tenant)
 
     def expired(self, now: int) -> list[Query]:
-        """Queries that have waited as long as they may."""
+        """Returns the queries that have reached their maximum wait."""
         return [query for tenant in self.active for query in self._queues[tenant] if now >= query.queue_until]
 
     def quantum(self, tenant: int) -> float:
-        """What a visit adds to a tenant's deficit."""
-        return (QUANTUM_MEANS * self._estimates.overall_mean_cost or TICKS_PER_SECOND) * self.weights[tenant]
+        """Returns the quantum that a visit adds to a tenant's deficit."""
+        return (QUANTUM_COSTS * self._estimates.overall_mean_cost or TICKS_PER_SECOND) * self.weights[tenant]
 
     def release(self, find_engine: Callable[[Query], int], start: Callable[[Query, int], None]) -> None:
-        """Starts attempts until no tenant's next query finds capacity.
+        """Starts attempts until no tenant's next query finds an engine with capacity.
 
-        A visit adds one quantum and lasts while the next query fits and finds capacity. One that ends for
-        want of capacity goes on in the next release, so that waiting adds no deficit.
+        A visit adds one quantum and lasts while the deficit covers the next query and an engine has capacity
+        for it. A visit that ends for lack of capacity continues in the next release, so that waiting doesn't
+        increase a deficit.
         """
         blocked = 0
-        short_of: dict[int, float] = {}  # the cost of the next query, by tenant, since a query last left
+        # By tenant that was visited since an attempt last started: the cost of its next query.
+        unaffordable_costs: dict[int, float] = {}
         while self.active and blocked < len(self.active):
             position = (self._position + blocked) % len(self.active)
             tenant = self.active[position]
@@ -81,12 +87,12 @@
             if query.cost > self.deficits[tenant]:
                 self._position = position + 1
                 self._is_visiting = False
-                if tenant in short_of:
-                    self._add_laps(short_of)
-                    short_of = {}
-                short_of[tenant] = query.cost
+                if tenant in unaffordable_costs:
+                    self._add_rounds(unaffordable_costs)
+                    unaffordable_costs = {}
+                unaffordable_costs[tenant] = query.cost
                 continue
-            short_of = {}
+            unaffordable_costs = {}
             self.deficits[tenant] -= query.cost
             self._queues[tenant].remove(query)
             start(query, engine)
@@ -99,11 +105,17 @@
                 return query, engine
         return None, NO_CAPACITY
 
-    def _add_laps(self, short_of: dict[int, float]) -> None:
-        """Takes all laps up to the next release in one step, against deep debts."""
-        laps = min((cost - self.deficits[one]) // self.quantum(one) for one, cost in short_of.items())
-        for tenant in short_of:
-            self.deficits[tenant] += max(0, laps) * self.quantum(tenant)
+    def _add_rounds(self, unaffordable_costs: dict[int, float]) -> None:
+        """Adds at once the quanta of all rounds in which no query is released.
+
+        A large negative deficit would otherwise take many rounds.
+        """
+        rounds = min(
+            (cost - self.deficits[tenant]) // self.quantum(tenant)
+            for tenant, cost in unaffordable_costs.items()
+        )
+        for tenant in unaffordable_costs:
+            self.deficits[tenant] += max(0, rounds) * self.quantum(tenant)
 
     def _deactivate_if_empty(self, tenant: int) -> None:
         if self._queues[tenant]:
--- a/wickvane/scheduling/fleet_hook.py
+++ b/wickvane/scheduling/fleet_hook.py
@@ -1,16 +1,19 @@
-"""The interface of what a dispatcher decides by the reports of others; without others there is none."""
+"""The interface through which reports of other dispatchers influence decisions, if there are any."""
 
 from typing import Protocol
 
 
 class FleetHook(Protocol):
-    """Handed to Scheduler.join_fleet; `now` is always the round's time in ticks."""
+    """The argument of Scheduler.join_fleet; `now` is always the time of the round, in ticks."""
 
     def handle(self, event: tuple, now: int) -> None:
-        """One event that only fleets have, before the round's decisions."""
+        """Handles an event that occurs only in fleets, before the decisions of the round."""
 
     def before_decisions(self, now: int) -> None:
-        """Called once a round after its events, so that leases that ended are not used."""
+        """Is called once a round after its events, so that expired leases are not used."""
 
     def load_elsewhere(self, engine: int, inferred: float, cores: float, now: int) -> float:
-        """Threads a core that other dispatchers hold on an engine; inferred: from the latency seen here."""
+        """Returns the threads per core that other dispatchers have in flight on an engine.
+
+        inferred: the same, as derived from the latency that this dispatcher observes.
+        """
--- a/wickvane/scheduling/outlier_ejection.py
+++ b/wickvane/scheduling/outlier_ejection.py
@@ -1,4 +1,7 @@
-"""Outlier ejection: an engine that fails, or is silent, gets no queries until a probe succeeds."""
+"""Outlier ejection: an engine that fails or does not respond gets no queries for a time.
+
+It is then half-open: a single attempt decides whether it is ejected again.
+"""
 
 from collections.abc import Mapping
 
@@ -8,31 +11,31 @@
 from wickvane.units import TICKS_PER_SECOND
 
 FAILURE_GAIN = 0.2
-FAILURE_THRESHOLD = 0.4  # smoothed share of failures at which an engine is ejected
-EJECTION_FIRST = TICKS_PER_SECOND // 2
-EJECTION_MOST = 8 * TICKS_PER_SECOND
-SILENT_ATTEMPTS = 2  # overdue on an engine without any contact, at which it is ejected
-FAILED_TWICE = -1
+FAILURE_THRESHOLD = 0.4  # an engine is ejected if its smoothed failure rate exceeds this
+INITIAL_EJECTION_TICKS = TICKS_PER_SECOND // 2
+MAX_EJECTION_TICKS = 8 * TICKS_PER_SECOND
+MIN_OVERDUE_ATTEMPTS = 2  # on an engine without contact before it is ejected
+FAILED_TWICE = -1  # value of Query.failed_on once a second engine has answered with an error
 
 
 class OutlierEjection:
-    """Failure rates of engines, and which engines each resource group may use."""
+    """Tracks failure rates of engines and determines the engines that each resource group may use."""
 
     def __init__(self, groups: list[ResourceGroup], engines: EngineTable) -> None:
         self.groups = groups
         self.engines = engines
-        self._usable: dict[int, frozenset[int]] = {}  # by resource group, for one sweep at most
+        self._usable: dict[int, frozenset[int]] = {}  # by resource group, cached for at most one sweep
 
     def invalidate(self) -> None:
-        """Which engines are usable is worked out anew when it is next asked for."""
+        """Discards the cached sets of usable engines."""
         self._usable.clear()
 
     def engine_started(self, engine: int) -> None:
-        """An engine is new, or has a new process."""
-        self.engines.ejection_time[engine] = EJECTION_FIRST
+        """Resets the ejection time of an engine that is new or has a new process."""
+        self.engines.ejection_time[engine] = INITIAL_EJECTION_TICKS
 
     def usable(self, resource_group: int, now: int) -> frozenset[int]:
-        """The engines that are ready, permitted and not ejected."""
+        """Returns the engines that are ready, permitted for the resource group and not ejected."""
         if resource_group not in self._usable:
             self._usable[resource_group] = frozenset(self._find_usable(resource_group, now))
         return self._usable[resource_group]
@@ -41,8 +44,9 @@
         table = self.engines
         ready = [engine for engine in table.ready() if self._permitted(resource_group, engine)]
         usable = [engine for engine in ready if table.ejected_until[engine] <= now]
-        # More than half ejected at once is no fault of the engines: a common cause, and nowhere better to
-        # go. An engine that refuses connections is down all the same, and would only use up attempts.
+        # If more than half of the engines are ejected at once, the cause is not the single engines and no
+        # engine is better than the others. Engines that refuse connections stay ejected, because they are
+        # down and would only use up attempts.
         if 2 * len(usable) < len(ready):
             refusing = table.refuses_connections
             usable = [engine for engine in ready if engine in usable or not refusing[engine]] or ready
@@ -55,18 +59,19 @@
         )
 
     def record(self, query: Query, engine: int, ending: Ending, now: int) -> None:
-        """An attempt ended."""
+        """Updates the failure rate of an engine from an attempt that ended."""
         table = self.engines
         table.refuses_connections[engine] = ending == Ending.NO_CONNECTION
         if ending == Ending.FINISHED:
             table.failure_rate[engine] *= 1 - FAILURE_GAIN
             table.last_contact_at[engine] = now
             table.half_open[engine] = False
-            table.ejection_time[engine] = EJECTION_FIRST
+            table.ejection_time[engine] = INITIAL_EJECTION_TICKS
         elif ending == Ending.REJECTED:
             table.last_contact_at[engine] = now
         elif ending == Ending.ERROR and query.failed_on is not None and query.failed_on != engine:
-            # A second error is the query's own: the first engine is cleared of it, and no third is tried.
+            # Errors from two engines are caused by the query: the first engine's failure is undone, and no
+            # third engine is tried.
             rate = table.failure_rate[query.failed_on]
             table.failure_rate[query.failed_on] = max(0.0, (rate - FAILURE_GAIN) / (1 - FAILURE_GAIN))
             query.failed_on = FAILED_TWICE
@@ -79,15 +84,22 @@
                 self._eject(engine, now)
 
     def eject_silent(self, overdue: Mapping[int, int], now: int) -> list[int]:
-        """Ejects engines with several overdue attempts and no contact since; returns those ejected now."""
+        """Ejects engines with MIN_OVERDUE_ATTEMPTS overdue attempts, and returns them.
+
+        overdue: the number of attempts by engine that are overdue and without contact since their start.
+        """
         until = self.engines.ejected_until
-        silent = [one for one, count in overdue.items() if count >= SILENT_ATTEMPTS and now >= until[one]]
+        silent = [
+            engine
+            for engine, count in overdue.items()
+            if count >= MIN_OVERDUE_ATTEMPTS and now >= until[engine]
+        ]
         for engine in silent:
             self._eject(engine, now)
         return silent
 
     def eject_until(self, engine: int, until: int) -> None:
-        """Ejects an engine by the reports of others: its own failure state stays."""
+        """Ejects an engine because of reports of other dispatchers, without a change to its failure rate."""
         self.engines.ejected_until[engine] = max(self.engines.ejected_until[engine], until)
         self.invalidate()
 
@@ -97,5 +109,5 @@
             return
         table.ejected_until[engine] = now + table.ejection_time[engine]
         table.half_open[engine] = True
-        table.ejection_time[engine] = min(EJECTION_MOST, table.ejection_time[engine] * 2)
+        table.ejection_time[engine] = min(MAX_EJECTION_TICKS, table.ejection_time[engine] * 2)
         self.invalidate()
--- a/wickvane/scheduling/placement.py
+++ b/wickvane/scheduling/placement.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from wickvane.events import FOREVER, Deployment, Effect, Ending, KeyScope
-from wickvane.scheduling.concurrency import LOAD_FACTOR_MEMORY, ConcurrencyLimits, LoadTracker
+from wickvane.scheduling.concurrency import MIN_LOAD_FACTOR_FADE_TICKS, ConcurrencyLimits, LoadTracker
 from wickvane.scheduling.estimates import WorkEstimates
 from wickvane.scheduling.fleet_hook import FleetHook
 from wickvane.scheduling.outlier_ejection import OutlierEjection
@@ -68,7 +68,7 @@
             # Statements may name ever new table groups.
             if len(self.orders) >= CACHED_ORDERS_MOST:
                 self.orders.clear()
-            places = [hash_place(rank, table_group) for rank in self.engines.rank]
+            places = [hash_place(wire_id, table_group) for wire_id in self.engines.wire_id]
             order = self.orders[table_group] = sorted(range(len(places)), key=places.__getitem__)
         return order
 
@@ -133,7 +133,7 @@
         # With many dispatchers most engines hold none of mine, and ties that all break alike overload the
         # first, unless it was heard from lately: its warm tables are worth staying for then.
         small = self._limit(found[0], now) < self.groups[query.resource_group].threads
-        is_blind = small and now - self.engines.load_factor_at[found[0]] > LOAD_FACTOR_MEMORY // 3
+        is_blind = small and now - self.engines.load_factor_at[found[0]] > MIN_LOAD_FACTOR_FADE_TICKS // 3
 
         def sort_key(engine: int) -> tuple[int, float, float]:
             draw = self._chance.random() if is_blind else 0
--- a/wickvane/scheduling/retries.py
+++ b/wickvane/scheduling/retries.py
@@ -124,7 +124,7 @@
         harmless = query.ran_at is None or self.groups[query.resource_group].effect != Effect.MUTATING
         if not harmless or query.failed_on == FAILED_TWICE or query.attempts >= self.deployment.max_attempts:
             return False
-        return now < min(self.start_by(query), self._deadlines.last_start(query))
+        return now < min(self.start_by(query), self._deadlines.latest_start(query))
 
     def is_safe_to_reject(self, query: Query) -> bool:
         """Whether the client may retry a query without harm; else it has failed."""
--- a/wickvane/scheduling/scheduler.py
+++ b/wickvane/scheduling/scheduler.py
@@ -24,7 +24,7 @@
     Writer,
 )
 from wickvane.scheduling.concurrency import ConcurrencyLimits, LoadTracker
-from wickvane.scheduling.deadlines import SWEEP_INTERVAL, Deadlines, RetryAfter
+from wickvane.scheduling.deadlines import SWEEP_INTERVAL_TICKS, Deadlines, RetryAfter
 from wickvane.scheduling.engine_table import EngineChange, EngineTable
 from wickvane.scheduling.estimates import TermsPolicy, WorkEstimates
 from wickvane.scheduling.fair_queue import FairQueue
@@ -36,8 +36,8 @@
 from wickvane.scheduling.slow_start import SlowStart
 from wickvane.units import TICKS_PER_SECOND
 
-IDLE_SWEEP_INTERVAL = TICKS_PER_SECOND // 10
-POLL_INTERVAL = TICKS_PER_SECOND  # after the endpoint list was lost
+IDLE_SWEEP_INTERVAL_TICKS = TICKS_PER_SECOND // 10
+POLL_INTERVAL_TICKS = TICKS_PER_SECOND  # after the endpoint list was lost
 ROUND_TIMER = 1  # the token of the one timer that is used
 RUN_TIMES_OVERDUE = 3  # expected run times, and
 OVERDUE_OFFSET = TICKS_PER_SECOND // 2  # ticks more, after which an attempt on a silent engine is overdue
@@ -244,7 +244,7 @@
         return cores * max(WEIGHT_LEAST, min(1.0, event.weight))
 
     def _schedule_poll(self, event: EndpointListLost) -> None:
-        self._poll_at = self._now + POLL_INTERVAL
+        self._poll_at = self._now + POLL_INTERVAL_TICKS
 
     def _poll_endpoints(self) -> None:
         if self._poll_at is not None and self._now >= self._poll_at:
@@ -261,7 +261,7 @@
         if not waiting and not self._running and not self._poll_at:
             return
         # A timer set while nothing waited is too late for what waits now, and past a deadline for its answer.
-        at = self._now + (SWEEP_INTERVAL if waiting else IDLE_SWEEP_INTERVAL)
+        at = self._now + (SWEEP_INTERVAL_TICKS if waiting else IDLE_SWEEP_INTERVAL_TICKS)
         deadlines = (query.deadline for query in self._running.values() if not query.answered)
         at = min(at, max(min(deadlines, default=at), self._next_sweep, self._now + 1))
         if self._timer_at is None or self._timer_at <= self._now or self._timer_at > at:
@@ -270,7 +270,7 @@
 
     def _sweep(self) -> None:
         """Looks at all that waits and runs."""
-        self._next_sweep = self._now + SWEEP_INTERVAL
+        self._next_sweep = self._now + SWEEP_INTERVAL_TICKS
         self.ejection.invalidate()
         self.retries.budget.is_available(self._now)  # drops what is past the window, also without retries
         for query in self.fair_queue.expired(self._now):
@@ -283,7 +283,7 @@
                 self.limits.decrease(self._now)
             if query.answered:
                 continue
-            if self.deadlines.is_past_use(query, self._now):
+            if self.deadlines.must_answer_now(query, self._now):
                 self._give_up(query)
                 continue
             if self._is_overdue(query):
--- a/wickvane/xds/placement.py
+++ b/wickvane/xds/placement.py
@@ -18,8 +18,8 @@
 from typing import NamedTuple
 
 from wickvane.events import Deployment, EngineState, ResourceGroup
-from wickvane.scheduling.concurrency import BOUND_THREADS
-from wickvane.scheduling.outlier_ejection import EJECTION_FIRST, EJECTION_MOST
+from wickvane.scheduling.concurrency import BASE_THREADS_PER_CORE
+from wickvane.scheduling.outlier_ejection import INITIAL_EJECTION_TICKS, MAX_EJECTION_TICKS
 from wickvane.scheduling.placement import FIRST_ENGINES, hash_place
 from wickvane.scheduling.slow_start import warm_part
 from wickvane.xds.endpoint_snapshot import Endpoint, EndpointSnapshot
@@ -344,12 +344,14 @@
         deployment = self.deployment
         kinds = self.engine_classes[engine_class].kinds
         cores = [count for kind, count in enumerate(deployment.cores) if kinds is None or kind in kinds]
-        threads = BOUND_THREADS * FIRST_ENGINES * max(cores, default=1) / self._proxy_count
+        threads = BASE_THREADS_PER_CORE * FIRST_ENGINES * max(cores, default=1) / self._proxy_count
         # At least one, as an idle engine may always be sent a query.
         max_requests = max(1, int(threads / self._threads_per_request[engine_class]))
         has_budget = deployment.retry_budget_window
         retry_budget = deployment.retry_budget_ratio if has_budget else DEFAULT_RETRY_BUDGET
-        return CircuitBreakers(max_requests, max_requests, retry_budget, EJECTION_FIRST, EJECTION_MOST)
+        return CircuitBreakers(
+            max_requests, max_requests, retry_budget, INITIAL_EJECTION_TICKS, MAX_EJECTION_TICKS
+        )
 
 
 def adaptive_concurrency_of(group: ResourceGroup) -> AdaptiveConcurrency:
