--- a/tests/scheduling/test_retry_storm.py
+++ b/tests/scheduling/test_retry_storm.py
@@ -17,7 +17,7 @@
 from wickvane.rehearsal import world
 from wickvane.rehearsal.load import Load
 from wickvane.scheduling import retry_storm
-from wickvane.scheduling.retry_storm import STEP, StormDetector, StormEvent, StormState, fingerprint
+from wickvane.scheduling.retry_storm import STEP_TICKS, StormDetector, StormEvent, StormState, fingerprint
 from wickvane.units import TICKS_PER_SECOND
 
 DAY = """rehearsal {{
@@ -139,7 +139,7 @@
         "begins"
     ] and made.state == StormState.STORM
     assert "deepens" in [event for event, _ in feed(made, 4 * TICKS_PER_SECOND, 4, 400, 0.8, 0.3, 0.6)]
-    assert made.end_step(8 * TICKS_PER_SECOND + STEP) == [] and made.state == StormState.STORM
+    assert made.end_step(8 * TICKS_PER_SECOND + STEP_TICKS) == [] and made.state == StormState.STORM
     feed(made, 9 * TICKS_PER_SECOND, 2, 400, 0.8, 0.3, 0.6)
     assert [
         fields["kind"]
@@ -200,13 +200,13 @@
 def test_memory_is_bounded_whatever_comes():
     made = StormDetector(0, 0.1, 60 * TICKS_PER_SECOND)
     chance = random.Random(1)
-    for n in range(3 * retry_storm.FINGERPRINTS_MOST):
+    for n in range(3 * retry_storm.MAX_FINGERPRINTS):
         mark = chance.randbytes(16)
         made.record_rejection(n, mark)
         made.record_arrival(n, mark, n, 1)
-    assert made.rejected_queries.count <= retry_storm.FINGERPRINTS_MOST
-    assert len(made.steps) <= retry_storm.STEPS
-    assert all(len(step.sources) <= retry_storm.SOURCES_MOST + 1 for step in made.steps)
+    assert made.rejected_queries.count <= retry_storm.MAX_FINGERPRINTS
+    assert len(made.steps) <= retry_storm.WINDOW_STEPS
+    assert all(len(step.sources) <= retry_storm.MAX_SOURCES + 1 for step in made.steps)
 
 
 def test_it_judges_the_same_in_other_processes_and_hash_seeds():
--- a/wickvane/endpoints/capacity.py
+++ b/wickvane/endpoints/capacity.py
@@ -3,7 +3,7 @@
 from wickvane.endpoints.snapshot import Endpoint
 from wickvane.endpoints.topology import GroupPlacement, Topology
 from wickvane.events import EngineState
-from wickvane.scheduling.slow_start import warm_part
+from wickvane.scheduling.slow_start import ramp_fraction
 from wickvane.units import TICKS_PER_MILLISECOND
 
 
@@ -65,7 +65,7 @@
         topology = self.topology
         missing = 0.0
         for name, endpoint in list(self.warming.items()):
-            fraction = warm_part(
+            fraction = ramp_fraction(
                 age_of(endpoint, now), topology.slow_start_fraction, topology.slow_start_duration
             )
             if fraction >= 1.0:
--- a/wickvane/scheduling/concurrency.py
+++ b/wickvane/scheduling/concurrency.py
@@ -147,9 +147,7 @@
         self._scale = 1.0
         self._decreased_at = 0
         self._largest_limit = 0.0
-        self._pooled_limit: float | None = (
-            None  # the scaled total; None if it is not computed yet in this round
-        )
+        self._pooled_limit: float | None = None  # total_limit * _scale; None until it is needed in a round
 
     def start_round(self) -> None:
         """Discards the total limit, which is computed again when it is next needed."""
--- a/wickvane/scheduling/deadlines.py
+++ b/wickvane/scheduling/deadlines.py
@@ -8,9 +8,7 @@
 from wickvane.units import TICKS_PER_SECOND
 
 SWEEP_INTERVAL_TICKS = TICKS_PER_SECOND // 50
-ANSWER_MARGIN_TICKS = (
-    TICKS_PER_SECOND // 25
-)  # two sweeps; a final answer is given this long before the timeout
+ANSWER_MARGIN_TICKS = TICKS_PER_SECOND // 25  # two sweeps, between a query's deadline and its timeout
 SHUTDOWN_MARGIN_TICKS = TICKS_PER_SECOND // 4
 MAX_CAPACITY_WAIT_FRACTION = 0.2  # of a query's time left, to wait for capacity
 # The same to wait for the query's key. It is less than 1 because estimates err and because clients may start
@@ -37,8 +35,8 @@
         left = min(time_left - min(ANSWER_MARGIN_TICKS, time_left // 10), self._shutdown_at - now)
         query.deadline = now + left
         # A retry is queued behind first attempts that cost up to a quarter more, because in a retry storm
-        # retries would displace them. Behind all first attempts, the shortest retries would wait for the
-        # longest first attempts.
+        # retries would displace them. If retries were queued behind all first attempts, the shortest retries
+        # would wait for the longest first attempts.
         density = -group.priority_weight / max(query.cost, MIN_COST)
         query.sort_key = density / (1 + RETRY_EXTRA_COST_FRACTION * is_retry)
         objective = group.latency_objective + int(group.objective_stretch * query.cost / group.threads)
@@ -74,7 +72,7 @@
         """Limits all later deadlines to a margin before this process may be killed, in `time_left` ticks."""
         self._shutdown_at = now + time_left - SHUTDOWN_MARGIN_TICKS
 
-    def cut_to_shutdown(self, query: Query) -> None:
+    def limit_to_shutdown(self, query: Query) -> None:
         """Limits the times of a query that arrived before the shutdown started."""
         query.deadline = min(query.deadline, self._shutdown_at)
         query.objective_at = min(query.objective_at, query.deadline)
--- a/wickvane/scheduling/retries.py
+++ b/wickvane/scheduling/retries.py
@@ -1,4 +1,4 @@
-"""Retries: which attempt may follow another, the retry budget, replanning, key order and quarantine."""
+"""Rules for retries: when they are allowed, retry budget, replanning, order and quarantine of keys."""
 
 from collections import deque
 
@@ -9,20 +9,23 @@
 from wickvane.scheduling.query import Query
 from wickvane.units import TICKS_PER_SECOND
 
-LOST_FACTOR = 4.0  # run time over the expected one, without progress, of an attempt taken for lost
-LOST_OFFSET = TICKS_PER_SECOND // 10
-LOST_LOAD_FACTOR_MOST = 2.0
-LOST_SHARE_MOST = 0.5  # of the running attempts: more at once are a slowness shared by all
-RUNAWAY_FACTOR = 3.0  # time still to run over a new attempt's, from which replanning is worth the lost work
-RUNAWAY_OFFSET = TICKS_PER_SECOND // 2
-FRACTION_LEAST = 0.005
-# The ends of the budget's window are cut against this dispatcher: retries count longer than arrivals.
-RETRIES_LONGER = 2
-ARRIVALS_SHORTER = 4
+LOST_RUN_TIME_FACTOR = 4.0  # over the expected run time; a longer attempt without progress counts as lost
+LOST_OFFSET_TICKS = TICKS_PER_SECOND // 10
+MAX_LOST_LOAD_FACTOR = 2.0
+MAX_LOST_FRACTION = 0.5  # of the running attempts; if more seem lost at once, all engines are slow
+# Replanning is worth the lost work if the attempt's remaining time exceeds this multiple of a new one's run
+# time.
+RUNAWAY_RUN_TIME_FACTOR = 3.0
+RUNAWAY_OFFSET_TICKS = TICKS_PER_SECOND // 2
+MIN_FRACTION_DONE = 0.005
+# The window of the budget is rounded towards fewer retries: they count a little longer than the window, and
+# arrivals a little shorter.
+RETRY_WINDOW_EXTRA_TICKS = 2
+ARRIVAL_WINDOW_CUT_TICKS = 4
 
 
 class RetryBudget:
-    """Bounds retries by the arrivals of a sliding window."""
+    """Limits retries to a share of the arrivals in a sliding window, plus a minimum."""
 
     def __init__(self, deployment: Deployment) -> None:
         self.deployment = deployment
@@ -30,26 +33,29 @@
         self._retries: deque[int] = deque()
 
     def record_arrival(self, now: int) -> None:
-        """A query has arrived."""
+        """Records that a query has arrived."""
         self.arrivals.append(now)
 
     def record_retry(self, now: int) -> None:
-        """A retry is on its way."""
+        """Records that a retry starts."""
         self._retries.append(now)
 
     def is_available(self, now: int) -> bool:
-        """Whether one more retry is allowed; drops what is past the window."""
+        """Returns whether one more retry is allowed; drops entries that are older than the window."""
         window = self.deployment.retry_budget_window
-        while self._retries and self._retries[0] < now - window - RETRIES_LONGER:
+        while self._retries and self._retries[0] < now - window - RETRY_WINDOW_EXTRA_TICKS:
             self._retries.popleft()
-        while self.arrivals and self.arrivals[0] <= now - window + ARRIVALS_SHORTER:
+        while self.arrivals and self.arrivals[0] <= now - window + ARRIVAL_WINDOW_CUT_TICKS:
             self.arrivals.popleft()
-        most = self.deployment.retry_budget_minimum + self.deployment.retry_budget_ratio * len(self.arrivals)
-        return not window or len(self._retries) + 1 <= most
+        limit = self.deployment.retry_budget_minimum + self.deployment.retry_budget_ratio * len(self.arrivals)
+        return not window or len(self._retries) + 1 <= limit
 
 
 class KeyOrder:
-    """Queries of one key run one at a time; after an ending that proves nothing the key is quarantined."""
+    """Runs the queries of one key one at a time.
+
+    After an attempt ended without proof that it no longer runs, its key is quarantined.
+    """
 
     def __init__(self, quarantine: int, load: LoadTracker) -> None:
         self.queues: dict[int, deque[Query]] = {}
@@ -58,7 +64,7 @@
         self._load = load
 
     def add(self, query: Query) -> float:
-        """Queues a query behind those of its key; the time that these run, in ticks."""
+        """Queues a query behind those of its key; returns their total run time in ticks."""
         if query.key is None:
             return 0
         queue = self.queues.setdefault(query.key, deque())
@@ -67,29 +73,32 @@
         return time_ahead
 
     def remove(self, query: Query) -> None:
-        """A query needs its key no longer."""
+        """Removes a query from the queue of its key."""
         if query.key is not None:
             self.queues[query.key].remove(query)
             if not self.queues[query.key]:
                 del self.queues[query.key]
 
     def is_turn_of(self, query: Query, now: int) -> bool:
-        """Whether an attempt of the query may start as far as its key goes."""
+        """Returns whether the query's key allows an attempt to start."""
         if query.key is None:
             return True
         return self.queues[query.key][0] is query and now >= self._quarantined_until.get(query.key, 0)
 
     def attempt_ended(self, query: Query, ending: Ending, now: int) -> None:
-        """Quarantines the key where the attempt may run on."""
+        """Quarantines the key if the attempt may still run."""
         if query.key is not None and ending in (Ending.NO_ANSWER, Ending.RESET, Ending.CANCELLED):
             self._quarantined_until[query.key] = now + self._quarantine
 
     def end_quarantines(self, now: int) -> None:
-        """Drops the quarantines that are over."""
+        """Removes the quarantines that have ended."""
         self._quarantined_until = {key: at for key, at in self._quarantined_until.items() if now < at}
 
     def too_late_behind(self, head: Query, deadlines: Deadlines, now: int) -> list[Query]:
-        """Queries that are in time only if an attempt on a silent engine ends well before its deadline."""
+        """Returns the queries behind `head` that would be too late if its attempt runs until its deadline.
+
+        The attempt is on an engine that doesn't respond.
+        """
         if head.key is None:
             return []
         turn_at: float = head.deadline + self._quarantine
@@ -103,7 +112,7 @@
 
 
 class RetryPolicy:
-    """Which attempt may follow another."""
+    """Decides whether a query may be retried or replanned."""
 
     def __init__(self, deployment: Deployment, deadlines: Deadlines, load: LoadTracker) -> None:
         self.deployment = deployment
@@ -113,21 +122,25 @@
         self._load = load
 
     def start_by(self, query: Query) -> int:
-        """When the next attempt has to start: an idempotency key is known for its window only."""
+        """Returns the latest start of the next attempt; engines know an idempotency key only for a time."""
         group = self.groups[query.resource_group]
         if query.ran_at is None or group.effect != Effect.IDEMPOTENCY_KEY:
             return FOREVER
         return query.ran_at + group.idempotency_window
 
     def may_retry(self, query: Query, now: int) -> bool:
-        """Whether another attempt is harmless and in time, whatever the budget."""
-        harmless = query.ran_at is None or self.groups[query.resource_group].effect != Effect.MUTATING
-        if not harmless or query.failed_on == FAILED_TWICE or query.attempts >= self.deployment.max_attempts:
+        """Returns whether another attempt is harmless and in time; ignores the retry budget."""
+        is_harmless = query.ran_at is None or self.groups[query.resource_group].effect != Effect.MUTATING
+        if (
+            not is_harmless
+            or query.failed_on == FAILED_TWICE
+            or query.attempts >= self.deployment.max_attempts
+        ):
             return False
         return now < min(self.start_by(query), self._deadlines.latest_start(query))
 
     def is_safe_to_reject(self, query: Query) -> bool:
-        """Whether the client may retry a query without harm; else it has failed."""
+        """Returns whether the client may retry the query without harm; if not, the query fails."""
         group = self.groups[query.resource_group]
         if query.ran_at is None and not query.in_flight:
             return True
@@ -135,19 +148,24 @@
         return group.effect == Effect.READ_ONLY or has_key
 
     def is_lost(self, query: Query, now: int) -> bool:
-        """Whether an attempt without progress runs so long that it is lost, hung or badly planned."""
-        load_factor = min(max(1.0, self._load.usual_load_factor), LOST_LOAD_FACTOR_MOST)
+        """Returns whether an attempt without progress has run too long: it is lost, hung or badly planned."""
+        load_factor = min(max(1.0, self._load.usual_load_factor), MAX_LOST_LOAD_FACTOR)
         expected = load_factor * query.cost / self.groups[query.resource_group].threads
-        return not query.fraction_done and now - query.sent_at > LOST_FACTOR * expected + LOST_OFFSET
+        return (
+            not query.fraction_done
+            and now - query.sent_at > LOST_RUN_TIME_FACTOR * expected + LOST_OFFSET_TICKS
+        )
 
     def is_runaway(self, query: Query, now: int) -> bool:
-        """Whether a new attempt would end long before the running one, by the progress that it reports."""
+        """Returns whether a new attempt would end long before the running one, by the reported progress."""
         fraction = query.fraction_done
-        remaining = (now - query.sent_at) * (1 - fraction) / max(fraction, FRACTION_LEAST)
-        return remaining > RUNAWAY_FACTOR * self._load.expected_run_time(query) + RUNAWAY_OFFSET
+        remaining = (now - query.sent_at) * (1 - fraction) / max(fraction, MIN_FRACTION_DONE)
+        return (
+            remaining > RUNAWAY_RUN_TIME_FACTOR * self._load.expected_run_time(query) + RUNAWAY_OFFSET_TICKS
+        )
 
     def may_replan(self, query: Query, now: int) -> bool:
-        """Whether a running attempt may be cancelled for being slow."""
+        """Returns whether a running attempt may be cancelled because it is slow."""
         if query.answered or query.replanned or query.attempts >= self.deployment.max_attempts:
             return False
         is_read_only = self.groups[query.resource_group].effect == Effect.READ_ONLY
--- a/wickvane/scheduling/scheduler.py
+++ b/wickvane/scheduling/scheduler.py
@@ -1,8 +1,8 @@
-"""One dispatcher's decisions: which query leaves, for which engine, when it is retried or given up.
+"""One dispatcher's decisions: which query runs on which engine and when, and when it is retried or given up.
 
-Called by wickvane.net (sockets) and wickvane.wirehost (bench) with the events of wickvane.events; commands go
-to the Writer that each round is handed. Times are ticks (wickvane.units), work is such a time of one thread.
-docs/design.md explains the mechanisms, each of which is a module of this package.
+wickvane.net (sockets) and wickvane.wirehost (simulator) call it with the events of wickvane.events. Commands
+go to the Writer that each round gets. Times are ticks (wickvane.units); work is the time of one thread, in
+ticks. docs/design.md explains the mechanisms, each of which is a module of this package.
 """
 
 from collections import Counter, deque
@@ -32,69 +32,70 @@
 from wickvane.scheduling.outlier_ejection import OutlierEjection
 from wickvane.scheduling.placement import NO_ENGINE, Placement
 from wickvane.scheduling.query import Query
-from wickvane.scheduling.retries import LOST_SHARE_MOST, KeyOrder, RetryPolicy
+from wickvane.scheduling.retries import MAX_LOST_FRACTION, KeyOrder, RetryPolicy
 from wickvane.scheduling.slow_start import SlowStart
 from wickvane.units import TICKS_PER_SECOND
 
-IDLE_SWEEP_INTERVAL_TICKS = TICKS_PER_SECOND // 10
-POLL_INTERVAL_TICKS = TICKS_PER_SECOND  # after the endpoint list was lost
-ROUND_TIMER = 1  # the token of the one timer that is used
-RUN_TIMES_OVERDUE = 3  # expected run times, and
-OVERDUE_OFFSET = TICKS_PER_SECOND // 2  # ticks more, after which an attempt on a silent engine is overdue
-STANDSTILL = 2 * TICKS_PER_SECOND  # a process may stand still so long, and go on as if nothing had been
-WEIGHT_LEAST = 0.01
+IDLE_SWEEP_INTERVAL_TICKS = TICKS_PER_SECOND // 10  # if no query waits
+POLL_INTERVAL_TICKS = TICKS_PER_SECOND  # until the endpoint list is requested again after it was lost
+ROUND_TIMER = 1  # the token of the only timer
+# An attempt on an engine without contact is overdue after this many expected run times plus the offset.
+OVERDUE_RUN_TIMES = 3
+OVERDUE_OFFSET_TICKS = TICKS_PER_SECOND // 2
+MAX_PAUSE_TICKS = 2 * TICKS_PER_SECOND  # an engine process may pause for this long and then continue normally
+MIN_WEIGHT = 0.01
 
 
 class Scheduler:
-    """One dispatcher's state: the queries that it holds, and the mechanisms that decide on them."""
+    """Holds the queries of one dispatcher and the mechanisms that decide on them."""
 
     def __init__(self, seed: Any, deployment: Deployment) -> None:
-        chance = Random(seed)
+        rng = Random(seed)
         self.deployment = deployment
         self.groups = deployment.groups
         self.dispatcher_count = deployment.dispatcher_count
         self.engines = EngineTable()
         self.estimates = WorkEstimates(deployment)
-        self.slow_start = SlowStart(deployment, self.engines, chance)
+        self.slow_start = SlowStart(deployment, self.engines, rng)
         self.load = LoadTracker(self.engines, self.slow_start, self.estimates)
         self.limits = ConcurrencyLimits(deployment, self.engines, self.slow_start, self.load)
         self.ejection = OutlierEjection(self.groups, self.engines)
         self.placement = Placement(
-            deployment, chance, self.estimates, self.slow_start, self.load, self.limits, self.ejection
+            deployment, rng, self.estimates, self.slow_start, self.load, self.limits, self.ejection
         )
         self.fair_queue = FairQueue([share for share, _ in deployment.tenants], self.estimates)
         self.deadlines = Deadlines(deployment, self.load)
         self.retries = RetryPolicy(deployment, self.deadlines, self.load)
         self.keys = KeyOrder(deployment.key_quarantine, self.load)
-        self.retry_after = RetryAfter(deployment.max_retry_after, chance)
+        self.retry_after = RetryAfter(deployment.max_retry_after, rng)
         self.terms = TermsPolicy(deployment, self.estimates)
         self.fleet: FleetHook | None = None
-        self._queries: dict[int, Query] = {}  # without a final answer, or with an attempt in flight
-        self._running: dict[int, Query] = {}  # with an attempt in flight
-        self._retrying: deque[Query] = deque()  # that wait for a retry
+        self._queries: dict[int, Query] = {}  # that have no final answer, or have an attempt in flight
+        self._running: dict[int, Query] = {}  # that have an attempt in flight
+        self._retrying: deque[Query] = deque()  # queries that wait for a retry
         self._poll_at = 0 if deployment.subscribes_to_endpoints else None
         self._next_sweep = 0
         self._timer_at: int | None = None
         self._now = 0
         self._writer: Writer | None = None
         self._handlers = {
-            QueryArrived: self._take_query,
+            QueryArrived: self._add_query,
             AttemptEnded: self._end_attempt,
             ClientGone: self._drop_query,
-            TimerFired: lambda event: None,  # a timer is set for the round that it brings about
-            AttemptProgressed: self._note_progress,
+            TimerFired: lambda event: None,  # the round itself does the work that the timer is for
+            AttemptProgressed: self._record_progress,
             EngineUpdated: self._update_engine,
             EndpointListLost: self._schedule_poll,
             ShutdownStarted: self._start_shutdown,
         }
 
     def join_fleet(self, fleet: FleetHook) -> None:
-        """From now on the reports of other dispatchers are part of the decisions."""
+        """Includes the reports of other dispatchers in the decisions from now on."""
         self.fleet = fleet
         self.placement.fleet = fleet
 
     def round(self, now: int, events: list, out: Writer) -> None:
-        """Takes in all events since the last round and decides; commands are written to `out`."""
+        """Handles all events since the last round and decides; writes commands to `out`."""
         self._now = now
         self._writer = out
         self.placement.start_round()
@@ -117,7 +118,7 @@
         else:
             self.fleet.handle(event, self._now)
 
-    def _take_query(self, event: QueryArrived) -> None:
+    def _add_query(self, event: QueryArrived) -> None:
         self.fair_queue.add_tenants_up_to(event.tenant)
         key = event.key if self.groups[event.group].ordered else None
         cost = self.estimates.estimate(event)
@@ -137,7 +138,7 @@
             self._close(query)
 
     def _give_up(self, query: Query) -> None:
-        """Gives the final answer that the query was not run, or has failed."""
+        """Rejects or fails a query, as its final answer."""
         if self.retries.is_safe_to_reject(query):
             queued_cost = self.estimates.overall_mean_cost * len(self.fair_queue)
             self._writer.reject(query.index, self.retry_after.next(query, queued_cost, self._now))
@@ -146,7 +147,7 @@
         self._close(query)
 
     def _close(self, query: Query) -> None:
-        """The query has its final answer, or needs none."""
+        """Marks a query as answered, cancels its attempt or removes it from the queue."""
         query.answered = True
         if query.in_flight:
             if self.deployment.can_cancel:
@@ -183,11 +184,11 @@
         self.placement.attempt_ended(query, event.engine, event.ending, self._now)
         self.ejection.record(query, event.engine, event.ending, self._now)
         work = event.work or event.elapsed * self.groups[query.resource_group].threads
-        # Corrects the tenant's charge; what was proven not to have run costs nothing.
+        # Corrects the tenant's charge. An attempt that certainly did not run costs nothing.
         true_cost = work if event.ending < Ending.REJECTED else 0
         self.fair_queue.deficits[query.tenant] += query.cost - true_cost
         if event.ending == Ending.FINISHED:
-            self._learn(query, event, work)
+            self._update_estimates(query, event, work)
         elif event.ending == Ending.REJECTED:
             self.limits.attempt_rejected(event.engine, self._now)
         elif event.ending < Ending.REJECTED and query.ran_at is None:
@@ -202,7 +203,7 @@
         else:
             self._retrying.append(query)
 
-    def _learn(self, query: Query, event: AttemptEnded, work: float) -> None:
+    def _update_estimates(self, query: Query, event: AttemptEnded, work: float) -> None:
         slowdown = self.load.slowdown(query, event.elapsed, event.work)
         self.limits.attempt_finished(event.engine)
         self.load.observe(event.engine, slowdown, event.report, query.overdue_counted, self._now)
@@ -211,7 +212,7 @@
         self.terms.observe_memory(query, event.memory)
         self.retry_after.record_work(work, self._now)
 
-    def _note_progress(self, event: AttemptProgressed) -> None:
+    def _record_progress(self, event: AttemptProgressed) -> None:
         query = self._queries.get(event.query)
         if query is None or not query.in_flight or query.answered:
             return
@@ -222,7 +223,7 @@
                 self._replan([query])
 
     def _replan(self, queries: list[Query]) -> None:
-        """Cancels attempts that are slow, so that they are retried elsewhere."""
+        """Cancels slow attempts, so that the queries are retried on other engines."""
         for query in queries:
             if self.retries.may_replan(query, self._now):
                 self._writer.cancel_attempt(query.index, query.attempts - 1)
@@ -241,7 +242,7 @@
         cores = by_kind[event.kind] if event.kind < len(by_kind) else 1
         if not self.deployment.uses_engine_weights:
             return cores
-        return cores * max(WEIGHT_LEAST, min(1.0, event.weight))
+        return cores * max(MIN_WEIGHT, min(1.0, event.weight))
 
     def _schedule_poll(self, event: EndpointListLost) -> None:
         self._poll_at = self._now + POLL_INTERVAL_TICKS
@@ -254,13 +255,14 @@
     def _start_shutdown(self, event: ShutdownStarted) -> None:
         self.deadlines.start_shutdown(event.time_left, self._now)
         for query in self._queries.values():
-            self.deadlines.cut_to_shutdown(query)
+            self.deadlines.limit_to_shutdown(query)
 
     def _set_timer(self) -> None:
         waiting = self.fair_queue.active or self._retrying
         if not waiting and not self._running and not self._poll_at:
             return
-        # A timer set while nothing waited is too late for what waits now, and past a deadline for its answer.
+        # A timer that was set while no query waited is too late for one that waits now, and may expire after
+        # a deadline.
         at = self._now + (SWEEP_INTERVAL_TICKS if waiting else IDLE_SWEEP_INTERVAL_TICKS)
         deadlines = (query.deadline for query in self._running.values() if not query.answered)
         at = min(at, max(min(deadlines, default=at), self._next_sweep, self._now + 1))
@@ -269,10 +271,10 @@
             self._writer.set_timer(ROUND_TIMER, at)
 
     def _sweep(self) -> None:
-        """Looks at all that waits and runs."""
+        """Checks all waiting and running queries."""
         self._next_sweep = self._now + SWEEP_INTERVAL_TICKS
         self.ejection.invalidate()
-        self.retries.budget.is_available(self._now)  # drops what is past the window, also without retries
+        self.retries.budget.is_available(self._now)  # drops old entries even if no query is retried
         for query in self.fair_queue.expired(self._now):
             self._give_up(query)
         self.keys.end_quarantines(self._now)
@@ -290,21 +292,24 @@
                 overdue[query.engine] += 1
             if self.retries.is_lost(query, self._now):
                 lost.append(query)
-        if len(lost) <= LOST_SHARE_MOST * len(self._running) + 1:
+        if len(lost) <= MAX_LOST_FRACTION * len(self._running) + 1:
             self._replan(lost)
         for engine in self.ejection.eject_silent(overdue, self._now):
             self._replan([query for query in self._running.values() if query.engine == engine])
 
     def _is_overdue(self, query: Query) -> bool:
-        """Whether the engine is silent since the attempt's start; gives up what is too late behind it."""
+        """Returns whether an attempt is overdue on an engine without contact since the attempt started.
+
+        Gives up queries behind it that would be too late if it runs until its deadline.
+        """
         elapsed = self._now - query.sent_at
-        overdue = elapsed - RUN_TIMES_OVERDUE * self.load.expected_run_time(query)
-        if overdue <= OVERDUE_OFFSET or self.engines.last_contact_at[query.engine] >= query.sent_at:
+        overdue = elapsed - OVERDUE_RUN_TIMES * self.load.expected_run_time(query)
+        if overdue <= OVERDUE_OFFSET_TICKS or self.engines.last_contact_at[query.engine] >= query.sent_at:
             return False
-        if overdue > STANDSTILL:
-            # A silent engine may hold the query, and its key, up to the deadline.
-            for behind in self.keys.too_late_behind(query, self.deadlines, self._now):
-                self._give_up(behind)
+        if overdue > MAX_PAUSE_TICKS:
+            # An engine that doesn't respond may block the query, and its key, until the deadline.
+            for waiting in self.keys.too_late_behind(query, self.deadlines, self._now):
+                self._give_up(waiting)
         return True
 
     def _find_engine(self, query: Query) -> int:
@@ -314,7 +319,7 @@
 
     def _release_queries(self) -> None:
         self.fair_queue.release(self._find_engine, self._start_attempt)
-        # What waits here is pressure too: else the first idle engine would be sent the whole queue at once.
+        # Limits apply while queries wait; otherwise the first idle engine would get the entire queue at once.
         self.limits.backlogged = bool(self.fair_queue.active)
 
     def _release_retries(self) -> None:
--- a/wickvane/xds/placement.py
+++ b/wickvane/xds/placement.py
@@ -21,7 +21,7 @@
 from wickvane.scheduling.concurrency import BASE_THREADS_PER_CORE
 from wickvane.scheduling.outlier_ejection import INITIAL_EJECTION_TICKS, MAX_EJECTION_TICKS
 from wickvane.scheduling.placement import FIRST_ENGINES, hash_place
-from wickvane.scheduling.slow_start import warm_part
+from wickvane.scheduling.slow_start import ramp_fraction
 from wickvane.xds.endpoint_snapshot import Endpoint, EndpointSnapshot
 
 MAX_BACKUP_ENDPOINTS = 3  # of priority 1
@@ -283,7 +283,9 @@
             return 1.0
         self._slow_start_ends[endpoint.name] = endpoint.started_at + duration + self.ack_latency + self.grid
         steps = max(0, int(age * SLOW_START_STEPS / duration))
-        return warm_part(steps * duration // SLOW_START_STEPS, self.deployment.slow_start_fraction, duration)
+        return ramp_fraction(
+            steps * duration // SLOW_START_STEPS, self.deployment.slow_start_fraction, duration
+        )
 
     def _weight(self, endpoint: Endpoint, usable_part: float) -> int:
         return max(1, round(WEIGHT_OF_CORE * self._cores(endpoint) * endpoint.weight * usable_part))
