--- a/tests/scheduling/__init__.py
+++ b/tests/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of wickvane.scheduling, the decisions of the request path."""
+"""Tests of wickvane.scheduling, which makes the decisions of the request path."""
--- a/tests/scheduling/command_digest.py
+++ b/tests/scheduling/command_digest.py
@@ -1,30 +1,30 @@
-"""A digest of commands, to compare streams of them literally."""
+"""A digest of commands, to compare streams of commands for exact equality."""
 
 from hashlib import blake2b
 from typing import Any
 
 
-def rendered(value: Any) -> str:
-    """A value of a command, independent of the names of enumerations and types."""
+def render(value: Any) -> str:
+    """Returns a command's argument as text that does not depend on the names of enumerations and types."""
     if isinstance(value, tuple | list):
-        return "(" + ",".join(map(rendered, value)) + ")"
+        return "(" + ",".join(map(render, value)) + ")"
     if isinstance(value, int) and not isinstance(value, bool):
         return str(int(value))
     return repr(str(value)) if isinstance(value, str) else repr(value)
 
 
 class CommandDigest:
-    """A hash over commands with their arguments, and how many there were of each."""
+    """Hashes commands with their arguments and counts them by name."""
 
     def __init__(self) -> None:
         self._hash = blake2b(digest_size=16)
         self.counts: dict[str, int] = {}
 
     def add(self, now: int, command: str, *arguments: Any) -> None:
-        """Takes in one command."""
-        self._hash.update(f"{now} {command} {rendered(arguments)}\n".encode())
+        """Adds one command to the digest."""
+        self._hash.update(f"{now} {command} {render(arguments)}\n".encode())
         self.counts[command] = self.counts.get(command, 0) + 1
 
     def value(self) -> str:
-        """The digest so far."""
+        """Returns the digest of the commands added so far."""
         return self._hash.hexdigest()
--- a/tests/scheduling/test_command_stream.py
+++ b/tests/scheduling/test_command_stream.py
@@ -1,6 +1,7 @@
-"""The commands written on generated days are, one by one, those that commit c5b2902 wrote.
+"""The commands written on generated days are exactly those that commit c5b2902 wrote.
 
-A change of a decision that is meant changes digests: they are then recorded anew, and the commit says why.
+An intended change of a decision changes digests. They are then recorded again, and the commit message says
+why.
 """
 
 import pytest
@@ -38,12 +39,12 @@
     "one dispatcher": Settings(1, groups=MIXED),
     "one dispatcher, calm": Settings(2, groups=[LOOKUP, REPORT], fault_rate=0.002),
     "overload with Retry-After": Settings(
-        3, groups=[LOOKUP, REPORT, CHANGE], deployment=dict(max_retry_after=40_000), queries_a_round=4.0
+        3, groups=[LOOKUP, REPORT, CHANGE], deployment=dict(max_retry_after=40_000), queries_per_round=4.0
     ),
     "retry budget": Settings(4, groups=MIXED, deployment=BUDGET, fault_rate=0.06),
     "no cancels": Settings(5, groups=MIXED, deployment=BUDGET | dict(can_cancel=False), fault_rate=0.04),
-    "ordered keys": Settings(6, groups=[LOAD, ORDERED_CHANGE], fault_rate=0.04, queries_a_round=0.4),
-    "bulk loads": Settings(7, groups=[LOAD, dict(is_bulk_load=True)], queries_a_round=1.0, engine_count=5),
+    "ordered keys": Settings(6, groups=[LOAD, ORDERED_CHANGE], fault_rate=0.04, queries_per_round=0.4),
+    "bulk loads": Settings(7, groups=[LOAD, dict(is_bulk_load=True)], queries_per_round=1.0, engine_count=5),
     "memory grants, no priorities": Settings(
         8, groups=MIXED, deployment=dict(memory_grants=True, priorities=False)
     ),
@@ -71,7 +72,7 @@
         fault_rate=0.08,
     ),
     "few attempts, many faults": Settings(15, groups=MIXED, deployment=dict(max_attempts=2), fault_rate=0.2),
-    "shutdown": Settings(16, rounds=1200, groups=MIXED, deployment=BUDGET, stops=True),
+    "shutdown": Settings(16, rounds=1200, groups=MIXED, deployment=BUDGET, shuts_down=True),
     "silent engines and long queues of one key": Settings(
         20,
         groups=[ORDERED_CHANGE, ORDERED_CHANGE | dict(latency_objective=100_000)],
@@ -80,9 +81,9 @@
         fault_rate=0.03,
         costs=(1000, 4000),
         times_left=(70_000, 200_000),
-        queries_a_round=0.3,
+        queries_per_round=0.3,
     ),
-    "silent engines and nothing else": Settings(
+    "silent engines only": Settings(
         21,
         groups=[LOOKUP | dict(effect=Effect.MUTATING, late_priority_weight=0.5, timeout=400_000)],
         engine_count=4,
@@ -91,16 +92,16 @@
         costs=(200, 1000),
         times_left=(200_000,),
     ),
-    "ever new table groups": Settings(
+    "unbounded table groups": Settings(
         22,
         rounds=3000,
         groups=[LOOKUP],
         table_groups=1 << 30,
-        queries_a_round=2.5,
+        queries_per_round=2.5,
         costs=(200,),
         fault_kinds=(1, 8),
     ),
-    "late queries of a group without late worth": Settings(
+    "late queries of a group without late priority weight": Settings(
         23,
         groups=[LOOKUP | dict(latency_objective=2_000, objective_stretch=0.1), REPORT],
         deployment=dict(can_cancel=False),
@@ -109,7 +110,7 @@
         costs=(200, 1000, 4000),
     ),
     "a fleet": Settings(
-        17, groups=MIXED, deployment=BUDGET | dict(dispatcher_count=4), in_fleet=True, queries_a_round=0.5
+        17, groups=MIXED, deployment=BUDGET | dict(dispatcher_count=4), in_fleet=True, queries_per_round=0.5
     ),
     "a fleet of thirty with restarts": Settings(
         18,
@@ -118,7 +119,7 @@
         engine_count=8,
         in_fleet=True,
         fault_rate=0.08,
-        queries_a_round=0.4,
+        queries_per_round=0.4,
     ),
     "a fleet without faults": Settings(
         19, groups=[LOOKUP, REPORT], deployment=dict(dispatcher_count=2), in_fleet=True, fault_rate=0.0
@@ -142,9 +143,9 @@
     "few attempts, many faults": "9b8139780445fbcb56f17381491b1e90",
     "shutdown": "6db438d2fc21dbc0ff0a6642ac5f2690",
     "silent engines and long queues of one key": "f90adb9b87feebe3f425a54a33ff659b",
-    "silent engines and nothing else": "ad63de1755c00c9717841e5ba6bb7128",
-    "ever new table groups": "4345475c042c9fea7b1d2330300c73d3",
-    "late queries of a group without late worth": "90683fb15e19fe170c6cd9cc0198fad9",
+    "silent engines only": "ad63de1755c00c9717841e5ba6bb7128",
+    "unbounded table groups": "4345475c042c9fea7b1d2330300c73d3",
+    "late queries of a group without late priority weight": "90683fb15e19fe170c6cd9cc0198fad9",
     "a fleet": "1d0787392be9f0517e53a1e4fc710ef1",
     "a fleet of thirty with restarts": "c5f07377f58fc1348cfdbdc1ebff9863",
     "a fleet without faults": "2bcdea8df79d2ee91182dbf55a14119b",
@@ -152,5 +153,5 @@
 
 
 @pytest.mark.parametrize("name", DAYS)
-def test_the_commands_of_a_generated_day_are_those_of_commit_c5b2902(name):
+def test_the_commands_of_a_generated_day_equal_those_of_commit_c5b2902(name):
     assert Day(DAYS[name], Scheduler, join).play().value() == DIGESTS[name]
--- a/tests/scheduling/test_concurrency.py
+++ b/tests/scheduling/test_concurrency.py
@@ -1,82 +1,82 @@
-"""Concurrency limits and load factors."""
+"""Tests of concurrency limits and load factors."""
 
 from bench_free import Gateways, group, site
 
 from wickvane.events import Ending, TimerFired
 
 
-def test_the_bound_binds_under_pressure_only():
-    g = Gateways(site([group()]))
-    g.engines(1)
+def test_the_concurrency_limit_applies_only_under_pressure():
+    dispatcher = Gateways(site([group()]))
+    dispatcher.engines(1)
     for _ in range(30):
-        g.take()
-    assert len(g.out) == 30
-    g.scheduler.engines.rejected_at[0] = g.now
-    g.take()
-    assert len(g.out) == 30
+        dispatcher.take()
+    assert len(dispatcher.out) == 30
+    dispatcher.scheduler.engines.rejected_at[0] = dispatcher.now
+    dispatcher.take()
+    assert len(dispatcher.out) == 30
 
 
-def test_a_waiting_line_is_not_sent_at_once_to_the_first_engine_at_ease():
-    g = Gateways(site([group()]))
-    g.engines(2)
-    first = [g.take() for _ in range(40)]
-    g.end(first[0], ending=Ending.REJECTED, elapsed=3)
-    g.end(first[1], ending=Ending.REJECTED, elapsed=3)
-    later = [g.take(left=200_000) for _ in range(200)]
-    assert any(not g.sent[q] for q in later)
-    g.round(after=15_000)
-    assert len(g.out) < 100
+def test_a_queue_is_not_sent_at_once_to_the_first_unloaded_engine():
+    dispatcher = Gateways(site([group()]))
+    dispatcher.engines(2)
+    first = [dispatcher.take() for _ in range(40)]
+    dispatcher.end(first[0], ending=Ending.REJECTED, elapsed=3)
+    dispatcher.end(first[1], ending=Ending.REJECTED, elapsed=3)
+    later = [dispatcher.take(left=200_000) for _ in range(200)]
+    assert any(not dispatcher.sent[query] for query in later)
+    dispatcher.round(after=15_000)
+    assert len(dispatcher.out) < 100
 
 
-def test_an_engine_that_rejects_queries_gets_fewer_and_one_more_with_each_answer():
-    gates = Gateways(site([group()]))
-    gates.engines(2)
+def test_an_engine_that_rejects_queries_gets_fewer_and_slowly_more_with_each_answer():
+    dispatcher = Gateways(site([group()]))
+    dispatcher.engines(2)
 
-    def take_of(e):
-        """How many queries the engine is given of many, and what then is out there."""
-        out = [gates.take(table_group=1) for _ in range(60)]
-        given = [q for q in out if gates.out.get(q) == e]
-        return given, [q for q in out if q in gates.out and q not in given]
+    def take_queries(engine):
+        """Sends many queries; returns those in flight on the engine and those in flight on others."""
+        taken = [dispatcher.take(table_group=1) for _ in range(60)]
+        on_engine = [query for query in taken if dispatcher.out.get(query) == engine]
+        return on_engine, [query for query in taken if query in dispatcher.out and query not in on_engine]
 
-    first, other = take_of(0)
+    first, other = take_queries(0)
     assert len(first) >= 8
-    for q in first[4:]:
-        gates.end(q, Ending.REJECTED, elapsed=5)
-    out = [q for q in gates.out if gates.out[q] == 0]
-    assert 1 <= len(out) <= 5 and gates.scheduler.engines.concurrency_limit[0] <= 6
-    before = gates.scheduler.engines.concurrency_limit[0]
-    for q in out:
-        gates.end(q)
-    assert before < gates.scheduler.engines.concurrency_limit[0] <= before + len(out)
+    for query in first[4:]:
+        dispatcher.end(query, Ending.REJECTED, elapsed=5)
+    in_flight = [query for query in dispatcher.out if dispatcher.out[query] == 0]
+    assert 1 <= len(in_flight) <= 5 and dispatcher.scheduler.engines.concurrency_limit[0] <= 6
+    before = dispatcher.scheduler.engines.concurrency_limit[0]
+    for query in in_flight:
+        dispatcher.end(query)
+    assert before < dispatcher.scheduler.engines.concurrency_limit[0] <= before + len(in_flight)
 
 
 def test_a_load_factor_lasts_until_all_engines_have_answered_again():
-    for apart, known in ((5_000, True), (500, False)):
-        gates = Gateways(site([group()], dispatcher_count=100))
-        gates.engines(20)
-        load = gates.scheduler.load
-        now = gates.now
+    for interval, is_remembered in ((5_000, True), (500, False)):
+        dispatcher = Gateways(site([group()], dispatcher_count=100))
+        dispatcher.engines(20)
+        load = dispatcher.scheduler.load
+        now = dispatcher.now
         for n in range(200):
-            now += apart
+            now += interval
             load.observe(n % 20, 1.0, None, False, now)
         now += 1
         load.observe(3, 20.0, None, False, now)
-        now += 70_000  # past the six seconds after which it used to be forgotten
-        assert (load.current(3, now) > 2 * load.usual_load_factor) == known
+        now += 70_000  # more than six seconds, after which a fixed fade would forget it
+        assert (load.current(3, now) > 2 * load.usual_load_factor) == is_remembered
 
 
-def test_what_is_overdue_counts_in_the_median_once_and_not_again_when_it_ends():
-    gates = Gateways(site([group()], dispatcher_count=1))
-    gates.engines(2)
-    q = gates.take(cost=1000)
-    before = gates.scheduler.load.median_latency
-    gates.round(TimerFired(1), after=4000)
-    once = gates.scheduler.load.median_latency
+def test_an_overdue_attempt_counts_in_the_median_latency_once_and_not_again_when_it_ends():
+    dispatcher = Gateways(site([group()], dispatcher_count=1))
+    dispatcher.engines(2)
+    query = dispatcher.take(cost=1000)
+    before = dispatcher.scheduler.load.median_latency
+    dispatcher.round(TimerFired(1), after=4000)
+    once = dispatcher.scheduler.load.median_latency
     assert once > before
-    gates.round(TimerFired(1), after=400)
-    assert gates.scheduler.load.median_latency == once
-    gates.end(q, elapsed=4400)
-    assert gates.scheduler.load.median_latency == once
-    quick = gates.take(cost=1000)
-    gates.end(quick, elapsed=1000, after=0)
-    assert gates.scheduler.load.median_latency < once
+    dispatcher.round(TimerFired(1), after=400)
+    assert dispatcher.scheduler.load.median_latency == once
+    dispatcher.end(query, elapsed=4400)
+    assert dispatcher.scheduler.load.median_latency == once
+    fast = dispatcher.take(cost=1000)
+    dispatcher.end(fast, elapsed=1000, after=0)
+    assert dispatcher.scheduler.load.median_latency < once
--- a/tests/scheduling/test_deadlines.py
+++ b/tests/scheduling/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Every query has its final answer in time."""
+"""Every query gets its final answer in time."""
 
 import pytest
 from bench_free import Gateways, group, site
@@ -8,30 +8,30 @@
 
 @pytest.mark.parametrize("effect", [Effect.READ_ONLY, Effect.MUTATING])
 @pytest.mark.parametrize("left", [500, 1_333, 20_050, 77_777])
-def test_a_query_whose_attempt_never_ends_is_answered_before_its_client_gives_up(effect, left):
-    """Also where nothing waits, and the module looks at what is out ten times a second."""
-    g = Gateways(site([group(effect=effect, late_priority_weight=0.5, latency_objective=100_000)]))
-    g.engines(1)
-    g.round(after=37)
-    q = g.take(cost=10, left=left)
-    end = g.now + left
-    assert q in g.out
-    g.let_pass(end + 5000)
-    assert q in g.final
-    early = end - g.answered[q]
-    assert left // 20 <= early if left < 4000 else 200 <= early <= 400  # 20 to 40 ms
+def test_a_query_whose_attempt_never_ends_is_answered_before_its_client_times_out(effect, left):
+    """This includes a scheduler without waiting queries, which checks only ten times per second."""
+    dispatcher = Gateways(site([group(effect=effect, late_priority_weight=0.5, latency_objective=100_000)]))
+    dispatcher.engines(1)
+    dispatcher.round(after=37)
+    query = dispatcher.take(cost=10, left=left)
+    end = dispatcher.now + left
+    assert query in dispatcher.out
+    dispatcher.let_pass(end + 5000)
+    assert query in dispatcher.final
+    margin = end - dispatcher.answered[query]
+    assert left // 20 <= margin if left < 4000 else 200 <= margin <= 400  # 20 to 40 ms
 
 
 def test_a_query_with_less_time_than_others_is_not_rejected():
-    g = Gateways(site([group()]))
-    g.engines(2)
-    g.take(left=70_000)
-    q = g.take(left=20_000)
-    assert q in g.out
+    dispatcher = Gateways(site([group()]))
+    dispatcher.engines(2)
+    dispatcher.take(left=70_000)
+    query = dispatcher.take(left=20_000)
+    assert query in dispatcher.out
 
 
-def test_a_stop_cuts_every_limit_and_each_query_is_answered_before_it():
-    g = Gateways(
+def test_a_shutdown_shortens_every_deadline_and_each_query_is_answered_before_it():
+    dispatcher = Gateways(
         site(
             [
                 group(late_priority_weight=0.3),
@@ -39,14 +39,14 @@
             ]
         )
     )
-    g.engines(2)
-    out = [g.take(cost=2000), g.take(resource_group=1, left=190_000)]
-    g.round(ShutdownStarted(37_000))
-    later = g.take(cost=100)
-    hopeless = g.take(cost=80_000)
-    assert g.final == {hopeless: "deferred"} and g.answered[hopeless] == g.now
-    stopped = g.now
-    g.end(later, elapsed=100, after=100)
-    g.let_pass(stopped + 37_000)
-    assert g.final == {hopeless: "deferred", out[0]: "deferred", out[1]: "killed"}
-    assert g.answered[out[0]] < stopped + 37_000 - 1_000 and set(g.cancelled) == set(out)
+    dispatcher.engines(2)
+    sent = [dispatcher.take(cost=2000), dispatcher.take(resource_group=1, left=190_000)]
+    dispatcher.round(ShutdownStarted(37_000))
+    later = dispatcher.take(cost=100)
+    too_long = dispatcher.take(cost=80_000)
+    assert dispatcher.final == {too_long: "deferred"} and dispatcher.answered[too_long] == dispatcher.now
+    stopped = dispatcher.now
+    dispatcher.end(later, elapsed=100, after=100)
+    dispatcher.let_pass(stopped + 37_000)
+    assert dispatcher.final == {too_long: "deferred", sent[0]: "deferred", sent[1]: "killed"}
+    assert dispatcher.answered[sent[0]] < stopped + 37_000 - 1_000 and set(dispatcher.cancelled) == set(sent)
--- a/tests/scheduling/test_earlier_modules.py
+++ b/tests/scheduling/test_earlier_modules.py
@@ -1,4 +1,4 @@
-"""A commit's decision package is played in rehearsals from its text, as a variant of an experiment."""
+"""An earlier commit's decision package runs in rehearsals from its source, as a variant."""
 
 from pathlib import Path
 
@@ -20,19 +20,19 @@
 
 
 def text_here(revision: str, path: str) -> str | None:
-    """Stands in for git: this work tree's files as those of any commit."""
+    """Replaces git: returns the files of this work tree as those of any commit."""
     file = ROOT / path
     return file.read_text(encoding="utf-8") if file.is_file() else None
 
 
-def test_a_package_loaded_from_its_text_decides_as_the_one_imported():
+def test_a_package_loaded_from_its_source_decides_like_the_imported_one():
     earlier, _ = earlier_modules.load("abc", text_here)
     script = scripts.read_text(DAY)
     figures = [experiment.figures(world.play(script, 1, False, kind)) for kind in (earlier, cells.Scheduler)]
     assert figures[0] == figures[1] and figures[0]["service"] > 0
 
 
-def test_the_text_that_identifies_a_variant_is_that_of_all_files_of_the_package():
+def test_the_text_that_identifies_a_variant_contains_all_files_of_the_package():
     _, text = earlier_modules.load("abc", text_here)
     here = cells.module_text("here")
     files = sorted(Path(scheduling.__path__[0]).glob("*.py"))
--- a/tests/scheduling/test_outlier_ejection.py
+++ b/tests/scheduling/test_outlier_ejection.py
@@ -1,38 +1,43 @@
-"""Engines that fail are ejected, whatever the others do."""
+"""Engines that fail are ejected, regardless of the other engines."""
 
 from bench_free import Gateways, group, site
 
 from wickvane.events import Ending
 
 
-def test_engines_that_refuse_connections_stay_ejected_though_they_are_most():
-    g = Gateways(site([group(timeout=400_000, latency_objective=300_000)]))
-    g.engines(5)
-    q = g.take(left=390_000)
+def test_engines_that_refuse_connections_stay_ejected_even_if_they_are_the_majority():
+    dispatcher = Gateways(site([group(timeout=400_000, latency_objective=300_000)]))
+    dispatcher.engines(5)
+    query = dispatcher.take(left=390_000)
     for table_group in range(60):
-        q = q if q in g.out else g.take(table_group=table_group, left=390_000)
-        g.end(q, ending=Ending.FINISHED if g.out[q] == 0 else Ending.NO_CONNECTION, after=20)
-    before = g.now
+        query = query if query in dispatcher.out else dispatcher.take(table_group=table_group, left=390_000)
+        dispatcher.end(
+            query, ending=Ending.FINISHED if dispatcher.out[query] == 0 else Ending.NO_CONNECTION, after=20
+        )
+    before = dispatcher.now
     for table_group in range(10):
-        q = g.take(table_group=table_group, left=390_000)
-        assert g.out.get(q, 0) == 0
-        if q in g.out:
-            g.end(q)
-    assert g.now == before
+        query = dispatcher.take(table_group=table_group, left=390_000)
+        assert dispatcher.out.get(query, 0) == 0
+        if query in dispatcher.out:
+            dispatcher.end(query)
+    assert dispatcher.now == before
 
 
-def test_an_engine_that_answers_all_with_errors_is_ejected():
-    gates = Gateways(site([group()]))
-    gates.engines(3)
-    bad = None
+def test_an_engine_that_answers_every_query_with_an_error_is_ejected():
+    dispatcher = Gateways(site([group()]))
+    dispatcher.engines(3)
+    failing = None
     for _ in range(12):
-        q = gates.take(table_group=1)
-        bad = gates.out[q] if bad is None else bad
-        while q not in gates.final and q in gates.out:
-            at_fault = gates.out[q] == bad
-            gates.end(
-                q, Ending.ERROR if at_fault else Ending.FINISHED, elapsed=20 if at_fault else 1000, after=100
+        query = dispatcher.take(table_group=1)
+        failing = dispatcher.out[query] if failing is None else failing
+        while query not in dispatcher.final and query in dispatcher.out:
+            fails = dispatcher.out[query] == failing
+            dispatcher.end(
+                query, Ending.ERROR if fails else Ending.FINISHED, elapsed=20 if fails else 1000, after=100
             )
-            if not at_fault:
+            if not fails:
                 break
-    assert gates.scheduler.engines.ejected_until[bad] and max(len(sent) for sent in gates.sent.values()) == 2
+    assert (
+        dispatcher.scheduler.engines.ejected_until[failing]
+        and max(len(sent) for sent in dispatcher.sent.values()) == 2
+    )
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -1,4 +1,4 @@
-"""Which engine gets a query: the shared order, the load, and many dispatchers."""
+"""The choice of an engine by the hash order and the load, also with many dispatchers."""
 
 from collections import Counter
 from typing import Any
@@ -8,50 +8,50 @@
 from wickvane.events import Ending
 
 
-def test_gateways_that_learn_of_engines_in_another_order_choose_alike():
-    one = Gateways(site([group()]))
-    other = Gateways(site([group()]))
-    one.engines(5)
+def test_dispatchers_that_learn_of_engines_in_different_orders_choose_the_same_ones():
+    first = Gateways(site([group()]))
+    second = Gateways(site([group()]))
+    first.engines(5)
     names = [3, 1, 4, 0, 2]
-    for e, name in enumerate(names):
-        other.engine(e, name=name)
-    homes = {table_group: one.scheduler.placement.order_of(table_group) for table_group in range(30)}
-    assert homes == {
-        table_group: [names[e] for e in other.scheduler.placement.order_of(table_group)]
+    for engine, name in enumerate(names):
+        second.engine(engine, name=name)
+    orders = {table_group: first.scheduler.placement.order_of(table_group) for table_group in range(30)}
+    assert orders == {
+        table_group: [names[engine] for engine in second.scheduler.placement.order_of(table_group)]
         for table_group in range(30)
     }
-    assert {order[0] for order in homes.values()} == set(range(5))
+    assert {order[0] for order in orders.values()} == set(range(5))
 
 
-def test_bounds_below_one_query_are_pooled_over_all_engines():
-    g = Gateways(site([group()], dispatcher_count=40))
-    g.engines(10)
-    g.scheduler.engines.rejected_at = [g.now] * 10
+def test_limits_of_less_than_one_query_are_pooled_over_all_engines():
+    dispatcher = Gateways(site([group()], dispatcher_count=40))
+    dispatcher.engines(10)
+    dispatcher.scheduler.engines.rejected_at = [dispatcher.now] * 10
     for table_group in range(60):
-        g.take(table_group=table_group)
-    # Two threads a core of ten engines with eight, over forty gateways.
-    assert len(g.out) == 4
+        dispatcher.take(table_group=table_group)
+    # Two threads per core on ten engines with eight cores are 4 for each of forty dispatchers.
+    assert len(dispatcher.out) == 4
 
 
-def test_many_gateways_go_round_an_engine_whose_answers_were_slow_and_one_gateway_need_not():
-    for dispatcher_count, stays in ((1, True), (40, False)):
-        g = Gateways(site([group()], dispatcher_count=dispatcher_count))
-        g.engines(5)
-        slow = g.scheduler.placement.order_of(1)[0]
-        g.scheduler.engines.load_factor[slow] = 1.4
-        g.scheduler.engines.load_factor_at[slow] = g.now
-        assert (g.out[g.take(table_group=1)] == slow) == stays
+def test_many_dispatchers_avoid_an_engine_with_slow_answers_and_a_single_one_does_not():
+    for dispatcher_count, uses_slow_engine in ((1, True), (40, False)):
+        dispatcher = Gateways(site([group()], dispatcher_count=dispatcher_count))
+        dispatcher.engines(5)
+        slow = dispatcher.scheduler.placement.order_of(1)[0]
+        dispatcher.scheduler.engines.load_factor[slow] = 1.4
+        dispatcher.scheduler.engines.load_factor_at[slow] = dispatcher.now
+        assert (dispatcher.out[dispatcher.take(table_group=1)] == slow) == uses_slow_engine
 
 
-def of_many(seed: int, **changes: Any) -> Gateways:
-    """A dispatcher of forty that sees little, before engines of which it holds less than a query each."""
-    g = Gateways(site([group()], dispatcher_count=40, **changes), seed)
-    g.engines(14)
-    return g
+def one_of_forty(seed: int, **changes: Any) -> Gateways:
+    """Returns one of forty dispatchers; its limit for each engine is less than one query."""
+    dispatcher = Gateways(site([group()], dispatcher_count=40, **changes), seed)
+    dispatcher.engines(14)
+    return dispatcher
 
 
 def one_query(dispatcher: Gateways, after: int = 80_000, ending: Ending = Ending.FINISHED) -> int:
-    """The engine of a query that is played to its end."""
+    """Starts and ends a query; returns its engine."""
     dispatcher.now += after
     query = dispatcher.take(table_group=1)
     engine = dispatcher.out[query]
@@ -59,65 +59,74 @@
     return engine
 
 
-def test_gateways_of_many_each_keep_to_an_engine_they_are_connected_to_and_spread_together():
-    went = Counter()
+def test_each_of_many_dispatchers_reuses_its_connected_engine_and_together_they_spread():
+    dispatchers_by_engine = Counter()
     for seed in range(90):
-        g = of_many(seed)
-        chosen = {one_query(g) for _ in range(8)}
+        dispatcher = one_of_forty(seed)
+        chosen = {one_query(dispatcher) for _ in range(8)}
         assert len(chosen) == 1
-        went[chosen.pop()] += 1
-    assert set(went) == set(of_many(0).scheduler.placement.order_of(1)[:8]) and min(went.values()) >= 2
+        dispatchers_by_engine[chosen.pop()] += 1
+    assert (
+        set(dispatchers_by_engine) == set(one_of_forty(0).scheduler.placement.order_of(1)[:8])
+        and min(dispatchers_by_engine.values()) >= 2
+    )
 
 
-def test_a_closed_connection_holds_no_dispatcher_to_its_engine():
+def test_a_dispatcher_may_change_its_engine_after_the_connection_was_closed():
     for after, ending in ((80_000, Ending.RESET), (240_001, Ending.FINISHED)):
         moved = 0
         for seed in range(30):
-            g = of_many(seed)
-            moved += one_query(g, ending=ending) != one_query(g, after)
+            dispatcher = one_of_forty(seed)
+            moved += one_query(dispatcher, ending=ending) != one_query(dispatcher, after)
         assert moved > 10
-    g = of_many(1)
-    e = one_query(g)
-    g.scheduler.engines.load_factor[e] = 2.9
-    g.scheduler.engines.load_factor_at[e] = g.now
-    assert one_query(g, after=1) != e  # a thread a core fuller than the others: worth a connection
+    dispatcher = one_of_forty(1)
+    engine = one_query(dispatcher)
+    dispatcher.scheduler.engines.load_factor[engine] = 2.9
+    dispatcher.scheduler.engines.load_factor_at[engine] = dispatcher.now
+    # One more thread per core than on the other engines is worse than a new connection.
+    assert one_query(dispatcher, after=1) != engine
 
 
-def test_few_dispatchers_consider_three_engines_whatever_they_are_connected_to():
-    g = Gateways(site([group()], dispatcher_count=2))
-    g.engines(8)
-    took = [g.take(table_group=1) for _ in range(3)]
-    assert {g.out[q] for q in took} == set(g.scheduler.placement.order_of(1)[:3])
+def test_few_dispatchers_consider_three_engines_regardless_of_connections():
+    dispatcher = Gateways(site([group()], dispatcher_count=2))
+    dispatcher.engines(8)
+    queries = [dispatcher.take(table_group=1) for _ in range(3)]
+    assert {dispatcher.out[query] for query in queries} == set(dispatcher.scheduler.placement.order_of(1)[:3])
 
 
-def test_statements_that_name_ever_new_groups_fill_no_memory():
-    g = Gateways(site([group()]))
-    g.engines(2)
+def test_the_memory_for_table_groups_that_statements_name_is_limited():
+    dispatcher = Gateways(site([group()]))
+    dispatcher.engines(2)
     for table_group in range(9000):
-        g.end(g.take(table_group=table_group), work=1000)
-    assert 0 < len(g.scheduler.placement.orders) <= 4096
-
-
-def test_loads_of_one_table_group_go_to_engines_that_run_none_of_it_before_they_meet():
-    g = Gateways(site([group(is_bulk_load=True, priority_weight=5.0)]))
-    g.engines(6)
-    loads = [g.take(table_group=3) for _ in range(6)]
-    assert sorted(g.out[q] for q in loads) == list(range(6))
-    where = g.out[loads[2]]
-    g.end(loads[2])
-    assert g.out[g.take(table_group=3)] == where
-    assert g.out[g.take(table_group=3)] in g.scheduler.placement.order_of(3) and len(g.out) == 7
-
-
-def test_what_is_no_load_keeps_to_the_first_engines_of_its_group():
-    g = Gateways(site([group()]))
-    g.engines(6)
-    assert {g.out[g.take(table_group=3)] for _ in range(9)} == set(g.scheduler.placement.order_of(3)[:3])
-
-
-def test_a_pool_binds_without_pressure_so_that_many_gateways_do_not_jam_an_engine_before_it_shows():
-    gates = Gateways(site([group()], dispatcher_count=100))
-    gates.engines(10)
-    queries = [gates.take(table_group=n) for n in range(20)]
-    # Two threads a core of ten engines of eight cores, over a hundred gateways: less than two queries.
-    assert sum(q in gates.out for q in queries) == 2
+        dispatcher.end(dispatcher.take(table_group=table_group), work=1000)
+    assert 0 < len(dispatcher.scheduler.placement.orders) <= 4096
+
+
+def test_bulk_loads_of_one_table_group_prefer_engines_that_run_none_of_them():
+    dispatcher = Gateways(site([group(is_bulk_load=True, priority_weight=5.0)]))
+    dispatcher.engines(6)
+    loads = [dispatcher.take(table_group=3) for _ in range(6)]
+    assert sorted(dispatcher.out[query] for query in loads) == list(range(6))
+    free_engine = dispatcher.out[loads[2]]
+    dispatcher.end(loads[2])
+    assert dispatcher.out[dispatcher.take(table_group=3)] == free_engine
+    assert (
+        dispatcher.out[dispatcher.take(table_group=3)] in dispatcher.scheduler.placement.order_of(3)
+        and len(dispatcher.out) == 7
+    )
+
+
+def test_other_queries_stay_on_the_first_engines_of_their_table_group():
+    dispatcher = Gateways(site([group()]))
+    dispatcher.engines(6)
+    assert {dispatcher.out[dispatcher.take(table_group=3)] for _ in range(9)} == set(
+        dispatcher.scheduler.placement.order_of(3)[:3]
+    )
+
+
+def test_the_pooled_limit_of_many_dispatchers_applies_before_an_overload_is_observed():
+    dispatcher = Gateways(site([group()], dispatcher_count=100))
+    dispatcher.engines(10)
+    queries = [dispatcher.take(table_group=n) for n in range(20)]
+    # Two threads per core on ten engines with eight cores are 1.6 for each of a hundred dispatchers.
+    assert sum(query in dispatcher.out for query in queries) == 2
