--- a/wickvane/scheduling/concurrency.py
+++ b/wickvane/scheduling/concurrency.py
@@ -84,8 +84,9 @@
         self._fade_ticks = max(
             MIN_LOAD_FACTOR_FADE_TICKS, FADE_ANSWER_CYCLES * self._answer_gap * len(self.engines)
         )
-        # The median is over recent answers and not over engines, because most of many engines answered long
-        # ago. It is divided by the baseline because all cost estimates may be too high, or all too low.
+        # The median is over recent answers and not over engines, because with many engines most of them
+        # answered long ago. It is divided by the baseline because all cost estimates may be too high, or all
+        # too low.
         if not counted:
             step = MEDIAN_STEP_FACTOR if slowdown > self.median_latency else 1 / MEDIAN_STEP_FACTOR
             self.median_latency = max(0.1, self.median_latency * step)
@@ -94,7 +95,7 @@
         )
         self.usual_load_factor = self.median_latency / self._baseline_latency
         load_factor = max(slowdown / self._baseline_latency, self._reported_load_factor(engine, report))
-        # Each answer has more weight the rarer answers are.
+        # The longer the engine has not answered, the more weight the answer has.
         gap = now - self.engines.load_factor_at[engine]
         gain = min(1.0, max(MIN_LOAD_FACTOR_GAIN, 2 * gap / MIN_LOAD_FACTOR_FADE_TICKS))
         self.engines.load_factor[engine] += (load_factor - self.engines.load_factor[engine]) * gain
@@ -204,7 +205,7 @@
         return self._load.current(engine, now) > PRESSURE_LOAD_FACTOR
 
     def add_in_flight(self, engine: int, threads: int) -> None:
-        """Adds the threads of an attempt that started; they are negative for one that ended."""
+        """Adds to the threads in flight on an engine; `threads` is negative if an attempt ended."""
         self._engines.in_flight[engine] += threads
         self.threads_in_flight += threads
 
--- a/wickvane/scheduling/connection_pacing.py
+++ b/wickvane/scheduling/connection_pacing.py
@@ -128,7 +128,7 @@
         return True
 
     def retry_after(self, now: int) -> int:
-        """Returns the ticks after which a rejected client should retry, later for each next client."""
+        """Returns the ticks after which a rejected client should retry; clients are due one after another."""
         if not self._max_retry_after or self.rate is None:
             return 0
         self._last_retry_at = max(self._last_retry_at, now) + TICKS_PER_SECOND / self.rate
--- a/wickvane/scheduling/placement.py
+++ b/wickvane/scheduling/placement.py
@@ -57,7 +57,7 @@
         self._full_groups: set[int] = set()  # resource groups for which no engine has capacity in this round
 
     def start_round(self) -> None:
-        """Forgets for which resource groups no engine had capacity."""
+        """Clears the set of resource groups for which no engine had capacity."""
         self._full_groups.clear()
 
     def engines_changed(self) -> None:
--- a/wickvane/scheduling/retry_storm.py
+++ b/wickvane/scheduling/retry_storm.py
@@ -197,7 +197,7 @@
         self._answered_at[engine] = now
 
     def remove_engine(self, engine: str) -> None:
-        """Forgets an engine that has left the endpoint list."""
+        """Removes the latencies of an engine that has left the endpoint list."""
         for table in (self._best_ratio, self._recent_ratio, self._answered_at):
             table.pop(engine, None)
 
