--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -20,7 +20,7 @@
 from wickvane.net.lines.connection import Connection
 from wickvane.net.postgres.rows import result
 from wickvane.net.queues import EngineQueue
-from wickvane.net.statement import Reader, is_empty, plain_group, split, table_group
+from wickvane.net.statement import Reader, is_empty, plain_table_group, split_comment, table_group
 from wickvane.net.threads import Threads
 from wickvane.settings import root_section
 
@@ -82,17 +82,17 @@
     )
     chance = random.Random(5)
     texts = ["".join(chance.choices(pieces, k=chance.randrange(1, 9))).encode() for _ in range(6000)]
-    quick = {text: plain_group(text) for text in texts}
-    monkeypatch.setattr("wickvane.net.statement.plain_group", lambda text: None)
+    quick = {text: plain_table_group(text) for text in texts}
+    monkeypatch.setattr("wickvane.net.statement.plain_table_group", lambda text: None)
     assert sum(found is not None for found in quick.values()) > 500
     assert [text for text, found in quick.items() if found is not None and found != table_group(text)] == []
 
 
 def test_the_statement_goes_on_without_its_comment_and_otherwise_unchanged():
     body = b"SELECT /* kept */ 'verb=x'  FROM s_1.t ; \n"
-    assert split(b"/* verb=a,txn=b */ " + body) == (b" verb=a,txn=b ", body)
-    assert split(b"-- first\n/* other */ /*txn=b*/" + body)[0] == b"txn=b"
-    assert split(body) == (None, body)
+    assert split_comment(b"/* verb=a,txn=b */ " + body) == (b" verb=a,txn=b ", body)
+    assert split_comment(b"-- first\n/* other */ /*txn=b*/" + body)[0] == b"txn=b"
+    assert split_comment(body) == (None, body)
     assert is_empty(b"") and is_empty(b" ; ") and not is_empty(b"x")
     # What only looks like nothing would be answered as if it had been done.
     assert not is_empty(b"/* verb=lookup,limit=5 */") and not is_empty(b"/* verb=lookup,txn=1 */ ;")
