--- a/tests/bench_free.py
+++ b/tests/bench_free.py
@@ -1,4 +1,4 @@
-"""A gateway with a recording writer, settings made up for tests, and stand-ins for what is on the sockets."""
+"""Test helpers: a scheduler with recorded output, settings, and stand-ins for a dispatcher's peers."""
 
 import json
 import math
@@ -79,7 +79,9 @@
 
 
 class Gateways:
-    """One gateway and all that it wrote. in_fleet: it hears of other dispatchers."""
+    """A scheduler and a record of all its output.
+
+    in_fleet: whether it exchanges decisions with other dispatchers."""
 
     def __init__(self, deployment, seed=1, in_fleet=False):
         self.scheduler, self.now, self.site = Scheduler(seed, deployment), 1_000_000, deployment
@@ -133,7 +135,7 @@
         self.alarms.append(at)
 
     def let_pass(self, until):
-        """Nothing comes in but the module's own alarms."""
+        """Advances the time to `until`; the only events are the scheduler's own timers."""
         while self.alarms and min(self.alarms) <= until:
             self.now = min(self.alarms)
             self.alarms = [at for at in self.alarms if at > self.now]
@@ -146,7 +148,7 @@
         self.log.append(text)
 
 
-# Stand-ins on loopback sockets, from the published protocols.
+# Stand-ins on loopback sockets, written by the published protocols.
 
 SETTINGS = {
     "classes": [
@@ -194,16 +196,18 @@
     },
     "obligations": {"stop_sending_within_ms": 2000.0, "key_rest_ms": 300.0},
 }
-PATIENCE = 30  # seconds after which a test has failed; none waits so long to pass
+PATIENCE = 30  # seconds after which a wait fails the test; a passing test waits for less
 
 
 def collapse_budget(whole):
-    """What a cold engine may get in a window that holds `whole` queries: the rest is put down to chance."""
+    """Returns the maximum number of queries that a test allows an engine in slow start in one window.
+
+    whole: the number that the window holds; the margin of two standard deviations and 2 allows for chance."""
     return whole + 2 * math.sqrt(whole) + 2
 
 
 def until(holds, seconds=PATIENCE, words="not in time"):
-    """What `holds` gives, once it gives anything."""
+    """Polls `holds` until it returns a true value, and returns that; fails after `seconds`."""
     by = time.monotonic() + seconds
     while time.monotonic() < by:
         if found := holds():
@@ -212,11 +216,12 @@
     raise AssertionError(words)
 
 
-STANDING = []  # else a port or a descriptor would be given anew while a dispatcher still writes there
+# Keeps sockets and files open: their ports and descriptors could be reused while a dispatcher writes there.
+STANDING = []
 
 
 class Stand:
-    """Listens on loopback, and gives each connection a thread of its own."""
+    """A server on loopback that serves each connection in a thread of its own."""
 
     def __init__(self, port=0):
         self.listening = socket.create_server(("127.0.0.1", port))
@@ -247,7 +252,7 @@
                 return found
 
     def end(self):
-        """As a process that dies: nothing listens, and what is connected is reset."""
+        """Ends like a killed process: closes the listening socket and resets all connections."""
         self.listening.shutdown(socket.SHUT_RDWR)
         self.listening.close()
         for conn in self.connections:
@@ -257,7 +262,7 @@
 def reset(conn):
     conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     try:
-        conn.shutdown(socket.SHUT_RD)  # a reader of ours still holds the descriptor
+        conn.shutdown(socket.SHUT_RD)  # the thread that reads it keeps the descriptor open
     except OSError:
         pass
     conn.close()
@@ -268,7 +273,9 @@
 
 
 class Engine(Stand):
-    """Tells the test all that comes; `answers` turns a request's id and words into bytes, or silence."""
+    """An engine that records all requests in `came`.
+
+    answers: called with a request's id and words; returns the answer's bytes, none for no answer."""
 
     def __init__(self, answers=lambda txn, words: hit(txn) if words[0] == b"ASK" else b"", port=0):
         self.answers = answers
@@ -286,7 +293,7 @@
 
 
 class LatestQueue:
-    """What is put in goes to whoever subscribed last; before anybody has, it waits."""
+    """A queue for the latest subscriber; items put before the first subscription are kept for it."""
 
     def __init__(self):
         self.lock, self.current = Lock(), Queue()
@@ -305,7 +312,7 @@
 
 
 class Events(Stand):
-    """A coordinator: each connection's Last-Event-ID is told, then what the test puts in is sent."""
+    """A coordinator: records each connection's Last-Event-ID, then sends what the test puts into `send`."""
 
     def __init__(self, port=0):
         self.send = LatestQueue()
@@ -346,7 +353,7 @@
 
 
 def found(engines, coordinator, **limits):
-    """A configuration, as the operators would hand it over."""
+    """Returns a configuration like one that operators write."""
     entries = [entry(f"e{n}", engine.address) for n, engine in enumerate(engines)]
     return {
         "name": "n0",
@@ -360,7 +367,7 @@
 
 
 class Dispatcher:
-    """The real program's threads in this process, on a free port, with its log in a file."""
+    """A real dispatcher whose threads run in this process, on a free port, with its log in a file."""
 
     def __init__(self, *engines, coordinator=None, settings=None, **limits):
         self.found = found(engines, coordinator or Events(), **limits)
@@ -371,7 +378,7 @@
         self.service.start()
 
     def logged(self, *events):
-        """The log's lines of these events, once there is one of them."""
+        """Waits until the log has an entry with one of these events; returns all such entries."""
         for _ in range(PATIENCE * 100):
             text = os.pread(self.log.fileno(), 1 << 20, 0)
             lines = [json.loads(line) for line in text[: text.rfind(b"\n") + 1].splitlines()]
@@ -398,7 +405,7 @@
 
 
 class Client:
-    """A PostgreSQL client by hand, a message at a time."""
+    """A PostgreSQL client that sends and reads one message at a time, without a driver."""
 
     def __init__(self, dispatcher, first=STARTUP):
         host, _, port = dispatcher.found["listen"].rpartition(":")
@@ -452,7 +459,7 @@
 
 
 def sqlstate(messages):
-    """The first error's code, or None."""
+    """Returns the SQLSTATE of the first error, None if there is none."""
     return next(
         (
             part[1:].decode()
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""The dispatcher on real loopback sockets, against stand-ins; no sleep decides a verdict."""
+"""The dispatcher on real loopback sockets, with stand-ins for its peers; no result depends on a sleep."""
 
 import json
 import os
@@ -32,7 +32,7 @@
 
 
 def paged(txn, words):
-    """Three pages, the later ones in the wrong order and only when all were asked for."""
+    """Answers with three pages; pages 1 and 2 are sent in the wrong order, once both have been requested."""
     if words[0] == b"ASK":
         return hit(txn, b"a\t1\tx\n", b"toil=250.0,room=96,sheets=3")
     if words[0] == b"NEXT" and words[2] == b"2":
@@ -40,7 +40,7 @@
     return b""
 
 
-def test_a_query_goes_on_as_the_bytes_that_came_and_all_rows_come_back_in_order():
+def test_a_query_is_forwarded_byte_for_byte_and_all_rows_are_returned_in_order():
     engine = Engine(paged)
     dispatcher = Dispatcher(engine)
     text = "SELECT  'é; /* x */'  FROM sales_17.orders -- end"
@@ -54,7 +54,7 @@
     assert engine.next("FREE")[1] == [b"%016x" % 7]
 
 
-def test_a_client_that_vanishes_leaves_nothing_running():
+def test_a_disconnect_cancels_the_query_in_flight():
     engine = Engine(lambda txn, words: b"")
     dispatcher = Dispatcher(engine)
     client = Client(dispatcher)
@@ -66,7 +66,7 @@
     assert dispatcher.logged("query")[0]["answer"] == "left"
 
 
-def test_what_is_already_written_behind_the_start_up_is_answered():
+def test_a_query_sent_together_with_the_startup_message_is_answered():
     dispatcher = Dispatcher(Engine())
     text = b"\0"
     for first in (STARTUP, struct.pack("!II", 8, 80_877_103) + STARTUP):
@@ -77,7 +77,7 @@
         assert client.until_ready() == [(b"I", b""), (b"Z", b"I")]
 
 
-def test_input_cut_at_every_byte_is_read_the_same():
+def test_input_that_arrives_byte_by_byte_is_read_correctly():
     dispatcher = Dispatcher(Engine())
     client = Client(dispatcher, b"")
     text = statement(n=9).encode() + b"\0"
@@ -105,14 +105,14 @@
         (statement("  "), "42601"),
     ],
 )
-def test_a_statement_that_cannot_be_used_is_told_so_and_never_sent_on(text, code):
+def test_an_unusable_statement_is_rejected_and_never_sent_to_an_engine(text, code):
     engine = Engine()
     client = Client(Dispatcher(engine))
     assert sqlstate(client.ask(text)) == code
     assert rows(client.ask(statement(n=2))) and engine.next()[1][0] == b"%016x" % 2
 
 
-def test_an_extended_message_is_told_so_and_is_in_step_again_at_sync():
+def test_extended_query_messages_get_one_error_and_are_skipped_until_sync():
     client = Client(Dispatcher(Engine()))
     for kind in (b"P", b"B", b"E"):
         client.send(b"\0\0\0", kind)
@@ -134,7 +134,7 @@
         (STARTUP + b"Q\0\0\0\7a\0b", "08P01", "message-malformed"),
     ],
 )
-def test_what_cannot_be_spoken_with_is_told_so_and_closed_with_its_code(sent, code, reason):
+def test_a_protocol_error_is_answered_with_its_sqlstate_and_ends_the_connection(sent, code, reason):
     dispatcher = Dispatcher()
     client = Client(dispatcher, b"")
     client.sock.sendall(sent)
@@ -145,7 +145,7 @@
     assert dispatcher.logged("client-connection-ended")[0]["reason"] == reason
 
 
-def test_garbage_ends_its_session_in_order_and_no_other():
+def test_malformed_input_ends_only_its_own_session_and_causes_no_fault():
     chance, dispatcher = random.Random(11), Dispatcher(Engine())
     witness = Client(dispatcher)
     for n in range(300):
@@ -160,18 +160,18 @@
             while client.message():
                 pass
         except ConnectionResetError:
-            pass  # closed here with some of it unread
+            pass  # the dispatcher closed the connection with input unread
     assert rows(witness.ask(statement(n=1000)))
     counts = dispatcher.service.counters.shown()
     assert "client-connections-ended-fault" not in counts and "faults" not in counts
     assert counts["client-connections-ended-startup-unreadable"] and counts["statements-unusable"]
     ends, until = ("finished", "deferred", "killed", "left"), time.monotonic() + PATIENCE
     while counts["taken"] != sum(counts.get(end, 0) for end in ends) and time.monotonic() < until:
-        counts = dispatcher.service.counters.shown()  # who went last may still be noticed
+        counts = dispatcher.service.counters.shown()  # the last disconnects may not have been noticed yet
     assert counts["taken"] == sum(counts.get(end, 0) for end in ends) > 1
 
 
-def test_a_client_that_does_not_read_loses_its_connection_and_holds_up_nobody(monkeypatch):
+def test_a_client_that_does_not_read_is_disconnected_and_delays_no_other(monkeypatch):
     monkeypatch.setattr("wickvane.net.client_session.WRITE_TIMEOUT_S", 0.3)
     page = b"a\tb\t" + b"c" * 5900 + b"\n"
 
@@ -191,8 +191,8 @@
     assert dispatcher.logged("client-connection-ended")[0]["reason"] == "client-slow"
 
 
-def two(first):
-    """Two engines, of which the one asked first answers as `first` does."""
+def two_engines(first):
+    """Returns two engines; the one that gets the first query answers it as `first` does."""
     asked = []
 
     def answers(txn, words):
@@ -205,7 +205,7 @@
     return [Engine(answers), Engine(answers)]
 
 
-def die(engines):
+def reset_connections(engines):
     def answer(txn, words):
         for engine in engines:
             if engine.connections:
@@ -214,18 +214,18 @@
     return answer
 
 
-def test_a_page_lost_before_any_row_is_a_failed_submission_and_the_query_runs_again():
+def test_a_missing_page_fails_the_attempt_and_the_query_is_retried():
     def lost(txn, words):
         return hit(txn, b"a\tb\tlost\n", b"sheets=2") if words[0] == b"ASK" else b"%b FAULT - 0\r\n\r\n" % txn
 
-    dispatcher = Dispatcher(*two(lost))
+    dispatcher = Dispatcher(*two_engines(lost))
     assert rows(Client(dispatcher).ask(statement())) == [(b"a", b"b", b"c")]
     assert dispatcher.service.counters.shown()["ending-error"] == 1
 
 
 @pytest.mark.parametrize("answer, proof", [(b"SHED", "turned-away"), (b"LATE", "not-sent")])
-def test_what_proves_that_nothing_ran_lets_even_a_mutating_query_go_again(answer, proof):
-    dispatcher = Dispatcher(*two(lambda txn, words: b"%b %b - 0\r\n\r\n" % (txn, answer)))
+def test_a_mutating_query_is_retried_after_an_answer_that_proves_that_nothing_ran(answer, proof):
+    dispatcher = Dispatcher(*two_engines(lambda txn, words: b"%b %b - 0\r\n\r\n" % (txn, answer)))
     assert rows(Client(dispatcher).ask(statement(verb="change")))
     assert dispatcher.service.counters.shown()[f"ending-{proof}"] == 1
 
@@ -242,9 +242,9 @@
     assert counts["submissions"] == 19 + counts["ending-no-connection"]
 
 
-def test_a_reset_proves_nothing_and_a_mutating_query_is_killed_not_repeated():
+def test_a_mutating_query_fails_without_a_retry_after_a_reset():
     engines = []
-    engines += two(die(engines))
+    engines += two_engines(reset_connections(engines))
     dispatcher = Dispatcher(*engines)
     assert sqlstate(Client(dispatcher).ask(statement(verb="change"))) == "58000"
     assert dispatcher.service.counters.shown()["submissions"] == 1
@@ -268,16 +268,16 @@
         b"%b HIT sheets=1.0 0\r\n\r\n",
     ],
 )
-def test_a_malformed_answer_ends_that_connection_only_and_proves_nothing(malformed):
-    engines = two(lambda txn, words: malformed.replace(b"%b", txn))
+def test_a_malformed_answer_ends_only_its_connection_and_counts_as_a_reset(malformed):
+    engines = two_engines(lambda txn, words: malformed.replace(b"%b", txn))
     dispatcher = Dispatcher(*engines)
     assert rows(Client(dispatcher).ask(statement(verb="load", item="k", unique="u")))
     assert dispatcher.logged("engine-connection-ended")[0]["reason"] == "malformed"
     assert dispatcher.service.counters.shown()["ending-reset"] == 1
 
 
-def test_surplus_answers_cost_nobody_anything_and_pass_for_no_other():
-    """A good answer, with another under an unknown id ahead of it and a second copy behind."""
+def test_surplus_answers_are_dropped_and_never_taken_for_those_of_another_query():
+    """Each answer follows one with another id, and is sent twice."""
 
     def answers(txn, words):
         if words[0] == b"NEXT":
@@ -299,7 +299,7 @@
     assert counts["answers-surplus"] >= 3
 
 
-def test_a_connection_that_goes_bad_takes_no_other_query_along():
+def test_a_malformed_answer_does_not_affect_other_queries():
     def answers(txn, words):
         return b"%b HIT x\r\n" % txn if txn.endswith(b"1") else b""
 
@@ -315,16 +315,16 @@
     assert all(rows(client.until_ready()) for client in waiting)
 
 
-def test_a_page_that_does_not_come_ends_its_connection():
+def test_a_page_that_never_arrives_ends_the_engine_connection():
     def first(txn, words):
         return hit(txn, fields=b"sheets=2") if words[0] == b"ASK" else b""
 
-    dispatcher = Dispatcher(*two(first))
+    dispatcher = Dispatcher(*two_engines(first))
     assert rows(Client(dispatcher).ask(statement(verb="load", item="k", unique="u"))) == [(b"a", b"b", b"c")]
     assert dispatcher.logged("engine-connection-ended")[0]["reason"] == "page-missing"
 
 
-def test_an_engine_that_accepts_and_never_answers_costs_the_client_no_more_than_its_time():
+def test_a_query_to_an_engine_that_never_answers_is_rejected_at_its_deadline():
     engine = Engine(lambda txn, words: b"")
     dispatcher = Dispatcher(engine)
     assert sqlstate(Client(dispatcher).ask(statement(limit=300, verb="lookup"))) == "53000"
@@ -333,17 +333,19 @@
     assert engine.next("QUIT")
 
 
-def test_an_id_that_is_open_is_not_taken_again_nor_called_harmless():
+def test_a_query_with_an_id_in_flight_is_rejected_with_an_error_that_promises_no_harmless_retry():
     engine = Engine(lambda txn, words: b"")
     dispatcher = Dispatcher(engine)
-    first = Client(dispatcher)  # held: a client that has gone is sent nothing for
+    first = Client(
+        dispatcher
+    )  # a reference that keeps the client connected: a disconnect would end its query
     first.send(statement(n=3))
     engine.next("ASK")
     assert sqlstate(Client(dispatcher).ask(statement(n=3))) == "55000"
     assert dispatcher.service.counters.shown()["taken"] == 1
 
 
-def test_a_query_that_the_module_has_lost_is_answered_by_its_session():
+def test_a_query_that_the_decider_has_lost_is_answered_by_its_session():
     dispatcher = Dispatcher(Engine())
     dispatcher.service.decider.taken = lambda ticket: None
     assert sqlstate(Client(dispatcher).ask(statement(limit=100))) == "58000"
@@ -351,7 +353,7 @@
     assert dispatcher.service.counters.shown()["overdue"] == 1
 
 
-def test_tokened_queries_of_one_key_go_one_after_another_with_their_token():
+def test_queries_with_the_same_ordering_key_run_one_at_a_time_with_their_idempotency_keys():
     def answers(txn, words):
         return b""
 
@@ -364,7 +366,7 @@
         if n == 1:
             _, words, _, conn = engine.next("ASK")
             assert b"uniq=u1" in words[1]
-    # The second one is with the dispatcher once its own round has been counted.
+    # Wait until the dispatcher has taken the second query.
     while dispatcher.service.counters.shown()["taken"] < 2:
         pass
     assert engine.came.empty()
@@ -373,7 +375,7 @@
     assert b"uniq=u2" in engine.next("ASK")[1][1]
 
 
-def test_the_list_is_followed_from_the_last_event_on_and_a_malformed_one_changes_nothing():
+def test_the_endpoint_list_resumes_after_the_last_event_and_a_malformed_event_changes_nothing():
     engines, coordinator = [Engine(), Engine()], Events()
     dispatcher = Dispatcher(engines[0], coordinator=coordinator)
     assert coordinator.next() == ("connected", b"1")
@@ -388,7 +390,7 @@
     assert engines[0].came.empty()
 
 
-def test_a_stream_gone_silent_is_opened_again_from_where_it_was(monkeypatch):
+def test_a_silent_event_stream_is_reopened_after_the_last_event(monkeypatch):
     monkeypatch.setattr("wickvane.net.coordinator.SILENT_S", 0.05)
     coordinator = Events()
     dispatcher = Dispatcher(coordinator=coordinator)
@@ -396,7 +398,7 @@
     assert dispatcher.logged("coordinator-connection-ended")[0]["reason"] == "silent"
 
 
-def test_a_query_that_hangs_holds_up_no_other():
+def test_a_hanging_query_delays_no_other_and_can_be_cancelled():
     engine = Engine(lambda txn, words: b"" if txn.endswith(b"1") else hit(txn) if words[0] == b"ASK" else b"")
     dispatcher = Dispatcher(engine)
     hung = Client(dispatcher)
@@ -407,7 +409,7 @@
     assert sqlstate(hung.until_ready()) == "57014" and rows(hung.ask(statement(n=3)))
 
 
-def test_an_address_taken_over_by_a_new_engine_is_reached_over_a_new_connection():
+def test_a_new_engine_at_a_known_address_gets_a_new_connection():
     engine, coordinator = Engine(), Events()
     dispatcher = Dispatcher(engine, coordinator=coordinator)
     client = Client(dispatcher)
@@ -420,7 +422,7 @@
     assert engine.next("ASK")[3] is not old
 
 
-def test_a_restarted_engine_is_not_reached_over_connections_older_than_its_start():
+def test_connections_older_than_an_engine_s_restart_are_closed():
     engine, coordinator = Engine(lambda txn, words: b"" if txn.endswith(b"1") else hit(txn)), Events()
     dispatcher = Dispatcher(engine, coordinator=coordinator)
     client = Client(dispatcher)
@@ -432,13 +434,13 @@
     assert dispatcher.logged("engine-connection-ended")[0]["reason"] == "engine-restarted"
 
 
-def test_a_full_house_lets_go_of_who_asks_nothing_and_still_hears_cancels():
+def test_at_the_connection_limit_idle_clients_are_evicted_and_cancel_requests_still_work():
     engine = Engine(lambda txn, words: b"" if words[0] == b"ASK" and int(txn, 16) < 100 else hit(txn))
-    dispatcher = Dispatcher(engine, sockets=16)  # eight clients, and a few more
+    dispatcher = Dispatcher(engine, sockets=16)  # leaves room for eight clients and a few more connections
     silent = Client(dispatcher, b"")
 
     def open_for_long(client, n):
-        # Of so much work that the module does not take the silent engine for lost on a busy machine.
+        # So much work that the scheduler doesn't judge the silent engine as failed on a busy machine.
         client.send(statement(verb="change", n=n, limit=20_000, cpu=5000))
         engine.next("ASK")
 
@@ -446,8 +448,8 @@
     for n, client in enumerate(busy[1:]):
         open_for_long(client, n)
     assert rows(busy[0].ask(statement(n=100)))
-    engine.next("ASK")  # that one's: else each wait below would be for the query before
-    # Who has said nothing goes first, then who asked and idles; those with a query open stay.
+    engine.next("ASK")  # this query's request: otherwise each wait below would end one query early
+    # A client without a query is evicted first, then an idle one; those with a query in flight stay.
     late = [Client(dispatcher), Client(dispatcher)]
     assert silent.message() is None and busy[0].message() is None
     for n, client in enumerate(late, 10):
@@ -460,7 +462,7 @@
 
 
 @pytest.mark.parametrize("first", [b"", STARTUP[:9], STARTUP, STARTUP + b"Q\0\0", STARTUP + b"Q\0\0\0\5\0"])
-def test_who_connects_and_asks_nothing_whole_is_closed_in_time(monkeypatch, first):
+def test_a_client_without_a_whole_query_is_disconnected_after_the_first_query_timeout(monkeypatch, first):
     monkeypatch.setattr("wickvane.net.client_session.FIRST_QUERY_TIMEOUT_S", 0.2)
     began, client = time.monotonic(), Client(Dispatcher(), b"")
     client.sock.sendall(first)
@@ -469,7 +471,7 @@
     assert 0.1 < time.monotonic() - began < 1.5
 
 
-def test_who_asked_and_idles_is_closed_without_a_word(monkeypatch):
+def test_an_idle_client_is_disconnected_without_a_message_after_the_idle_timeout(monkeypatch):
     monkeypatch.setattr("wickvane.net.client_session.IDLE_TIMEOUT_S", 0.2)
     dispatcher = Dispatcher(Engine())
     client = Client(dispatcher)
@@ -477,14 +479,14 @@
     assert dispatcher.logged("client-connection-ended")[0]["reason"] == "idle"
 
 
-# Life, as a process of its own
+# The dispatcher as a process of its own
 
 
 def lines(process):
     return (json.loads(line) for line in process.stdout)
 
 
-def test_an_ordinary_client_gets_on_with_it_and_can_cancel(started):
+def test_an_unmodified_driver_can_run_and_cancel_queries(started):
     asked = Event()
 
     def answers(txn, words):
@@ -515,7 +517,7 @@
     assert (counts["taken"], counts["finished"], counts["left"]) == (3, 2, 1)
 
 
-def test_a_stop_answers_what_is_held_and_what_still_comes_then_exits_0(started):
+def test_a_graceful_shutdown_answers_open_and_new_queries_then_exits_with_0(started):
     engine = Engine(lambda txn, words: b"" if txn.endswith(b"1") else hit(txn))
     process = started(engine)
     process.stdout.readline()
@@ -527,20 +529,21 @@
     process.send_signal(signal.SIGTERM)
     assert next(line for line in lines(process) if line["event"] == "stopping")
     assert rows(Client(process).ask(statement(n=2)))
-    # The longest queue timeout is cut to 3 s, so 3.7 s are left; 20 s are what the query came with.
+    # A shutdown cuts the maximum queue timeout to 3 s, so 3.7 s are left of the query's limit of 20 s.
     assert sqlstate(held.until_ready()) == "57P03"
     assert idle.message()[0] == b"E" and idle.message() is None
     assert process.wait(PATIENCE) == 0
     ended = [line for line in lines(process) if line["event"] != "query"]
     last = [line for line in ended if line["event"] == "counters"][-1]
-    # The held query's connection is retired with it, and it may have been moved to the other one's.
+    # The engine connection of an abandoned attempt is retired; the held query may have been retried on the
+    # other query's connection, so that both are retired.
     reasons = {(line["event"], line["reason"]) for line in ended if "reason" in line}
     assert ("client-connection-ended", "stop") in reasons
     assert {reason for event, reason in reasons if event == "engine-connection-ended"} <= {"stop", "retired"}
     assert last["taken"] == last["finished"] + last["deferred"] == 2 and last["why"] == "exit"
 
 
-def test_sighup_moves_to_another_coordinator_and_keeps_what_is_open_and_the_old_for_an_unusable_one(started):
+def test_sighup_switches_the_coordinator_keeps_open_queries_and_ignores_an_unusable_file(started):
     engine, other = Engine(lambda txn, words: b"" if txn.endswith(b"1") else hit(txn)), Events()
     process = started(engine)
     log = lines(process)
@@ -552,7 +555,7 @@
     path.write_text(json.dumps(process.found)[:200])
     process.send_signal(signal.SIGHUP)
     assert next(line for line in log if line["event"] == "configuration-unusable")
-    # The half-written file is whole a moment later, without another signal.
+    # The file is complete a moment later, without another signal.
     events = [event(n, entry(f"new-{n}", engine.address)) for n in (2, 4)]
     known = {"index": 3, "updates": process.found["known"]["updates"] + events}
     changed = process.found | {"coordinator": other.address, "known": known, "limits": {"sockets": 99}}
@@ -560,7 +563,7 @@
     path.with_suffix(".new").rename(path)
     taken = next(line for line in log if line["event"] == "configuration-taken")
     assert taken["coordinator"] == other.address and taken["needs_restart"] == ["limits"]
-    # Event 2 came with the file, 3 is not known: the stream is asked for it, and 4 is not believed yet.
+    # Event 2 came with the file and 3 is missing, so the stream is requested after 2 and 4 isn't applied yet.
     assert other.next() == ("connected", b"2")
     conn.sendall(hit(b"%016x" % 1))
     assert rows(held.until_ready())
@@ -569,7 +572,7 @@
     assert rows(held.ask(statement(n=2))) and process.poll() is None
 
 
-def test_a_killed_dispatcher_starts_again_from_nothing_at_the_same_address(started):
+def test_a_killed_dispatcher_can_be_restarted_without_state_at_the_same_address(started):
     engine = Engine()
     first = started(engine)
     first.stdout.readline()
@@ -581,7 +584,7 @@
     assert rows(Client(second).ask(statement(n=1)))
 
 
-def test_what_cannot_be_started_says_so_in_one_line(started, tmp_path):
+def test_a_failed_start_prints_one_line(started, tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as taken:
         process = started(listen=f"127.0.0.1:{taken.getsockname()[1]}")
         assert process.wait(PATIENCE) == 1 and process.stderr.read().count(b"\n") == 1
