--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -214,7 +214,7 @@
     return answer
 
 
-def test_a_missing_page_fails_the_attempt_and_the_query_is_retried():
+def test_a_page_lost_before_any_row_is_sent_fails_the_attempt_and_the_query_is_retried():
     def lost(txn, words):
         return hit(txn, b"a\tb\tlost\n", b"sheets=2") if words[0] == b"ASK" else b"%b FAULT - 0\r\n\r\n" % txn
 
@@ -336,9 +336,8 @@
 def test_a_query_with_an_id_in_flight_is_rejected_with_an_error_that_promises_no_harmless_retry():
     engine = Engine(lambda txn, words: b"")
     dispatcher = Dispatcher(engine)
-    first = Client(
-        dispatcher
-    )  # a reference that keeps the client connected: a disconnect would end its query
+    # The variable keeps the client connected: a disconnect would end its query.
+    first = Client(dispatcher)
     first.send(statement(n=3))
     engine.next("ASK")
     assert sqlstate(Client(dispatcher).ask(statement(n=3))) == "55000"
--- a/wickvane/net/client_session.py
+++ b/wickvane/net/client_session.py
@@ -44,7 +44,10 @@
 
 
 class ClientSession:
-    """One client's connection, served by a thread of its own."""
+    """One client's connection, served by a thread of its own.
+
+    full: whether the connection limit has been reached; idle: whether the session waits for a message
+    and can be evicted."""
 
     idle_s = None  # the idle timeout, if it isn't IDLE_TIMEOUT_S
     check_interval_s = None  # between checks of the client during a query, if not CLIENT_CHECK_INTERVAL_S
@@ -399,7 +402,7 @@
         raise NotImplementedError
 
     def encode_rejection(self, rejected):
-        """Returns the answer to a query that is rejected before it is submitted."""
+        """Returns the answer to a query that was rejected instead of submitted."""
         raise NotImplementedError
 
     def result_writer(self, pending):
