--- a/benchmarks/storm_sockets.py
+++ b/benchmarks/storm_sockets.py
@@ -136,7 +136,7 @@
                     todo = order.call.next(now / TICKS_PER_SECOND)
                 except self.said.Error:
                     todo = None
-                if isinstance(todo, self.said.Try):
+                if isinstance(todo, self.said.Attempt):
                     return due
                 self.open -= 1
                 if todo is not None:
--- a/client/examples/loads.py
+++ b/client/examples/loads.py
@@ -1,4 +1,6 @@
-"""Many loads at once by asyncio, each with a token of its own: a repeat inside its window is known again.
+"""Runs twenty loads concurrently with asyncio.
+
+Each load has its own token, by which the dispatcher recognizes a retry inside the idempotency window.
 
 python examples/loads.py 127.0.0.1:6565
 """
--- a/client/examples/report.py
+++ b/client/examples/report.py
@@ -1,4 +1,4 @@
-"""A report that is asked for until it is there or its time is over, at whichever dispatcher is up.
+"""Prints the rows of one report query; the client retries it at any available dispatcher until its deadline.
 
 python examples/report.py 127.0.0.1:6565 127.0.0.1:6566
 """
@@ -8,19 +8,19 @@
 from wickvane_client import Client, Deferred, Group, Killed
 
 
-def heard(event, now, **told):
-    print(f"{now:.3f} {event} {told}", file=sys.stderr)
+def print_event(event, now, **event_fields):
+    print(f"{now:.3f} {event} {event_fields}", file=sys.stderr)
 
 
 def main(addresses):
     groups = {"lookup": Group(timeout=7.5)}
-    with Client(addresses, groups, hook=heard) as client:
+    with Client(addresses, groups, hook=print_event) as client:
         try:
             for row in client.query("lookup", "SELECT day, count(*) FROM sales_1.orders GROUP BY day"):
                 print(*row)
         except Deferred as error:
-            print(f"not in time, {error.tries} tries: {error}", file=sys.stderr)
-            return 75  # EX_TEMPFAIL: running it again is harmless
+            print(f"no result before the deadline after {error.tries} attempts: {error}", file=sys.stderr)
+            return 75  # EX_TEMPFAIL: running the query again is harmless
         except Killed as error:
             print(f"failed: {error}", file=sys.stderr)
             return 1
--- a/client/wickvane_client/__init__.py
+++ b/client/wickvane_client/__init__.py
@@ -1,5 +1,7 @@
-"""Queries to wickvane that keep their deadline, are tried again only where that is harmless, and come
-back when told to. Connect and AsyncConnect need psycopg 3; wickvane_client.policy needs nothing."""
+"""Client library for wickvane: sends queries with a deadline, retries them only if a retry is harmless, and
+observes the retry-after delays of the dispatchers.
+
+Client and AsyncClient need psycopg 3; wickvane_client.policy needs the standard library only."""
 
 from wickvane_client.policy import (
     MUTATING,
@@ -31,7 +33,7 @@
 
 
 def __getattr__(name):
-    # psycopg is imported by who connects, not by who only decides.
+    # Imported on first use, so that the policy can be used without psycopg.
     if name == "Client":
         from wickvane_client.sync import Client
 
--- a/client/wickvane_client/sync.py
+++ b/client/wickvane_client/sync.py
@@ -1,4 +1,4 @@
-"""A client that waits, for threads: one connection a dispatcher and thread at most, kept between queries."""
+"""Blocking client for threads: each thread keeps at most one open connection to each dispatcher."""
 
 import threading
 import time
@@ -6,18 +6,21 @@
 import psycopg
 
 from wickvane_client import driver, fields, policy
+from wickvane_client._deprecated import deprecated_method, deprecated_names
 
 
 class Client:
-    """addresses: of dispatchers, "host:port" each. Safe from any number of threads; each has connections of
-    its own. Use as a context manager, or close()."""
+    """Blocking client, safe for use from any number of threads; each thread has its own connections.
+
+    addresses: of the dispatchers, each "host:port". tenant: of queries that name none. policy_: a Policy to
+    use instead of a new one of `groups` and `options`. Use it as a context manager or call close()."""
 
     def __init__(
         self, addresses, groups=None, user="client", database="bi", tenant=None, policy_=None, **options
     ):
         self.addresses, self.user, self.database, self.tenant = list(addresses), user, database, tenant
         self.policy = policy_ or policy.Policy(groups, len(self.addresses), **options)
-        self.lock, self.own, self.all = threading.Lock(), threading.local(), []
+        self.lock, self.thread_local, self.connections = threading.Lock(), threading.local(), []
 
     def query(
         self,
@@ -32,73 +35,91 @@
         cost=None,
         memory=None,
     ):
-        """The rows of a query. timeout: seconds for all of its tries. Raises Deferred, Killed,
-        UnknownOutcome or Unusable, and ValueError for a field that cannot be written."""
+        """Returns the rows of a query.
+
+        group: name of its resource group. timeout: seconds for all attempts together. token: idempotency key;
+        a tokened query without one gets a random one. key: queries of an ordered group with the same key run
+        in order. cost: CPU time in milliseconds, summed over all threads. memory: in MB.
+
+        Raises Deferred, Killed, UnknownOutcome or Unusable if the query has no result, ValueError for a field
+        that cannot be sent, and KeyError for an unknown group."""
         with self.lock:
             call = self.policy.call(time.monotonic(), group, timeout, token)
         while True:
             with self.lock:
-                todo, txn = call.next(time.monotonic()), self.policy.id()
-            if isinstance(todo, policy.Wait):
-                time.sleep(max(0.0, todo.until - time.monotonic()))
+                step, txn = call.next(time.monotonic()), self.policy.id()
+            if isinstance(step, policy.Wait):
+                time.sleep(max(0.0, step.until - time.monotonic()))
                 continue
-            text = fields.comment(group, txn, todo.left, call.token, key, tenant or self.tenant, cost, memory)
-            rows, told = self.tried(todo, text + statement, parameters)
+            text = fields.comment(group, txn, step.left, call.token, key, tenant or self.tenant, cost, memory)
+            rows, result = self.execute(step, text + statement, parameters)
             with self.lock:
-                call.ended(time.monotonic(), *told)
-            if told[0] == policy.FINISHED:
+                call.ended(time.monotonic(), *result)
+            if result[0] == policy.FINISHED:
                 return rows
 
-    def tried(self, todo, text, parameters):
-        sent, began = False, time.monotonic()
+    def execute(self, attempt, text, parameters):
+        """Makes one attempt; returns its rows or None, and the arguments of Call.ended after the time."""
+        sent, started_at = False, time.monotonic()
         try:
-            connection = self.connection(todo)
-            # The connection's own watch: a dispatcher that hangs past the query's time is as good as lost.
+            connection = self.connection(attempt)
+            # If the dispatcher hangs, the timer shuts the connection down one second after the deadline; the
+            # attempt then ends as lost.
             with psycopg.ClientCursor(connection) as cursor:
                 sent = True
-                watch = threading.Timer(todo.left + 1.0 - (time.monotonic() - began), hang_up, (connection,))
-                watch.daemon = True
-                watch.start()
+                timer = threading.Timer(
+                    attempt.left + 1.0 - (time.monotonic() - started_at), shut_down, (connection,)
+                )
+                timer.daemon = True
+                timer.start()
                 try:
                     cursor.execute(text, parameters)
-                    return driver.rows_of(cursor), (policy.FINISHED,)
+                    return driver.fetch_rows(cursor), (policy.FINISHED,)
                 finally:
-                    watch.cancel()
-        except driver.RAISED as error:
-            told = driver.became(error, sent)
-            if told[0] in (policy.LOST, policy.REFUSED):
-                self.forget(todo.dispatcher)
-            return None, told
-
-    def connection(self, todo):
-        mine = self.own.__dict__.setdefault("connections", {})
-        found = mine.get(todo.dispatcher)
-        if found is None or found.closed:
-            made = driver.options(self.addresses[todo.dispatcher], self.user, self.database, todo.left)
-            found = mine[todo.dispatcher] = psycopg.connect(**made)
+                    timer.cancel()
+        except driver.DRIVER_ERRORS as error:
+            result = driver.classify_error(error, sent)
+            if result[0] in (policy.LOST, policy.REFUSED):
+                self.forget(attempt.dispatcher)
+            return None, result
+
+    tried = deprecated_method("tried", "execute")
+
+    def connection(self, attempt):
+        """Returns this thread's connection to the attempt's dispatcher; opens one if there is none."""
+        connections = self.thread_local.__dict__.setdefault("connections", {})
+        connection = connections.get(attempt.dispatcher)
+        if connection is None or connection.closed:
+            options = driver.options(
+                self.addresses[attempt.dispatcher], self.user, self.database, attempt.left
+            )
+            connection = connections[attempt.dispatcher] = psycopg.connect(**options)
             with self.lock:
-                self.all = [one for one in self.all if not one.closed] + [found]
-        return found
+                self.connections = [one for one in self.connections if not one.closed] + [connection]
+        return connection
 
     def forget(self, dispatcher):
-        found = self.own.__dict__.get("connections", {}).pop(dispatcher, None)
-        if found is not None:
-            found.close()
+        """Closes this thread's connection to the dispatcher, if it has one."""
+        connection = self.thread_local.__dict__.get("connections", {}).pop(dispatcher, None)
+        if connection is not None:
+            connection.close()
 
     def close(self):
+        """Closes the connections of all threads."""
         with self.lock:
-            connections, self.all = self.all, []
+            connections, self.connections = self.connections, []
         for connection in connections:
             connection.close()
 
     def __enter__(self):
         return self
 
-    def __exit__(self, *raised):
+    def __exit__(self, *exception):
         self.close()
 
 
-def hang_up(connection):
+def shut_down(connection):
+    """Shuts down the connection's socket, so that a thread blocked on it gets an error."""
     import os
     import socket
 
@@ -107,3 +128,6 @@
             sock.shutdown(socket.SHUT_RDWR)
     except (OSError, psycopg.Error):
         pass
+
+
+__getattr__ = deprecated_names(globals(), hang_up="shut_down")
--- a/tests/test_client_policy.py
+++ b/tests/test_client_policy.py
@@ -1,7 +1,10 @@
-"""The client library: its policy beside a plain model on generated days, and its drivers before a
-dispatcher."""
+"""Tests of the client library.
+
+The retry policy is checked against a simple model on generated sequences of outcomes. Both clients are run
+against a dispatcher."""
 
 import asyncio
+import importlib
 import subprocess
 import sys
 import time
@@ -21,9 +24,9 @@
     LOST,
     REFUSED,
     UNUSABLE,
+    Attempt,
     Group,
     Policy,
-    Try,
     Wait,
 )
 
@@ -34,24 +37,24 @@
 }
 
 
-def made(**more):
-    return Policy(GROUPS, **{"dispatchers": 2, "seed": 1} | more)
+def make_policy(**options):
+    return Policy(GROUPS, **{"dispatchers": 2, "seed": 1} | options)
 
 
-def play(call, now, outcomes, advice=0.0):
-    """Drives a call by itself; [(when, dispatcher)] of its tries, and what it raised or None."""
-    tries = []
+def run_call(call, now, outcomes, advice=0.0):
+    """Runs a call with the given outcomes of its attempts; returns [(time, dispatcher)] of the attempts."""
+    attempts = []
     for outcome in outcomes:
-        while isinstance(todo := call.next(now), Wait):
-            assert todo.until > now
-            now = todo.until
-        tries.append((now, todo.dispatcher))
-        assert todo.left == pytest.approx(call.limit - now)
+        while isinstance(step := call.next(now), Wait):
+            assert step.until > now
+            now = step.until
+        attempts.append((now, step.dispatcher))
+        assert step.left == pytest.approx(call.deadline - now)
         now += 0.01
         call.ended(now, outcome, advice)
         if outcome == FINISHED:
-            return tries
-    return tries
+            return attempts
+    return attempts
 
 
 @settings(max_examples=150, deadline=None)
@@ -69,114 +72,122 @@
     st.integers(0, 5),
     st.integers(1, 3),
 )
-def test_no_call_does_what_its_group_its_time_or_the_budget_forbid(name, steps, seed, dispatchers):
-    """A plain reckoning beside it: each try is looked at with all that came before it."""
-    policy_ = made(seed=seed, dispatchers=dispatchers, share=0.1, free=2, window=5.0)
-    group, now, firsts, furthers = GROUPS[name], 0.0, [], []
-    steps = iter(steps)
+def test_every_attempt_respects_the_effect_the_deadline_and_the_retry_budget(
+    name, outcomes, seed, dispatchers
+):
+    """Checks each attempt against a simple model of all attempts before it."""
+    policy_ = make_policy(seed=seed, dispatchers=dispatchers, share=0.1, free=2, window=5.0)
+    group, now, first_times, retry_times = GROUPS[name], 0.0, [], []
+    outcomes = iter(outcomes)
     for number in range(6):
-        call, began, ran, told, tries = policy_.call(now, name), now, None, 0.0, 0
-        over = False
-        while not over:
+        call, started_at, first_run_at, not_before, attempts = policy_.call(now, name), now, None, 0.0, 0
+        finished = False
+        while not finished:
             try:
-                todo = call.next(now)
+                step = call.next(now)
             except policy.Error as error:
                 kind = type(error)
-                if ran is not None and name != "lookup":
+                if first_run_at is not None and name != "lookup":
                     assert kind in (policy.Killed, policy.UnknownOutcome)
                 else:
                     assert kind in (policy.Deferred, policy.Unusable, policy.Killed)
-                assert error.tries == tries
+                assert error.tries == attempts
                 break
-            if isinstance(todo, Wait):
-                assert now < todo.until
-                now = todo.until
+            if isinstance(step, Wait):
+                assert now < step.until
+                now = step.until
                 continue
-            assert now < began + group.timeout and tries < policy_.most_tries
-            assert 0 <= todo.dispatcher < dispatchers and now >= told
-            if tries:
-                furthers.append(now)
-                assert ran is None or name == "lookup" or name == "load" and now < ran + group.window
-                lately = len([at for at in furthers if at > now - 5.0])
-                assert lately <= 2 + 0.1 * len([at for at in firsts if at > now - 5.0]) + 1e-9
+            assert now < started_at + group.timeout and attempts < policy_.max_attempts
+            assert 0 <= step.dispatcher < dispatchers and now >= not_before
+            if attempts:
+                retry_times.append(now)
+                assert (
+                    first_run_at is None
+                    or name == "lookup"
+                    or name == "load"
+                    and now < first_run_at + group.window
+                )
+                recent_retries = len([at for at in retry_times if at > now - 5.0])
+                assert recent_retries <= 2 + 0.1 * len([at for at in first_times if at > now - 5.0]) + 1e-9
             else:
-                firsts.append(now)
-            tries += 1
-            outcome, advice, took = next(steps, (FINISHED, 0.0, 0.1))
-            sent, now = now, now + took
+                first_times.append(now)
+            attempts += 1
+            outcome, advice, duration = next(outcomes, (FINISHED, 0.0, 0.1))
+            sent_at, now = now, now + duration
             call.ended(now, outcome, advice)
-            if outcome in (LOST, KILLED) and ran is None:
-                ran = sent
-            told = now + advice if outcome == DEFERRED else 0.0
-            over = outcome == FINISHED
+            if outcome in (LOST, KILLED) and first_run_at is None:
+                first_run_at = sent_at
+            not_before = now + advice if outcome == DEFERRED else 0.0
+            finished = outcome == FINISHED
         now += 0.1 * number
 
 
-def test_advice_is_heeded_within_bounds_and_another_dispatcher_is_asked_first():
-    call = made(longest_advice=2.0).call(0.0, "load")
-    (_, one), (at, other), (_, third) = play(call, 0.0, [DEFERRED, DEFERRED, FINISHED], advice=1.5)
-    assert one != other and at >= 1.5
-    call = made(longest_advice=2.0).call(0.0, "load")
-    (_, _), (at, _) = play(call, 0.0, [DEFERRED, FINISHED], advice=3600.0)
+def test_a_bounded_retry_after_delay_is_observed_and_another_dispatcher_is_preferred():
+    call = make_policy(longest_advice=2.0).call(0.0, "load")
+    (_, first), (at, second), (_, _) = run_call(call, 0.0, [DEFERRED, DEFERRED, FINISHED], advice=1.5)
+    assert first != second and at >= 1.5
+    call = make_policy(longest_advice=2.0).call(0.0, "load")
+    (_, _), (at, _) = run_call(call, 0.0, [DEFERRED, FINISHED], advice=3600.0)
     assert 2.0 <= at <= 2.2
-    # Advice past the query's own time: it ends at once, and is told so as something harmless.
-    call = made().call(0.0, "lookup", timeout=1.0)
-    play(call, 0.0, [DEFERRED], advice=5.0)
-    with pytest.raises(policy.Deferred) as wrong:
+    # If the retry-after delay ends after the deadline, the query ends at once; the error allows a retry.
+    call = make_policy().call(0.0, "lookup", timeout=1.0)
+    run_call(call, 0.0, [DEFERRED], advice=5.0)
+    with pytest.raises(policy.Deferred) as raised:
         call.next(0.02)
-    assert wrong.value.advice == 5.0 and wrong.value.tries == 1
+    assert raised.value.advice == 5.0 and raised.value.tries == 1
 
 
-def test_back_off_is_spread_over_a_bound_that_doubles():
+def test_backoff_is_uniform_below_a_bound_that_doubles():
     waits = {}
     for seed in range(300):
         call, now = Policy(GROUPS, seed=seed, free=10).call(0.0, "load"), 0.0
         for number in range(4):
-            while isinstance(todo := call.next(now), Wait):
-                waits.setdefault(number, []).append(todo.until - now)
-                now = todo.until
+            while isinstance(step := call.next(now), Wait):
+                waits.setdefault(number, []).append(step.until - now)
+                now = step.until
             call.ended(now, DEFERRED)
     for number, bound in ((1, 0.1), (2, 0.2), (3, 0.4)):
         assert max(waits[number]) <= bound and sum(waits[number]) / 300 == pytest.approx(bound / 2, rel=0.15)
 
 
-def test_a_lost_dispatcher_is_left_alone_tried_by_one_and_taken_back():
-    policy_ = made(failures=2, rest=1.0, free=50)
-    broken = 0
+def test_an_open_breaker_lets_one_query_through_and_closes_after_its_answer():
+    policy_ = make_policy(failures=2, rest=1.0, free=50)
+    unreachable = 0
 
-    def one(now):
+    def run_query(now):
         call = policy_.call(now, "lookup")
-        todo = call.next(now)
-        call.ended(now, REFUSED if todo.dispatcher == broken else FINISHED)
-        return todo.dispatcher
+        step = call.next(now)
+        call.ended(now, REFUSED if step.dispatcher == unreachable else FINISHED)
+        return step.dispatcher
 
-    before = [one(n * 0.01) for n in range(10)]
-    assert before.count(broken) == 2 and set(before[4:]) == {1}
-    trial = [policy_.call(2.0, "lookup") for _ in range(4)]
-    assert [call.next(2.0).dispatcher for call in trial].count(broken) == 1  # one alone tries it
-    next(call for call in trial if call.last == broken).ended(2.0, FINISHED)
-    assert broken in [one(2.1), one(2.2)]
+    before = [run_query(n * 0.01) for n in range(10)]
+    assert before.count(unreachable) == 2 and set(before[4:]) == {1}
+    probes = [policy_.call(2.0, "lookup") for _ in range(4)]
+    # A single query tests the dispatcher.
+    assert [call.next(2.0).dispatcher for call in probes].count(unreachable) == 1
+    next(call for call in probes if call.last_dispatcher == unreachable).ended(2.0, FINISHED)
+    assert unreachable in [run_query(2.1), run_query(2.2)]
 
 
-def test_all_dispatchers_left_alone_is_a_wait_and_at_the_limit_an_error():
-    policy_ = made(failures=1, rest=1.0, free=50)
+def test_with_all_breakers_open_a_query_waits_or_ends_if_its_deadline_is_earlier():
+    policy_ = make_policy(failures=1, rest=1.0, free=50)
     call = policy_.call(0.0, "lookup", timeout=10.0)
     for _ in range(2):
-        assert isinstance(call.next(0.0), Try)
+        assert isinstance(call.next(0.0), Attempt)
         call.ended(0.0, REFUSED)
-    todo = call.next(0.2)
-    assert isinstance(todo, Wait) and todo.until == pytest.approx(1.0)
+    step = call.next(0.2)
+    assert isinstance(step, Wait) and step.until == pytest.approx(1.0)
     late = policy_.call(0.1, "lookup", timeout=0.5)
     with pytest.raises(policy.Deferred):
         late.next(0.2)
 
 
-def test_the_hook_hears_what_happens_and_ends_are_told_once():
-    heard = []
-    policy_ = made(hook=lambda event, now, **told: heard.append((event, told)))
-    play(policy_.call(0.0, "lookup"), 0.0, [DEFERRED, FINISHED], advice=0.3)
-    assert [event for event, _ in heard] == ["try", "advice", "wait", "try", "outcome"]
-    assert heard[-1][1]["tries"] == 2 and heard[-1][1]["outcome"] == FINISHED
+def test_the_hook_gets_each_event_and_one_outcome():
+    events = []
+    policy_ = make_policy(hook=lambda event, now, **event_fields: events.append((event, event_fields)))
+    run_call(policy_.call(0.0, "lookup"), 0.0, [DEFERRED, FINISHED], advice=0.3)
+    assert [event for event, _ in events] == ["try", "advice", "wait", "try", "outcome"]
+    assert events[-1][1]["tries"] == 2 and events[-1][1]["outcome"] == FINISHED
 
 
 @pytest.mark.parametrize(
@@ -193,86 +204,86 @@
         ("55000", UNUSABLE),
     ],
 )
-def test_what_a_sqlstate_stands_for(state, outcome):
+def test_a_sqlstate_is_mapped_to_its_outcome(state, outcome):
     assert fields.outcome_of(state) == outcome
 
 
-@pytest.mark.parametrize("wrong", ["a b", "x*/", "", "é", "a" * 65, "a,limit=1"])
-def test_a_field_cannot_change_the_comment(wrong):
+@pytest.mark.parametrize("invalid", ["a b", "x*/", "", "é", "a" * 65, "a,limit=1"])
+def test_a_field_value_cannot_change_the_comment(invalid):
     for name in ("token", "key", "tenant"):
         with pytest.raises(ValueError):
-            fields.comment("lookup", "0" * 16, 1.0, **{name: wrong})
+            fields.comment("lookup", "0" * 16, 1.0, **{name: invalid})
     assert fields.advice_of("stay-away=1500ms") == 1.5
     for text in (None, "", "stay-away=ms", "stay-away=9999999999ms"):
         assert fields.advice_of(text) == 0.0
 
 
-# Before a dispatcher
+# Tests with a running dispatcher
 
 
 def addresses(*dispatchers):
     return [dispatcher.found["listen"] for dispatcher in dispatchers]
 
 
-def test_a_client_asks_tries_again_after_its_advice_and_tells_what_became_of_it():
-    came = []
+def test_a_client_retries_after_the_retry_after_delay_and_raises_for_invalid_queries():
+    requests = []
 
-    def answers(txn, words):
-        came.append((time.monotonic(), words[2]))
-        return hit(txn) if len(came) > 1 else b"%b SHED - 0\r\n\r\n" % txn
+    def answer(txn, words):
+        requests.append((time.monotonic(), words[2]))
+        return hit(txn) if len(requests) > 1 else b"%b SHED - 0\r\n\r\n" % txn
 
     dispatcher = Dispatcher(
-        Engine(answers), limits={"max_attempts": 1, "retry_after": True, "max_retry_after_ms": 600.0}
+        Engine(answer), limits={"max_attempts": 1, "retry_after": True, "max_retry_after_ms": 600.0}
     )
-    heard = []
+    events = []
     with Client(
         addresses(dispatcher),
         GROUPS,
         tenant="acme",
         seed=2,
-        hook=lambda event, now, **told: heard.append((event, told)),
+        hook=lambda event, now, **event_fields: events.append((event, event_fields)),
     ) as client:
         assert client.query("lookup", "SELECT 1 FROM sales_1.t WHERE a=%s", ("it's",)) == [("a", "b", "c")]
-        assert came[1][0] - came[0][0] >= 0.3
-        advice = next(told["seconds"] for event, told in heard if event == "advice")
-        assert 0.3 <= advice <= 0.6
+        assert requests[1][0] - requests[0][0] >= 0.3
+        delay = next(event_fields["seconds"] for event, event_fields in events if event == "advice")
+        assert 0.3 <= delay <= 0.6
         with pytest.raises(policy.Unusable):
             client.query("lookup", "")
         with pytest.raises(KeyError):
             client.query("nobody", "SELECT 1")
 
 
-def test_a_mutating_query_lost_under_way_is_of_unknown_outcome_and_a_read_goes_on_elsewhere():
-    def lose(txn, words):
+def test_a_mutating_query_is_killed_by_an_engine_reset_and_an_unreachable_dispatcher_is_skipped():
+    def reset_connection(txn, words):
         reset(engines[0].connections[-1])
         return b""
 
-    engines = [Engine(lose), Engine()]
-    bad, good = Dispatcher(engines[0]), Dispatcher(engines[1])
-    with Client(addresses(bad), GROUPS, tenant="acme") as client:
+    engines = [Engine(reset_connection), Engine()]
+    faulty, healthy = Dispatcher(engines[0]), Dispatcher(engines[1])
+    with Client(addresses(faulty), GROUPS, tenant="acme") as client:
         with pytest.raises(policy.Killed):
             client.query("change", "UPDATE sales_1.t SET a=1")
-    nobody = f"127.0.0.1:{free_port()}"
+    unused_address = f"127.0.0.1:{free_port()}"
     for seed in range(4):
-        with Client([nobody, *addresses(good)], GROUPS, tenant="acme", seed=seed) as client:
+        with Client([unused_address, *addresses(healthy)], GROUPS, tenant="acme", seed=seed) as client:
             assert client.query("lookup", "SELECT 1 FROM sales_1.t") == [("a", "b", "c")]
             assert client.query("change", "UPDATE sales_1.t SET a=1") == [("a", "b", "c")]
 
 
-def test_a_dispatcher_that_hangs_is_given_up_at_the_query_s_time():
+def test_a_query_to_a_dispatcher_that_hangs_ends_at_its_deadline():
     dispatcher = Dispatcher(Engine())
     dispatcher.service.decider.taken = lambda ticket: None
     with Client(addresses(dispatcher), GROUPS, tenant="acme") as client:
-        began = time.monotonic()
+        started_at = time.monotonic()
         with pytest.raises(policy.Error):
             client.query("lookup", "SELECT 1 FROM sales_1.t", timeout=0.5)
-        assert time.monotonic() - began < 4
+        assert time.monotonic() - started_at < 4
 
 
-def test_many_tasks_share_one_asynchronous_client():
+def test_many_tasks_share_one_async_client():
     dispatcher = Dispatcher(Engine())
 
-    async def work():
+    async def run_queries():
         async with AsyncClient(addresses(dispatcher), GROUPS, tenant="acme", connections=4) as client:
             rows = await asyncio.gather(
                 *(client.query("lookup", f"SELECT 1 FROM sales_{n}.t") for n in range(30))
@@ -281,7 +292,7 @@
                 await client.query("lookup", "")
             return rows
 
-    assert asyncio.run(work()) == [[("a", "b", "c")]] * 30
+    assert asyncio.run(run_queries()) == [[("a", "b", "c")]] * 30
 
 
 def test_many_threads_share_one_client():
@@ -298,9 +309,49 @@
     assert rows == [[("a", "b", "c")]] * 12
 
 
-def test_the_policy_needs_no_driver():
+def test_the_policy_works_without_psycopg():
     code = (
         "import sys; sys.modules['psycopg'] = None\n"
         "import wickvane_client as w\nw.Policy({'g': w.Group()}).call(0.0, 'g').next(0.0)\n"
     )
     subprocess.run([sys.executable, "-c", code], check=True, env={"PYTHONPATH": f"{ROOT}/client"})
+
+
+@pytest.mark.parametrize(
+    "module, old, new",
+    [
+        ("policy", "Try", "Attempt"),
+        ("policy", "quiet", "ignore_event"),
+        ("fields", "NAME", "FIELD_VALUE"),
+        ("fields", "ADVICE", "RETRY_AFTER"),
+        ("driver", "CONNECT_S", "MAX_CONNECT_S"),
+        ("driver", "RAISED", "DRIVER_ERRORS"),
+        ("driver", "became", "classify_error"),
+        ("driver", "rows_of", "fetch_rows"),
+        ("sync", "hang_up", "shut_down"),
+    ],
+)
+def test_a_former_name_of_a_module_works_and_warns(module, old, new):
+    module = importlib.import_module(f"wickvane_client.{module}")
+    with pytest.warns(DeprecationWarning, match=f"{old} is deprecated: use {new}"):
+        assert getattr(module, old) is getattr(module, new)
+    with pytest.raises(AttributeError):
+        _ = module.no_such_name
+
+
+def test_a_former_method_name_works_and_warns():
+    policy_ = make_policy()
+    with pytest.warns(DeprecationWarning, match="may_further is deprecated: use may_retry"):
+        assert policy_.may_further(0.0) is True
+    with pytest.warns(DeprecationWarning, match="further_free_at is deprecated: use budget_frees_at"):
+        assert policy_.further_free_at(1.0) == 6.0
+    with pytest.warns(DeprecationWarning, match="takes is deprecated: use allows"):
+        assert policy_.breakers[0].takes(0.0) is True
+
+
+@pytest.mark.parametrize("client_class", [Client, AsyncClient])
+def test_the_former_name_of_execute_works_and_warns(client_class, monkeypatch):
+    monkeypatch.setattr(client_class, "execute", lambda self, *arguments: arguments)
+    client = client_class(["127.0.0.1:1"], GROUPS)
+    with pytest.warns(DeprecationWarning, match="tried is deprecated: use execute"):
+        assert client.tried("attempt", "text", None) == ("attempt", "text", None)
