--- a/client/wickvane_client/aio.py
+++ b/client/wickvane_client/aio.py
@@ -6,7 +6,7 @@
 import psycopg
 
 from wickvane_client import driver, fields, policy
-from wickvane_client._deprecated import deprecated_method
+from wickvane_client._deprecated import deprecated_attribute, deprecated_method, deprecated_parameters
 
 
 class AsyncClient:
@@ -89,8 +89,11 @@
                 # so no other query may use it.
                 await connection.close()
 
-    tried = deprecated_method("tried", "execute")
+    tried = deprecated_method("tried", "execute", todo="attempt")
+    free = deprecated_attribute("free", "idle_connections")
+    most = deprecated_attribute("most", "connection_limits")
 
+    @deprecated_parameters(todo="attempt")
     async def connection(self, attempt):
         """Returns an idle connection to the attempt's dispatcher; opens one if there is none."""
         while self.idle_connections[attempt.dispatcher]:
--- a/client/wickvane_client/policy.py
+++ b/client/wickvane_client/policy.py
@@ -24,7 +24,7 @@
 from random import Random
 from typing import NamedTuple
 
-from wickvane_client._deprecated import deprecated_method, deprecated_names
+from wickvane_client._deprecated import deprecated_attribute, deprecated_method, deprecated_names
 
 READ_ONLY, TOKENED, MUTATING = "read-only", "tokened", "mutating"
 FINISHED, DEFERRED, KILLED = "finished", "deferred", "killed"
@@ -88,40 +88,43 @@
 class Breaker:
     """Circuit breaker of one dispatcher, from the attempts of this process alone.
 
-    It opens after `threshold` consecutive failures, for `first_open_time` seconds. Each further failure
-    doubles the open time, up to `max_open_time`."""
+    It opens after `failures` consecutive failures, for `rest` seconds. Each further failure doubles the open
+    time, up to `rest_most` seconds."""
 
-    def __init__(self, threshold, first_open_time, max_open_time):
-        self.threshold, self.first_open_time, self.max_open_time = threshold, first_open_time, max_open_time
+    def __init__(self, failures, rest, rest_most):
+        self.failures, self.rest, self.rest_most = failures, rest, rest_most
         self.consecutive_failures, self.open_until, self.open_time, self.probing = (
             0,
             0.0,
-            first_open_time,
+            rest,
             False,
         )
 
     def allows(self, now):
         """True if the breaker is closed, or if its open time has ended and no probing query is in flight."""
-        return self.consecutive_failures < self.threshold or now >= self.open_until and not self.probing
+        return self.consecutive_failures < self.failures or now >= self.open_until and not self.probing
 
     def sent(self):
-        self.probing = self.consecutive_failures >= self.threshold
+        self.probing = self.consecutive_failures >= self.failures
 
     def answered(self):
         """Closes the breaker: any answer shows that the dispatcher can be reached."""
-        self.consecutive_failures, self.open_time, self.probing = 0, self.first_open_time, False
+        self.consecutive_failures, self.open_time, self.probing = 0, self.rest, False
 
     def lost(self, now):
-        """Counts a failed or lost connection and opens the breaker once the threshold is reached."""
+        """Counts a failed or lost connection and opens the breaker once there are `failures` in a row."""
         self.consecutive_failures += 1
-        if self.consecutive_failures >= self.threshold:
+        if self.consecutive_failures >= self.failures:
             self.open_until, self.open_time = (
                 now + self.open_time,
-                min(self.max_open_time, self.open_time * 2),
+                min(self.rest_most, self.open_time * 2),
             )
         self.probing = False
 
     takes = deprecated_method("takes", "allows")
+    row = deprecated_attribute("row", "consecutive_failures")
+    resting = deprecated_attribute("resting", "open_time")
+    trial = deprecated_attribute("trial", "probing")
 
 
 def ignore_event(event, now, **event_fields):
@@ -168,9 +171,9 @@
                 "expected at least one group and dispatcher, share and free >= 0, window and first_wait > 0"
             )
         self.groups, self.random, self.hook = dict(groups), Random(seed), hook or ignore_event
-        self.retry_ratio, self.free_retries, self.budget_window = share, free, window
-        self.first_backoff, self.max_backoff, self.max_retry_after = first_wait, longest_wait, longest_advice
-        self.max_attempts = most_tries
+        self.share, self.free, self.window = share, free, window
+        self.first_wait, self.longest_wait, self.longest_advice = first_wait, longest_wait, longest_advice
+        self.most_tries = most_tries
         self.breakers = [Breaker(failures, rest, rest_most) for _ in range(dispatchers)]
         self.retry_after_ends = [0.0] * dispatchers  # end of the last retry-after delay of each dispatcher
         self.first_times, self.retry_times, self.next_index = (
@@ -193,13 +196,13 @@
     def may_retry(self, now):
         """True if the retry budget has room for one more retry."""
         for times in (self.first_times, self.retry_times):
-            while times and times[0] <= now - self.budget_window:
+            while times and times[0] <= now - self.window:
                 times.popleft()
-        return len(self.retry_times) + 1 <= self.free_retries + self.retry_ratio * len(self.first_times)
+        return len(self.retry_times) + 1 <= self.free + self.share * len(self.first_times)
 
     def budget_frees_at(self, now):
         """Returns the time at which the oldest retry leaves the window and the budget may have room again."""
-        return (self.retry_times[0] if self.retry_times else now) + self.budget_window
+        return (self.retry_times[0] if self.retry_times else now) + self.window
 
     may_further = deprecated_method("may_further", "may_retry")
     further_free_at = deprecated_method("further_free_at", "budget_frees_at")
@@ -225,13 +228,21 @@
         """Returns the earliest end of a breaker's open time."""
         return min(b.open_until for b in self.breakers)
 
+    chance = deprecated_attribute("chance", "random")
+    away = deprecated_attribute("away", "retry_after_ends")
+    first_at = deprecated_attribute("first_at", "first_times")
+    further_at = deprecated_attribute("further_at", "retry_times")
+    turn = deprecated_attribute("turn", "next_index")
+
 
 class Call:
     """One query. next() returns what to do, ended() takes the outcome of an attempt. Once next() raises, the
-    query has ended."""
+    query has ended.
+
+    limit: deadline of the query, as a time of the caller's clock"""
 
-    def __init__(self, policy, group, now, deadline, token):
-        self.policy, self.group, self.deadline, self.token = policy, group, deadline, token
+    def __init__(self, policy, group, now, limit, token):
+        self.policy, self.group, self.deadline, self.token = policy, group, limit, token
         if group.effect == TOKENED and token is None:
             self.token = policy.id()
         self.started_at, self.attempts, self.not_before, self.last_dispatcher = now, 0, now, None
@@ -243,7 +254,7 @@
         if self.outcome in (KILLED, UNUSABLE):
             raise self.error(now)
         policy = self.policy
-        if now >= self.deadline or self.attempts >= policy.max_attempts or not self.harmless(now):
+        if now >= self.deadline or self.attempts >= policy.most_tries or not self.harmless(now):
             raise self.error(now)
         if now < self.not_before:
             if self.not_before >= self.deadline:
@@ -282,7 +293,7 @@
         self.outcome, self.text = outcome, text
         if outcome in (LOST, REFUSED):
             breaker.lost(now)
-            if breaker.consecutive_failures >= breaker.threshold:
+            if breaker.consecutive_failures >= breaker.failures:
                 policy.hook("breaker-open", now, dispatcher=self.last_dispatcher, until=breaker.open_until)
         else:
             breaker.answered()
@@ -290,14 +301,14 @@
             self.may_have_run_since = self.sent_at
         # The retry-after delay is bounded, so that a dispatcher that sends an hour does not stop its clients
         # for an hour.
-        self.retry_after = min(max(0.0, advice), policy.max_retry_after) if outcome == DEFERRED else 0.0
+        self.retry_after = min(max(0.0, advice), policy.longest_advice) if outcome == DEFERRED else 0.0
         if self.retry_after:
             policy.retry_after_ends[self.last_dispatcher] = now + self.retry_after
             policy.hook("advice", now, dispatcher=self.last_dispatcher, seconds=self.retry_after)
         if outcome == FINISHED:
             policy.hook("outcome", now, outcome=outcome, tries=self.attempts, took=now - self.started_at)
             return
-        bound = min(policy.max_backoff, policy.first_backoff * 2 ** min(self.attempts - 1, 20))
+        bound = min(policy.longest_wait, policy.first_wait * 2 ** min(self.attempts - 1, 20))
         wait = policy.random.uniform(0, bound)
         # Failover needs no backoff: an attempt at another dispatcher adds no load to the lost one. After a
         # deferral the backoff always applies.
@@ -326,5 +337,12 @@
             return Unusable(self.text or "the statement or its fields are invalid", *details)
         return Deferred(self.text or "the query could not be executed before its deadline", *details)
 
+    limit = deprecated_attribute("limit", "deadline")
+    began = deprecated_attribute("began", "started_at")
+    tries = deprecated_attribute("tries", "attempts")
+    last = deprecated_attribute("last", "last_dispatcher")
+    ran_at = deprecated_attribute("ran_at", "may_have_run_since")
+    advice = deprecated_attribute("advice", "retry_after")
+
 
 __getattr__ = deprecated_names(globals(), Try="Attempt", quiet="ignore_event")
--- a/client/wickvane_client/sync.py
+++ b/client/wickvane_client/sync.py
@@ -6,7 +6,12 @@
 import psycopg
 
 from wickvane_client import driver, fields, policy
-from wickvane_client._deprecated import deprecated_method, deprecated_names
+from wickvane_client._deprecated import (
+    deprecated_attribute,
+    deprecated_method,
+    deprecated_names,
+    deprecated_parameters,
+)
 
 
 class Client:
@@ -83,8 +88,11 @@
                 self.forget(attempt.dispatcher)
             return None, result
 
-    tried = deprecated_method("tried", "execute")
+    tried = deprecated_method("tried", "execute", todo="attempt")
+    own = deprecated_attribute("own", "thread_local")
+    all = deprecated_attribute("all", "connections")
 
+    @deprecated_parameters(todo="attempt")
     def connection(self, attempt):
         """Returns this thread's connection to the attempt's dispatcher; opens one if there is none."""
         connections = self.thread_local.__dict__.setdefault("connections", {})
--- a/tests/test_client_policy.py
+++ b/tests/test_client_policy.py
@@ -41,6 +41,22 @@
     return Policy(GROUPS, **{"dispatchers": 2, "seed": 1} | options)
 
 
+def make_breaker():
+    return make_policy().breakers[0]
+
+
+def make_call():
+    return make_policy().call(0.0, "lookup")
+
+
+def make_client():
+    return Client(["127.0.0.1:1"], GROUPS)
+
+
+def make_async_client():
+    return AsyncClient(["127.0.0.1:1"], GROUPS)
+
+
 def run_call(call, now, outcomes, advice=0.0):
     """Runs a call with the given outcomes of its attempts; returns [(time, dispatcher)] of the attempts."""
     attempts = []
@@ -97,7 +113,7 @@
                 assert now < step.until
                 now = step.until
                 continue
-            assert now < started_at + group.timeout and attempts < policy_.max_attempts
+            assert now < started_at + group.timeout and attempts < policy_.most_tries
             assert 0 <= step.dispatcher < dispatchers and now >= not_before
             if attempts:
                 retry_times.append(now)
@@ -349,9 +365,76 @@
         assert policy_.breakers[0].takes(0.0) is True
 
 
+@pytest.mark.parametrize(
+    "make, old, new",
+    [
+        (make_policy, "chance", "random"),
+        (make_policy, "away", "retry_after_ends"),
+        (make_policy, "first_at", "first_times"),
+        (make_policy, "further_at", "retry_times"),
+        (make_policy, "turn", "next_index"),
+        (make_breaker, "row", "consecutive_failures"),
+        (make_breaker, "resting", "open_time"),
+        (make_breaker, "trial", "probing"),
+        (make_call, "limit", "deadline"),
+        (make_call, "began", "started_at"),
+        (make_call, "tries", "attempts"),
+        (make_call, "last", "last_dispatcher"),
+        (make_call, "ran_at", "may_have_run_since"),
+        (make_call, "advice", "retry_after"),
+        (make_client, "own", "thread_local"),
+        (make_client, "all", "connections"),
+        (make_async_client, "free", "idle_connections"),
+        (make_async_client, "most", "connection_limits"),
+    ],
+)
+def test_a_former_attribute_name_reads_and_writes_the_attribute_and_warns(make, old, new):
+    instance, value = make(), object()
+    with pytest.warns(DeprecationWarning, match=f"{old} is deprecated: use {new}") as warned:
+        assert getattr(instance, old) is getattr(instance, new)
+        setattr(instance, old, value)
+    assert getattr(instance, new) is value and len(warned) == 2
+    assert {warning.filename for warning in warned} == {__file__}
+
+
+def test_attributes_and_parameters_of_a_policy_and_a_breaker_have_the_same_names():
+    numbers = {"share": 0.2, "free": 4, "window": 6.0, "first_wait": 0.3, "longest_wait": 11.0}
+    numbers |= {"longest_advice": 61.0, "most_tries": 9}
+    policy_ = make_policy(**numbers)
+    assert {name: getattr(policy_, name) for name in numbers} == numbers
+    breaker = policy.Breaker(failures=4, rest=0.7, rest_most=16.0)
+    assert (breaker.failures, breaker.rest, breaker.rest_most) == (4, 0.7, 16.0)
+    call = policy.Call(policy=policy_, group=GROUPS["lookup"], now=1.0, limit=3.0, token=None)
+    assert call.deadline == 3.0
+
+
 @pytest.mark.parametrize("client_class", [Client, AsyncClient])
 def test_the_former_name_of_execute_works_and_warns(client_class, monkeypatch):
     monkeypatch.setattr(client_class, "execute", lambda self, *arguments: arguments)
     client = client_class(["127.0.0.1:1"], GROUPS)
     with pytest.warns(DeprecationWarning, match="tried is deprecated: use execute"):
         assert client.tried("attempt", "text", None) == ("attempt", "text", None)
+
+
+@pytest.mark.parametrize("client_class", [Client, AsyncClient])
+def test_the_former_parameter_name_todo_works_and_warns(client_class, monkeypatch):
+    monkeypatch.setattr(client_class, "execute", lambda self, attempt, text, parameters: attempt)
+    client = client_class(["127.0.0.1:1"], GROUPS)
+    with pytest.warns(DeprecationWarning, match="tried is deprecated: use execute"):
+        assert client.tried(todo="attempt", text="text", parameters=None) == "attempt"
+
+    class Open:
+        closed = False
+
+    attempt, connection = Attempt(0, 1.0), Open()
+    if client_class is Client:
+        client.thread_local.connections = {0: connection}
+    else:
+        client.idle_connections[0].append(connection)
+    with pytest.warns(DeprecationWarning, match="todo is deprecated: use attempt"):
+        found = client.connection(todo=attempt)
+    assert (found if client_class is Client else asyncio.run(found)) is connection
+    with pytest.warns(DeprecationWarning, match="todo is deprecated"), pytest.raises(TypeError):
+        client.connection(attempt, todo=attempt)
+    with pytest.raises(TypeError, match="pass one of them"):
+        client.connection(attempt=attempt, todo=attempt)
