--- a/benchmarks/flow_export.py
+++ b/benchmarks/flow_export.py
@@ -28,7 +28,7 @@
 from wickvane.flows import accounts as a  # noqa: E402
 from wickvane.flows import ipfix, netflow9  # noqa: E402
 from wickvane.flows.elements import text  # noqa: E402
-from wickvane.net.service import COLLECT  # noqa: E402
+from wickvane.net.service import GC_THRESHOLDS  # noqa: E402
 
 WANTED = {
     "tcp_difference": 0,
@@ -300,7 +300,7 @@
 def main():
     scale = 4 if "--full" in sys.argv else 1
     figures = {"mode": "full" if scale > 1 else "quick"}
-    gc.set_threshold(*COLLECT)  # as the program itself has it
+    gc.set_threshold(*GC_THRESHOLDS)  # as the program itself has it
     figures |= encoder()
     figures["start_cpu_s_off"], figures["start_memory_mb_off"] = started(None)
     figures["start_cpu_s_on"], figures["start_memory_mb_on"] = started(document(Collector()))
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -256,7 +256,7 @@
 @pytest.fixture
 def ending(monkeypatch):
     """Ends a dispatcher in a thread of its own, with no time for what may still come."""
-    monkeypatch.setattr("wickvane.net.service.COMING_S", 0.0)
+    monkeypatch.setattr("wickvane.net.service.ARRIVAL_GRACE_S", 0.0)
     threads = []
 
     def end(dispatcher):
@@ -348,7 +348,7 @@
 
 
 def test_a_client_that_does_not_read_and_a_hung_engine_do_not_hold_the_end(monkeypatch, ending):
-    monkeypatch.setattr("wickvane.net.service.KILL_AFTER", 2_000)
+    monkeypatch.setattr("wickvane.net.service.KILL_DELAY", 2_000)
     page = b"a\tb\t" + b"c" * 5900 + b"\n"
 
     def answers(txn, words):
@@ -574,7 +574,7 @@
 
 
 def test_a_watch_that_is_accepted_and_says_nothing_is_left(monkeypatch):
-    monkeypatch.setattr("wickvane.net.coordinator.SILENT_S", 0.05)
+    monkeypatch.setattr("wickvane.net.coordinator.READ_TIMEOUT_S", 0.05)
 
     class Mute(Events):
         def serve(self, conn, lines):
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -138,15 +138,15 @@
     told = []
     heard = coordinator.Coordinator(("", 0), (0, []), lambda *event: told.append(event), 1, None, Counts())
     parts = iter([b"HTTP/1.1 200 OK\r\n\r\n", *parts, b""])
-    lines = coordinator.Lines(lambda size: next(parts))
-    lines.head()
+    lines = coordinator.LineReader(lambda size: next(parts))
+    lines.read_head()
     data = []
     try:
-        for line in lines.body():
+        for line in lines.body_lines():
             if line.startswith(b"data:"):
                 data.append(line[5:].removeprefix(b" "))
             elif not line and data:
-                heard.event(b"\n".join(data))
+                heard.handle_event(b"\n".join(data))
                 data = []
     except EOFError:
         pass
@@ -227,7 +227,7 @@
     woken = decider.exchange.inbox.take(0)
     # A thread that wakes after the first round's items were taken; the ages tell of a standstill.
     tickets = [*first, take(decider, 2, 300, verb="load", item="k", unique="u")]
-    decider.round(decider.gather(woken))
+    decider.round(decider.collect_late(woken))
     # Where reading takes 70 ms, what came 1 ms ago is not let in yet: one before it may be unread still.
     assert [ticket.attempt_count for ticket in tickets] == [0, 1, 0] and tickets[0].index == -1
     late = take(decider, 3, 500, verb="load", item="k", unique="u")
@@ -340,8 +340,8 @@
     """Each further one would keep what its busiest moment took, and reserves 64 MB of addresses."""
     code = """
 import threading, time
-from wickvane.net.service import one_arena
-one_arena()
+from wickvane.net.service import use_single_arena
+use_single_arena()
 for _ in range(16):
     threading.Thread(target=lambda: [bytes(5000), time.sleep(0.5)], daemon=True).start()
 kept = [line.split()[0].split("-") for line in open("/proc/self/maps") if "---p" in line]
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -389,7 +389,7 @@
 
 
 def test_a_stream_gone_silent_is_opened_again_from_where_it_was(monkeypatch):
-    monkeypatch.setattr("wickvane.net.coordinator.SILENT_S", 0.05)
+    monkeypatch.setattr("wickvane.net.coordinator.READ_TIMEOUT_S", 0.05)
     coordinator = Events()
     dispatcher = Dispatcher(coordinator=coordinator)
     assert [coordinator.next(), coordinator.next()] == [("connected", b"1")] * 2
--- a/tests/test_threads.py
+++ b/tests/test_threads.py
@@ -29,7 +29,7 @@
             super().start()
 
     monkeypatch.setattr(threads, "Thread", Scarce)
-    monkeypatch.setattr(threads, "PAUSE_FIRST", 0.01)
+    monkeypatch.setattr(threads, "FIRST_PAUSE_S", 0.01)
     return left
 
 
--- a/wickvane/net/__init__.py
+++ b/wickvane/net/__init__.py
@@ -1,1 +1,1 @@
-"""The sockets: PostgreSQL clients on one side, engines and the coordinator on the other."""
+"""The network side of a dispatcher: PostgreSQL and TDS clients, engines and the coordinator."""
--- a/wickvane/net/coordinator.py
+++ b/wickvane/net/coordinator.py
@@ -1,4 +1,4 @@
-"""The list of engines: what the configuration knew at the start, then the coordinator's stream of events."""
+"""The endpoint list from the configuration and from the coordinator's stream of server-sent events."""
 
 import math
 import socket
@@ -12,14 +12,15 @@
 from wickvane.events import EngineState
 
 STATES = {"Ready": EngineState.READY, "Terminating": EngineState.DRAINING, "Gone": EngineState.GONE}
-LINE_MOST, EVENT_MOST, HEAD_MOST = 1 << 20, 1 << 21, 16_384
-CONNECT_S, SILENT_S = 0.5, 1.6  # a comment comes each second
-# Short, since what a broken stream would have told counts as told within two seconds.
-PAUSE_FIRST, PAUSE_MOST, LIVED_S = 0.02, 0.25, 5.0
+MAX_LINE_SIZE, MAX_EVENT_SIZE, MAX_HEAD_SIZE = 1 << 20, 1 << 21, 16_384
+CONNECT_TIMEOUT_S, READ_TIMEOUT_S = 0.5, 1.6  # the coordinator sends a comment each second
+# The backoff is short because an event counts as delivered two seconds after the coordinator sent it, also if
+# the stream was broken at that time. It starts anew after a connection that lasted STABLE_CONNECTION_S.
+MIN_BACKOFF_S, MAX_BACKOFF_S, STABLE_CONNECTION_S = 0.02, 0.25, 5.0
 
 
 def address_of(text):
-    """(host, port) of "host:port"; ValueError where it is none."""
+    """Returns (host, port) of "host:port"; raises ValueError for any other text."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) < 65_536:
         raise ValueError(text)
@@ -27,7 +28,7 @@
 
 
 def read_entry(entry):
-    """An engine's entry in the form that the registry takes."""
+    """Converts an engine's entry to the tuple that the decider takes; raises ProtocolError if invalid."""
     try:
         name, state = entry["name"], STATES[entry["status"]]
         if not isinstance(name, str) or not 0 < len(name) <= 256:
@@ -38,136 +39,143 @@
             raise ValueError("zone or type")
         cell, weight = entry.get("group") or 0, entry.get("weight") or 1.0
         started = entry.get("since_ms") or 0
-        usual = all(math.isfinite(x) and 0 <= x < 1e14 for x in (started, weight))
-        if not usual or not isinstance(cell, int):
-            raise ValueError("a figure")
+        in_range = all(math.isfinite(number) and 0 <= number < 1e14 for number in (started, weight))
+        if not in_range or not isinstance(cell, int):
+            raise ValueError("a number is out of range")
         return name, address, state, zone, kind, cell, started, float(weight)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise ProtocolError(f"an entry cannot be read: {error}") from None
 
 
 def read_event(event):
-    """(number, whole, entries) of one event."""
+    """Returns (index, is_complete, entries) of an event; raises ProtocolError if it is invalid."""
     try:
-        number, change = event["index"], event["endpoints"]
-        if not isinstance(number, int) or isinstance(number, bool) or not 0 <= number < 1 << 62:
+        index, change = event["index"], event["endpoints"]
+        if not isinstance(index, int) or isinstance(index, bool) or not 0 <= index < 1 << 62:
             raise ValueError("index")
-        return number, bool(change.get("snapshot")), [read_entry(entry) for entry in change["endpoints"]]
+        return index, bool(change.get("snapshot")), [read_entry(entry) for entry in change["endpoints"]]
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise ProtocolError(f"an event cannot be read: {error}") from None
 
 
-class Lines:
-    """The lines of a response body, also of one that comes in chunks."""
+class LineReader:
+    """Reads the head of an HTTP response and the lines of its body, whose encoding may be chunked.
+
+    recv: returns up to a given number of octets, and none at the end.
+    """
 
     def __init__(self, recv):
-        self.recv, self.buffer, self.chunked, self.left = recv, bytearray(), False, 0
+        self.recv, self.buffer, self.chunked, self.remaining = recv, bytearray(), False, 0
 
-    def more(self):
-        """Reads on; EOFError at the end."""
+    def read_more(self):
+        """Adds received octets to the buffer; raises EOFError at the end."""
         data = self.recv(65_536)
         if not data:
             raise EOFError
         self.buffer += data
 
-    def raw(self, most):
-        """The next line as it came, without its end."""
+    def read_line(self, max_size):
+        """Returns the next line without its end; chunks are not decoded. Raises ProtocolError if too long."""
         while (end := self.buffer.find(b"\n")) < 0:
-            if len(self.buffer) > most:
+            if len(self.buffer) > max_size:
                 raise ProtocolError("a line is too long")
-            self.more()
+            self.read_more()
         line = bytes(self.buffer[:end]).rstrip(b"\r")
         del self.buffer[: end + 1]
         return line
 
-    def head(self):
-        """Reads the head of a response; ProtocolError where it is not 200."""
-        status, total, fields = self.raw(HEAD_MOST), 0, {}
-        while line := self.raw(HEAD_MOST):
+    def read_head(self):
+        """Reads the head of the response; raises ProtocolError if its status is not 200."""
+        status, total, fields = self.read_line(MAX_HEAD_SIZE), 0, {}
+        while line := self.read_line(MAX_HEAD_SIZE):
             total += len(line)
-            if total > HEAD_MOST:
+            if total > MAX_HEAD_SIZE:
                 raise ProtocolError("the head is too long")
             name, _, value = line.partition(b":")
             fields[name.strip().lower()] = value.strip().lower()
         words = status.split(None, 2)
         if len(words) < 2 or not words[0].startswith(b"HTTP/1."):
-            raise ProtocolError("no HTTP answer")
+            raise ProtocolError("not an HTTP response")
         if words[1] != b"200":
             raise ProtocolError(f"status {words[1][:8].decode('ascii', 'replace')}")
         self.chunked = fields.get(b"transfer-encoding") == b"chunked"
 
-    def body(self):
-        """The lines of the body, one after another, up to EOFError."""
+    def body_lines(self):
+        """Yields the lines of the body; raises EOFError at its end, ProtocolError if it is malformed."""
         text = bytearray()
         while True:
             if self.chunked:
-                size = self.raw(64).split(b";")[0]
+                size = self.read_line(64).split(b";")[0]
                 try:
-                    left = int(size, 16)
+                    chunk_size = int(size, 16)
                 except ValueError:
                     raise ProtocolError("a chunk has no length") from None
-                if left == 0:
+                if chunk_size == 0:
                     raise EOFError
-                if left > EVENT_MOST:
+                if chunk_size > MAX_EVENT_SIZE:
                     raise ProtocolError("a chunk is too long")
-                while len(self.buffer) < left + 2:
-                    self.more()
-                text += self.buffer[:left]
-                del self.buffer[: left + 2]
+                while len(self.buffer) < chunk_size + 2:
+                    self.read_more()
+                text += self.buffer[:chunk_size]
+                del self.buffer[: chunk_size + 2]
             else:
                 if not self.buffer:
-                    self.more()
+                    self.read_more()
                 text += self.buffer
                 self.buffer.clear()
             while (end := text.find(b"\n")) >= 0:
                 yield bytes(text[:end]).rstrip(b"\r")
                 del text[: end + 1]
-            if len(text) > LINE_MOST:
+            if len(text) > MAX_LINE_SIZE:
                 raise ProtocolError("a line is too long")
 
 
 def read_known(known):
-    """What the configuration knows of the list: (its last number, its events)."""
+    """Returns the endpoint list of the configuration, as (index of its last event, its events)."""
     return int(known.get("index") or 0), [read_event(event) for event in known.get("updates") or ()]
 
 
 class Coordinator:
-    """told(number, whole, entries) hears of each event, in the order of their numbers, from any thread."""
+    """Subscribes to the coordinator's endpoint list, and reconnects with backoff and jitter.
+
+    known: what read_known() returns. on_event(index, is_complete, entries) is called for each event, in the
+    order of their indices, from any thread. last: index of the last event.
+    """
 
-    def __init__(self, address, known, told, seed, log, counters):
-        self.address, self.told, self.log, self.counters = address, told, log, counters
-        self.sock, self.stopping, self.lock, self.hurry = None, False, Lock(), Event()
-        self.chance, self.last, self.pause = Random(f"{seed}/coordinator"), 0, PAUSE_FIRST
-        self.gap_at = -1  # the number before a gap that has been asked for
+    def __init__(self, address, known, on_event, seed, log, counters):
+        self.address, self.on_event, self.log, self.counters = address, on_event, log, counters
+        self.sock, self.stopping, self.lock, self.reconnect_now = None, False, Lock(), Event()
+        self.random, self.last, self.backoff_s = Random(f"{seed}/coordinator"), 0, MIN_BACKOFF_S
+        self.gap_at = -1  # index before a gap for which the stream has been opened again
         index, events = known
         for event in events:
-            self.tell(event)
+            self.deliver(event)
         self.last = max(self.last, index)
 
-    def tell(self, event):
-        """Hands an event on, unless it was told before."""
-        number, whole, entries = event
+    def deliver(self, event):
+        """Passes an event to on_event, unless its index shows that it was delivered before."""
+        index, is_complete, entries = event
         with self.lock:
-            if number <= self.last:
+            if index <= self.last:
                 return
-            self.last = number
-            self.told(number, whole, entries)
+            self.last = index
+            self.on_event(index, is_complete, entries)
         self.counters.add("list-events")
 
     def move(self, address, events):
-        """From another thread: what a new configuration knows, and where to follow from now on."""
+        """Takes in the events of a new configuration, and subscribes at its address; from another thread."""
         for event in events:
-            # Numbers go on: behind a gap, the stream is asked for what lies in it.
+            # Indices are consecutive: the events in a gap are requested from the stream.
             if event[0] > self.last + 1 and not event[1]:
                 break
-            self.tell(event)
+            self.deliver(event)
         if address != self.address:
-            self.address, self.pause = address, PAUSE_FIRST
-            self.hang_up()
+            self.address, self.backoff_s = address, MIN_BACKOFF_S
+            self.disconnect()
 
-    def hang_up(self):
-        """Ends the connection that is open, from another thread."""
-        self.hurry.set()
+    def disconnect(self):
+        """Ends the open connection and skips the backoff, from another thread."""
+        self.reconnect_now.set()
         if self.sock:
             try:
                 self.sock.shutdown(socket.SHUT_RDWR)
@@ -175,16 +183,16 @@
                 pass
 
     def stop(self):
-        """Ends the thread."""
+        """Ends the thread, from another thread."""
         self.stopping = True
-        self.hang_up()
+        self.disconnect()
 
     def run(self):
-        """The thread: connects again and again, until it is stopped."""
+        """The thread: connects, and connects again after each failure, until it is stopped."""
         while not self.stopping:
             reason, detail, began = "closed", None, time.monotonic()
             try:
-                self.follow()
+                self.subscribe()
             except EOFError:
                 pass
             except ProtocolError as error:
@@ -194,55 +202,60 @@
                 reason = "silent"
             except OSError as error:
                 reason, detail = "unreachable", error.strerror
-            except Exception as error:  # the list that stands stays, and the stream is opened again
+            except Exception as error:  # the endpoint list stays as it is, and the stream is opened again
                 reason, detail = "fault", f"{type(error).__name__}: {error}"
             if self.stopping:
                 reason = "stop"
             self.counters.add(f"coordinator-connections-ended-{reason}")
             self.log.line("coordinator-connection-ended", reason=reason, detail=detail, last=self.last)
-            if time.monotonic() - began > LIVED_S:
-                self.pause = PAUSE_FIRST
-            if not self.hurry.wait(self.pause * self.chance.uniform(0.5, 1.0)):
-                self.pause = min(PAUSE_MOST, self.pause * 2)
-
-    def follow(self):
-        """One connection, until it ends or falls silent."""
-        self.hurry.clear()
+            if time.monotonic() - began > STABLE_CONNECTION_S:
+                self.backoff_s = MIN_BACKOFF_S
+            if not self.reconnect_now.wait(self.backoff_s * self.random.uniform(0.5, 1.0)):
+                self.backoff_s = min(MAX_BACKOFF_S, self.backoff_s * 2)
+
+    def subscribe(self):
+        """Opens a connection and delivers its events until it ends.
+
+        Raises EOFError at the end of the stream, ProtocolError if the stream is malformed, TimeoutError if
+        nothing is received for READ_TIMEOUT_S, and OSError.
+        """
+        self.reconnect_now.clear()
         address = self.address
-        with socket.create_connection(address, timeout=CONNECT_S) as sock:
+        with socket.create_connection(address, timeout=CONNECT_TIMEOUT_S) as sock:
             self.sock = sock
             if address != self.address:
-                return  # moved while it was dialled
-            sock.settimeout(SILENT_S)
+                return  # the address was changed while the connection was being opened
+            sock.settimeout(READ_TIMEOUT_S)
             sock.sendall(
                 b"GET /v2/stream HTTP/1.1\r\nHost: %b:%d\r\nAccept: text/event-stream\r\n"
                 b"Cache-Control: no-cache\r\nLast-Event-ID: %d\r\n\r\n"
                 % (address[0].encode(), address[1], self.last)
             )
-            lines = Lines(sock.recv)
-            lines.head()
+            reader = LineReader(sock.recv)
+            reader.read_head()
             data, size = [], 0
-            for line in lines.body():
+            for line in reader.body_lines():
                 if not line:
                     if data:
-                        self.event(b"\n".join(data))
+                        self.handle_event(b"\n".join(data))
                         data, size = [], 0
                 elif line.startswith(b"data:"):
                     data.append(line[5:].removeprefix(b" "))
                     size += len(line)
-                    if size > EVENT_MOST:
+                    if size > MAX_EVENT_SIZE:
                         raise ProtocolError("an event is too long")
 
-    def event(self, data):
-        """One event of the stream; ProtocolError where it cannot be read or does not follow."""
+    def handle_event(self, data):
+        """Delivers an event of the stream; raises ProtocolError if it is invalid or the first after a gap."""
         try:
             event = read_event(orjson.loads(data))
         except orjson.JSONDecodeError:
-            raise ProtocolError("an event is no JSON") from None
-        number, whole, _ = event
-        if self.last and number > self.last + 1 and not whole and self.gap_at != self.last:
-            # What lies in between may be the end of an engine. One that stays a gap when asked for is none.
+            raise ProtocolError("an event is not valid JSON") from None
+        index, is_complete, _ = event
+        if self.last and index > self.last + 1 and not is_complete and self.gap_at != self.last:
+            # A missing event may be the removal of an engine, so the stream is opened again from the last
+            # event. If the gap is still there, the coordinator skipped those indices and no event is missing.
             self.gap_at = self.last
-            raise ProtocolError(f"event {number} came after {self.last}")
-        self.tell(event)
-        self.pause = PAUSE_FIRST
+            raise ProtocolError(f"event {index} was received after event {self.last}")
+        self.deliver(event)
+        self.backoff_s = MIN_BACKOFF_S
--- a/wickvane/net/decider.py
+++ b/wickvane/net/decider.py
@@ -1,4 +1,4 @@
-"""The one thread that owns the module: a round for all that came in, its decisions into the exchange."""
+"""The only thread that uses the scheduler: collects messages, runs rounds and carries out decisions."""
 
 import time
 import traceback
@@ -17,135 +17,153 @@
 from wickvane.net.queues import EngineQueue
 from wickvane.scheduling.scheduler import Scheduler
 
-LONGEST_WAIT = 10_000
-LATE, SETTLE_S, SETTLES = 250, 0.01, 6
-# Queries of one key are written so far apart: where threads are later than that, one may be read too early.
-KEY_APART, LAG_FADES = 500, 2
-APART = 15  # rounds that follow closer cost more than what comes meanwhile loses by waiting
-FAULTS_MOST = 50
-OBSERVED = "observed"  # the kind of inbox items that are for the observer
+# Times are in ticks (tenths of a millisecond) unless the name ends in _S.
+MAX_WAIT = 10_000  # for messages
+# Above STANDSTILL_LAG, the process may have been suspended: waits for messages that other threads have yet to
+# put into the inbox.
+STANDSTILL_LAG, SETTLE_S, MAX_SETTLE_WAITS = 250, 0.01, 6
+# Clients send queries with the same key at least this far apart. If the sessions' threads read queries with a
+# larger lag, a query may reach the inbox before an earlier one with the same key.
+# The read lag decays by one tick per READ_LAG_DECAY_TIME.
+MIN_KEY_INTERVAL, READ_LAG_DECAY_TIME = 500, 2
+# Rounds at shorter intervals cost more CPU time than messages gain by not waiting.
+MIN_ROUND_INTERVAL = 15
+MAX_CONSECUTIVE_FAULTS = 50
+OBSERVED = "observed"  # kind of the inbox messages for the observer
 
 
 class Decider:
-    """Also the writer that the module is handed: what it decides becomes an answer or an order."""
+    """Runs the scheduler, and is its Writer: a decision becomes a query's answer or an order to an engine."""
 
-    # An extension's hooks, set before the thread starts: wickvane.quotas.decision_observer.
+    # Set by an extension before the thread starts: a wickvane.quotas.decision_observer.DecisionObserver.
     observer = None
 
-    def __init__(self, exchange, registry, seed, clock, log, counters, accounts=None, speaks=None):
+    def __init__(self, exchange, registry, seed, clock, log, counters, accounts=None, protocols=None):
         self.exchange = exchange
         self.registry = registry
         self.clock = clock
         self.log = log
         self.counters = counters
         self.scheduler = Scheduler(seed, registry.deployment)
-        self.queues, self.alarms, self.events = {}, [], []
-        self.now, self.longest, self.faults = clock.now(), 0, 0
-        self.lag, self.lag_at, self.held, self.accounts = 0, self.now, [], accounts
-        self.speaks = speaks or {}  # by kind: what connections to engines of that kind are made by
+        self.queues, self.timers, self.events = {}, [], []
+        self.now, self.longest_round, self.consecutive_faults = clock.now(), 0, 0
+        self.read_lag, self.read_lag_at, self.delayed, self.accounts = 0, self.now, [], accounts
+        self.protocols = protocols or {}  # by engine type: makes the connections to engines of that type
 
     def run(self):
-        """The thread: waits for something to decide on, for good."""
+        """The thread: runs a round whenever there are messages or a timer is due; never returns."""
         while True:
             now = self.clock.now()
-            until = min(self.alarms[0][0], now + LONGEST_WAIT) if self.alarms else now + LONGEST_WAIT
-            items = self.exchange.inbox.take((until - now) / 10_000)
-            apart = self.now + APART - self.clock.now()
-            if apart > 0:
-                time.sleep(apart / 10_000)
-                items.extend(self.exchange.inbox.take(0))
-            self.round(self.gather(items))
+            until = min(self.timers[0][0], now + MAX_WAIT) if self.timers else now + MAX_WAIT
+            messages = self.exchange.inbox.take((until - now) / 10_000)
+            pause = self.now + MIN_ROUND_INTERVAL - self.clock.now()
+            if pause > 0:
+                time.sleep(pause / 10_000)
+                messages.extend(self.exchange.inbox.take(0))
+            self.round(self.collect_late(messages))
             if self.observer is not None:
                 self.observer.round_finished(self.now)
 
-    def gather(self, items):
-        """After a standstill of the whole process, what came meanwhile is read by threads that wake in any
-        order: without them all, a key's order could be turned, and engines judged whose answers are in."""
+    def collect_late(self, messages):
+        """Waits for further messages if the process seems to have been suspended; returns all messages.
+
+        After a suspension, the threads that read what arrived meanwhile wake in any order. A round without
+        all of their messages could reverse the order of queries with the same key, and could count
+        attempts as failed whose answers have arrived.
+        """
         now = self.clock.now()
-        late = max((now - item[1].arrived_at for item in items if item[0] == "taken"), default=0)
-        if self.alarms:
-            late = max(late, now - self.alarms[0][0])
-        for _ in range(SETTLES if late > LATE else 0):
+        lag = max((now - message[1].arrived_at for message in messages if message[0] == "taken"), default=0)
+        if self.timers:
+            lag = max(lag, now - self.timers[0][0])
+        for _ in range(MAX_SETTLE_WAITS if lag > STANDSTILL_LAG else 0):
             more = self.exchange.inbox.take(SETTLE_S)
             if not more:
                 break
-            items.extend(more)
-        return items
+            messages.extend(more)
+        return messages
 
-    def round(self, items):
-        """One round of the module for all that came in."""
-        # The module is told a time at which all that it hears of had happened.
+    def round(self, messages):
+        """Runs one round of the scheduler for these messages and for the timers that are due."""
+        # Every event of a round happened at or before its time.
         began = self.now = max(self.now, self.clock.now())
-        # Which thread woke first says nothing of which query came first: the sockets' own stamps do.
+        # Sessions' threads wake in any order, so queries are sorted by the times at which they were read.
         taken = sorted(
-            (item[1] for item in items if item[0] == "taken"), key=lambda pending: pending.arrived_at
+            (message[1] for message in messages if message[0] == "taken"),
+            key=lambda pending: pending.arrived_at,
         )
-        for pending in self.in_turn(taken, began):
+        for pending in self.in_arrival_order(taken, began):
             self.taken(pending)
-        for kind, *rest in items:
+        for kind, *fields in messages:
             if kind != "taken":
-                getattr(self, self.READERS[kind])(*rest)
-        while self.alarms and self.alarms[0][0] <= self.now:
-            self.events.append(TimerFired(heappop(self.alarms)[1]))
+                getattr(self, self.HANDLERS[kind])(*fields)
+        while self.timers and self.timers[0][0] <= self.now:
+            self.events.append(TimerFired(heappop(self.timers)[1]))
         events, self.events = self.events, []
         if not events:
             return
         self.decide(iter(events))
-        over = [
-            self.registry.queries.names[q]
-            for q in self.registry.answered_queries
-            if not self.registry.open_attempts[q]
+        completed = [
+            self.registry.queries.names[query]
+            for query in self.registry.answered_queries
+            if not self.registry.open_attempts[query]
         ]
         for name in self.registry.release():
-            self.close(name)
-        for pending in over:
+            self.close_queue(name)
+        for pending in completed:
             self.exchange.release_id(pending)
         self.counters.add("rounds")
-        self.longest = max(self.longest, self.clock.now() - began)
+        self.longest_round = max(self.longest_round, self.clock.now() - began)
 
     def decide(self, events):
-        """One event that the module cannot bear must not take all others' answers with it: what follows it in
-        the round is told in a further call, and its own query is answered by its session."""
+        """Passes events to the scheduler; an event that raises an exception must not affect other queries.
+
+        The events after it are passed in a further call, and the query of the failed event gets its answer
+        from its session. Raises the exception once there are more than MAX_CONSECUTIVE_FAULTS.
+        """
         try:
             self.scheduler.round(self.now, events, self)
-            self.faults = 0
+            self.consecutive_faults = 0
         except Exception as error:
-            self.faults += 1
-            if self.faults > FAULTS_MOST:
+            self.consecutive_faults += 1
+            if self.consecutive_faults > MAX_CONSECUTIVE_FAULTS:
                 raise
-            at = traceback.extract_tb(error.__traceback__)[-1]
+            frame = traceback.extract_tb(error.__traceback__)[-1]
             self.counters.add("faults")
-            self.log.line("fault", error=f"{type(error).__name__}: {error}", where=f"{at.name}:{at.lineno}")
+            self.log.line(
+                "fault", error=f"{type(error).__name__}: {error}", where=f"{frame.name}:{frame.lineno}"
+            )
             self.set_timer(0, self.now + 100)
-            rest = list(events)
-            if rest:
-                self.decide(iter(rest))
-
-    # What came in
-
-    def in_turn(self, taken, now):
-        """Holds back what has a key for as long as queries lately took to be read: under more load than the
-        core bears, one that came before it may not have been."""
-        faded = self.lag - (now - self.lag_at) // LAG_FADES
-        self.lag = max([faded] + [now - pending.arrived_at for pending in taken])
-        self.lag_at = now
+            remaining = list(events)
+            if remaining:
+                self.decide(iter(remaining))
+
+    # Messages from the inbox
+
+    def in_arrival_order(self, taken, now):
+        """Yields the queries that may be taken now; a query with a key is delayed by the recent read lag.
+
+        If the CPU is overloaded, an earlier query with the same key may not have been read yet.
+        """
+        decayed_lag = self.read_lag - (now - self.read_lag_at) // READ_LAG_DECAY_TIME
+        self.read_lag = max([decayed_lag] + [now - pending.arrived_at for pending in taken])
+        self.read_lag_at = now
         for pending in taken:
-            if pending.key is None or self.lag <= KEY_APART and not self.held:
+            if pending.key is None or self.read_lag <= MIN_KEY_INTERVAL and not self.delayed:
                 yield pending
             else:
-                self.held.append(pending)
-        self.held.sort(key=lambda pending: pending.arrived_at)
-        while self.held and now >= self.held[0].arrived_at + self.lag - KEY_APART:
-            pending = self.held.pop(0)
+                self.delayed.append(pending)
+        self.delayed.sort(key=lambda pending: pending.arrived_at)
+        while self.delayed and now >= self.delayed[0].arrived_at + self.read_lag - MIN_KEY_INTERVAL:
+            pending = self.delayed.pop(0)
             if pending.answer is None:
                 yield pending
             else:
                 self.exchange.release_id(pending)
-        if self.held:
-            self.set_timer(0, max(now + 1, self.held[0].arrived_at + self.lag - KEY_APART))
+        if self.delayed:
+            self.set_timer(0, max(now + 1, self.delayed[0].arrived_at + self.read_lag - MIN_KEY_INTERVAL))
 
     def taken(self, pending, again=False):
-        """A query of a client."""
+        """Handles a new query of a client. again: whether it repeats an earlier one."""
         pending.index = self.registry.add_query(pending)
         pending.stage_times["taken"] = self.now
         self.events.append(
@@ -165,7 +183,7 @@
             self.observer.query_accepted(self.now, pending)
 
     def ended(self, attempt, ending, elapsed, complete):
-        """The ending of an attempt."""
+        """Handles the end of an attempt. complete: whether the query has its answer."""
         pending = attempt.pending
         self.registry.attempt_ended(pending.index, attempt.queue.name)
         self.events.append(
@@ -188,15 +206,15 @@
             self.observer.attempt_ended(attempt, ending, elapsed)
 
     def left(self, pending):
-        """A client that has gone."""
-        registry, q = self.registry, pending.index
-        if q >= 0 and q in registry.open_attempts and registry.queries.names[q] is pending:
-            self.events.append(ClientGone(q))
-            registry.answered_queries.add(q)
-
-    def listed(self, whole, entries):
-        """A change of the engine list, or all of it."""
-        if whole:
+        """Handles a query that was answered by its session or whose client has gone."""
+        registry, query = self.registry, pending.index
+        if query >= 0 and query in registry.open_attempts and registry.queries.names[query] is pending:
+            self.events.append(ClientGone(query))
+            registry.answered_queries.add(query)
+
+    def listed(self, is_complete, entries):
+        """Handles a change of the endpoint list, or the complete list."""
+        if is_complete:
             gone = list(self.registry.remove_missing({entry[0] for entry in entries}))
             self.events.extend(gone)
             for event in gone:
@@ -205,10 +223,10 @@
             event = self.registry.update_engine(name, state, zone, kind, cell, started, weight)
             if event:
                 self.events.append(event)
-                self.change_queue(name, state, address, event.started, self.speaks.get(kind))
+                self.change_queue(name, state, address, event.started, self.protocols.get(kind))
 
-    def change_queue(self, name, state, address, started, speaks=None):
-        """Opens, drains or replaces the queue of an engine."""
+    def change_queue(self, name, state, address, started, protocol=None):
+        """Opens, drains or replaces the queue of an engine whose state or address has changed."""
         queue = self.queues.get(name)
         if self.accounts is not None:
             self.accounts.engine_state(name, state)
@@ -217,94 +235,94 @@
                 queue.put(("drain",), always=True)
                 queue.gone = state == EngineState.GONE
         elif queue is None or queue.gone or queue.address != address:
-            # Another process must not be reached over the connections of the one before it at that name or
-            # address: where its machine has vanished, they stay open and silent.
+            # The connections to a former process with this name or address must not be used for its
+            # successor: if the former one's machine has vanished, they stay open without any answer.
             if queue:
                 queue.put(("close",), always=True)
-            self.queues[name] = EngineQueue(name, address, started, speaks, self.exchange.ready_queue)
+            self.queues[name] = EngineQueue(name, address, started, protocol, self.exchange.ready_queue)
         elif started and queue.started != started:
             queue.started = started
             queue.put(("restarted", started), always=True)
 
-    def close(self, name):
-        """The queue of an engine that is forgotten."""
+    def close_queue(self, name):
+        """Closes the queue of an engine that the registry has released."""
         queue = self.queues.pop(name, None)
         if queue:
             queue.put(("close",), always=True)
 
     def observed(self, message):
-        """News of other dispatchers."""
+        """Handles what other dispatchers have published."""
         self.events.extend(self.observer.events_of(message, self.now))
 
-    def stop(self, left):
-        """The process may be ended in so long."""
-        self.events.append(ShutdownStarted(left))
+    def stop(self, time_left):
+        """Handles the start of a shutdown; the process may be killed after time_left ticks."""
+        self.events.append(ShutdownStarted(time_left))
 
-    # By name, so that who lays more over a decider is asked.
-    READERS = {kind: kind for kind in ("ended", "left", "listed", "stop", OBSERVED)}
+    # Method names by kind of message; looked up with getattr, so that a subclass may override the methods.
+    HANDLERS = {kind: kind for kind in ("ended", "left", "listed", "stop", OBSERVED)}
 
-    # What was decided
+    # Decisions: the methods of wickvane.events.Writer
 
-    def start_attempt(self, q, engine, max_wait, start_by):
-        """Writer: an attempt of a query."""
-        pending, name = self.registry.queries.names[q], self.registry.engines.names[engine]
+    def start_attempt(self, query, engine, max_wait, start_by):
+        """Writer: queues an attempt for its engine."""
+        pending, name = self.registry.queries.names[query], self.registry.engines.names[engine]
         if self.observer is not None:
             self.observer.attempt_started(name)
         until = min(pending.deadline, self.now + max_wait) if max_wait else pending.deadline
         queue = self.queues.get(name)
         pending.attempt = Attempt(pending, pending.attempt_count, engine, queue, self.now, until, start_by)
         pending.attempt_count += 1
-        self.registry.attempt_started(q, name)
+        self.registry.attempt_started(query, name)
         pending.stage_times.setdefault("submitted", self.now)
         self.counters.add("submissions")
         if queue is None or not queue.put(("ask", pending.attempt)):
             self.exchange.end_attempt(pending.attempt, Ending.NOT_SENT)
 
-    def reject(self, q, retry_after):
-        """Writer: a query is refused, and may be sent again."""
-        pending = self.registry.queries.names[q]
+    def reject(self, query, retry_after):
+        """Writer: answers that the query is rejected and that a retry is harmless."""
+        pending = self.registry.queries.names[query]
         if self.observer is not None:
             self.observer.query_rejected(pending)
-        pending.retry_after = retry_after  # ahead of the answer, which its session may send at once
+        pending.retry_after = retry_after  # set before the answer, which the session may send at once
         self.exchange.set_answer(pending, REJECTED)
-        self.registry.answered_queries.add(q)
+        self.registry.answered_queries.add(query)
 
-    def fail(self, q):
-        """Writer: a query has failed."""
-        pending = self.registry.queries.names[q]
+    def fail(self, query):
+        """Writer: answers that the query has failed."""
+        pending = self.registry.queries.names[query]
         if self.observer is not None:
             self.observer.query_failed(pending)
         self.exchange.set_answer(pending, FAILED)
-        self.registry.answered_queries.add(q)
+        self.registry.answered_queries.add(query)
 
-    def cancel_attempt(self, q, number):
-        """Writer: an attempt is given up, if it is the one that is out."""
-        attempt = self.registry.queries.names[q].attempt
+    def cancel_attempt(self, query, number):
+        """Writer: cancels an attempt, if it is the query's last one and has not ended."""
+        attempt = self.registry.queries.names[query].attempt
         if attempt is not None and attempt.number == number and not attempt.has_ended and attempt.queue:
             attempt.queue.put(("quit", attempt), always=True)
 
-    def set_terms(self, q, priority, grant):
-        """Writer: a query's priority, which an attempt that is out is told too."""
-        pending = self.registry.queries.names[q]
+    def set_terms(self, query, priority, memory_grant):
+        """Writer: sets a query's priority, also for an attempt in flight."""
+        pending = self.registry.queries.names[query]
         pending.priority = priority
         attempt = pending.attempt
         if attempt is not None and not attempt.has_ended and attempt.queue:
             attempt.queue.put(("terms", attempt))
 
     def set_timer(self, token, at):
-        """Writer: a round is wanted at a time."""
-        heappush(self.alarms, (at, token))
+        """Writer: requests a round at the time `at`."""
+        heappush(self.timers, (at, token))
 
     def watch_endpoints(self, enabled):
-        """Writer: the stream is always followed."""
-        pass  # the stream is always followed
+        """Writer: does nothing, since the endpoint list is always subscribed to."""
+        pass  # always subscribed
 
     def log_note(self, text):
-        """Writer: a line for the log."""
+        """Writer: logs a note of the scheduler."""
         self.log.line("note", text=text)
 
 
-# The names by which counters show endings.
+# The names of endings in counters.
 ENDINGS = {
     Ending.FINISHED: "finished",
     Ending.ERROR: "error",
--- a/wickvane/net/lines/connection.py
+++ b/wickvane/net/lines/connection.py
@@ -357,7 +357,7 @@
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         if not is_number(family, host):
             # A look-up waits on a name server, which the keeper does for nobody.
-            if not self.link.links.threads.spare(self.look_up, "engine-name"):
+            if not self.link.links.threads.try_start(self.look_up, "engine-name"):
                 self.fail("no-thread")
             return
         self.connect(family, self.link.address)
--- a/wickvane/net/lines/links.py
+++ b/wickvane/net/lines/links.py
@@ -76,7 +76,7 @@
 
     def open_connection(self):
         """A connection that is not dialled yet."""
-        connection = self.queue.speaks.connection(self) if self.queue.speaks else Connection(self)
+        connection = self.queue.protocol.connection(self) if self.queue.protocol else Connection(self)
         with self.lock:
             self.connections.append(connection)
         self.links.opened(connection)
@@ -160,9 +160,9 @@
         self.waits, self.count, self.most_waits = [], 0, WAITS_HELD
         # The connections that a descriptor's events are for; those that nothing is open on, longest first.
         self.watched, self.idle = {}, OrderedDict()
-        self.calls, self.bell = exchange.ready_queue, exchange.ready_queue.bell
+        self.calls, self.wakeup_pipe = exchange.ready_queue, exchange.ready_queue.wakeup_pipe
         self.poll = select.epoll()
-        self.poll.register(self.bell.heard, select.EPOLLIN)
+        self.poll.register(self.wakeup_pipe.read_end, select.EPOLLIN)
 
     # The thread
 
@@ -179,17 +179,17 @@
         wait = LONGEST_S
         if self.waits:
             wait = min(wait, max(0, self.waits[0][0] - self.clock.now()) / 10_000)
-        self.bell.asleep = True
+        self.wakeup_pipe.asleep = True
         try:
             return self.poll.poll(0 if self.calls.items or self.stopping else wait)
         finally:
-            self.bell.asleep = False
+            self.wakeup_pipe.asleep = False
 
     def round(self, events):
         """Sees to descriptors, to orders, and to what is due."""
         for descriptor, what in events:
-            if descriptor == self.bell.heard:
-                self.bell.hear()
+            if descriptor == self.wakeup_pipe.read_end:
+                self.wakeup_pipe.drain()
             elif place := self.watched.get(descriptor):
                 if what & WRITES and place.up:
                     place.guard(place.write_rest)
@@ -330,7 +330,7 @@
         for place in places:
             place.fail("stop")
         self.stopping = True
-        self.bell.ring()
+        self.wakeup_pipe.wake()
         self.ended.wait(seconds)
 
 
--- a/wickvane/net/listener.py
+++ b/wickvane/net/listener.py
@@ -1,4 +1,4 @@
-"""Takes in connections and gives each its session."""
+"""Accepts client connections and starts a session for each."""
 
 import select
 import socket
@@ -7,62 +7,74 @@
 from threading import Lock
 
 BACKLOG = 256
-SPARE = 16  # connections past the most: to be told so, and for cancels, which matter most then
-ROOM_TRIES, ROOM_S, FRESH = 10, 0.005, 2_500
-LINE_S = 0.5  # for connections that wait to be taken in as the dispatcher ends
-LINGER = 32  # of those that are not let in, kept open a while: a close ahead of what they send is a reset
-PEEK = 8
+# Connections beyond the maximum: for the error that rejects a connection, and for cancel requests, which are
+# most needed when the dispatcher is full.
+SPARE = 16
+# A session younger than NEW_SESSION_TIME (ticks) may be about to send its first query.
+MAX_EVICTION_ROUNDS, POLL_INTERVAL_S, NEW_SESSION_TIME = 10, 0.005, 2_500
+BACKLOG_DRAIN_S = 0.5  # for connections in the listen backlog while the dispatcher shuts down
+# Rejected connections that are kept open for a while: closing one before its client's data has arrived resets
+# the connection, and the client may lose the error.
+MAX_LINGERING = 32
+PEEK_SIZE = 8
 
 
 class Listener:
-    """Accepts client connections, and gives each a session and a thread."""
+    """Accepts client connections, and starts a session with its own thread for each."""
 
-    def __init__(self, address, service, most, session, gate=None):
-        """session: the class of its sessions, which is the protocol that is spoken here. gate: lets new
-        connections in at a pace; None: whoever comes, while there is room."""
+    def __init__(self, address, service, max_sessions, session, gate=None):
+        """Opens the listening socket; raises OSError.
+
+        session: the class of the sessions, one per protocol. gate: limits the rate of new connections; None:
+        every connection is admitted while there are fewer than max_sessions.
+        """
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self.sock = socket.create_server(address, family=family, backlog=BACKLOG)
-        self.service, self.most, self.session = service, most, session
+        self.service, self.max_sessions, self.session = service, max_sessions, session
         self.lock, self.sessions, self.closed = Lock(), set(), False
         self.gate, self.lingering = gate, deque()
 
     def run(self):
-        """The thread: accepts until it is closed."""
+        """The thread: accepts connections until the listener is closed."""
         while not self.closed:
             try:
                 sock, peer = self.sock.accept()
             except OSError as failure:
                 if self.closed:
                     return
-                # Out of descriptors, say: the next accept may do, and must not spin until then.
+                # Possibly out of descriptors: a later accept may succeed. The pause avoids a busy loop.
                 self.service.log.line("accept-failed", detail=failure.strerror)
                 self.service.stopping.wait(0.05)
                 continue
             self.service.counters.add("client-connections")
             peer = f"{peer[0]}:{peer[1]}"
-            if self.gate is not None and not self.gate.lets_in(self.is_urgent, sock):
-                self.turn_away(sock, peer)
+            if self.gate is not None and not self.gate.admits(self.is_urgent, sock):
+                self.reject_paced(sock, peer)
                 continue
             full = self.make_room()
             if full is None:
-                self.refuse(sock, peer)
+                self.reject(sock, peer)
                 continue
             session = self.session(sock, peer, self.service, full)
             with self.lock:
                 self.sessions.add(session)
-            if not self.service.threads.spare(self.serve, "session", session):
+            if not self.service.threads.try_start(self.serve, "session", session):
                 with self.lock:
                     self.sessions.discard(session)
-                self.refuse(sock, peer, "no-thread")
+                self.reject(sock, peer, "no-thread")
 
     def make_room(self):
-        """Whether the house is full, None if past bearing. Against clients that connect and say nothing, and
-        those that asked once and stay: who has asked nothing goes first, then who is idle longest; who came
-        just now may be about to ask, and goes last."""
-        for _ in range(ROOM_TRIES):
+        """Closes an idle session if the maximum is reached.
+
+        Returns whether the listener is full nevertheless, or None if the spare connections are in use too.
+        This protects against clients that connect and send nothing, or stay connected after a
+        query. Sessions without any query are closed first, then those that have been idle longest. A session
+        that has just been accepted may be about to send a query and is closed last.
+        """
+        for _ in range(MAX_EVICTION_ROUNDS):
             with self.lock:
-                held, leaving = len(self.sessions), 0
-                if held < self.most:
+                open_count, leaving = len(self.sessions), 0
+                if open_count < self.max_sessions:
                     return False
                 idle = []
                 for session in self.sessions:
@@ -70,39 +82,39 @@
                         leaving += 1
                     elif session.idle:
                         idle.append(session)
-            if idle and held - leaving >= self.most:
-                since = self.service.clock.now() - FRESH
+            if idle and open_count - leaving >= self.max_sessions:
+                since = self.service.clock.now() - NEW_SESSION_TIME
                 min(idle, key=lambda session: (session.rank(since), session.since)).send_away()
                 leaving += 1
-            if held < self.most + SPARE:
-                return held - leaving >= self.most
-            time.sleep(ROOM_S)  # their threads are about to let go
+            if open_count < self.max_sessions + SPARE:
+                return open_count - leaving >= self.max_sessions
+            time.sleep(POLL_INTERVAL_S)  # the threads of the closed sessions are about to end
         return None
 
     def is_urgent(self, sock):
-        """Whether what a connection sent first is let in at once, such as a cancel."""
+        """Whether the first octets of a connection are an urgent request, such as a cancel request."""
         try:
-            return self.session.is_urgent(sock.recv(PEEK, socket.MSG_PEEK | socket.MSG_DONTWAIT))
+            return self.session.is_urgent(sock.recv(PEEK_SIZE, socket.MSG_PEEK | socket.MSG_DONTWAIT))
         except OSError:
             return False
 
-    def turn_away(self, sock, peer):
-        """One that comes faster than the core bears: told so, with a time, and that is all it costs."""
-        away = self.gate.stay_away()
+    def reject_paced(self, sock, peer):
+        """Rejects a connection above the admitted rate, with a retry-after time and without a session."""
+        retry_after = self.gate.retry_after_ms()
         try:
             sock.settimeout(0)
-            sock.sendall(self.session.too_fast(away))
+            sock.sendall(self.session.too_fast(retry_after))
             sock.shutdown(socket.SHUT_WR)
         except OSError:
             pass
         self.lingering.append(sock)
-        if len(self.lingering) > LINGER:
+        if len(self.lingering) > MAX_LINGERING:
             self.lingering.popleft().close()
         self.service.counters.add("client-connections-ended-too-fast")
-        self.gate.told(peer, away)
+        self.gate.log_rejection(peer, retry_after)
 
-    def refuse(self, sock, peer, reason="too-many"):
-        """Tells a connection why it is not taken, and closes it."""
+    def reject(self, sock, peer, reason="too-many"):
+        """Sends an error to a connection and closes it; the reason is counted and logged."""
         try:
             sock.settimeout(0)
             sock.sendall(self.session.TOO_MANY)
@@ -113,7 +125,7 @@
         self.service.log.line("client-connection-ended", peer=peer, reason=reason, queries=0)
 
     def serve(self, session):
-        """A session's thread."""
+        """The thread of a session."""
         try:
             session.run()
         finally:
@@ -121,12 +133,14 @@
                 self.sessions.discard(session)
 
     def close(self):
-        """Ends taking in connections, once those that the machine has accepted have their sessions: a close
-        would reset what waits in line, with what it has asked already."""
-        waiting, until = select.poll(), time.monotonic() + LINE_S
-        waiting.register(self.sock, select.POLLIN)
-        while waiting.poll(0) and time.monotonic() < until:
-            time.sleep(ROOM_S)
+        """Closes the listening socket, once the connections in its backlog have their sessions.
+
+        Closing it earlier would reset those connections, some of which have sent a query already.
+        """
+        poll, until = select.poll(), time.monotonic() + BACKLOG_DRAIN_S
+        poll.register(self.sock, select.POLLIN)
+        while poll.poll(0) and time.monotonic() < until:
+            time.sleep(POLL_INTERVAL_S)
         self.closed = True
         try:
             self.sock.shutdown(socket.SHUT_RDWR)
@@ -135,6 +149,6 @@
         self.sock.close()
 
     def open_sessions(self):
-        """How many sessions have not ended."""
+        """Returns the number of sessions that have not ended."""
         with self.lock:
             return len(self.sessions)
--- a/wickvane/net/log.py
+++ b/wickvane/net/log.py
@@ -1,4 +1,4 @@
-"""One JSON line an event, written by a thread of its own: a full pipe holds up nobody but that thread."""
+"""A log with one JSON line per event, written by its own thread: a full pipe blocks only that thread."""
 
 import os
 import time
@@ -6,71 +6,71 @@
 
 import orjson
 
-LINES_HELD = 4096
-GATHER_S = 0.05  # a line alone is not worth a thread's waking
+MAX_QUEUED_LINES = 4096
+BATCH_DELAY_S = 0.05  # the log's thread waits this long for further lines, to wake less often
 
 
 class Log:
-    """Lines wait here, in bounded number, until the log's thread has written them."""
+    """Queues lines, up to MAX_QUEUED_LINES, until the log's thread has written them."""
 
     def __init__(self, descriptor, clock):
         self.descriptor, self.clock = descriptor, clock
-        self.lines, self.dropped, self.writer = SimpleQueue(), 0, False
+        self.lines, self.dropped, self.has_thread = SimpleQueue(), 0, False
 
     def line(self, event, **fields):
-        """One event, from any thread; at the bound it is dropped and counted."""
-        if self.lines.qsize() >= LINES_HELD:
+        """Logs an event, from any thread. If the queue is full, the line is dropped and counted."""
+        if self.lines.qsize() >= MAX_QUEUED_LINES:
             self.dropped += 1
             return
         self.lines.put((self.clock.now(), event, fields))
 
     def run(self):
-        """The thread: writes until the log is closed."""
-        self.writer = True
+        """The log's thread: writes lines until the log is closed."""
+        self.has_thread = True
         while True:
             first = self.lines.get()
             if first is not None:
-                time.sleep(GATHER_S)
-            if self.put_out([first]):
+                time.sleep(BATCH_DELAY_S)
+            if self.write_batch([first]):
                 return
 
-    def pump(self):
-        """What is held so far, from the calling thread, where no thread was to be had for the log yet."""
-        if not self.writer:
-            self.put_out([])
+    def flush(self):
+        """Writes the queued lines from the calling thread, as long as the log's thread does not run."""
+        if not self.has_thread:
+            self.write_batch([])
 
-    def put_out(self, held):
-        """Writes what is held; whether the last line is out."""
-        while not self.lines.empty() and len(held) < 1024:
-            held.append(self.lines.get())
-        # None is the last: what came before it is still written.
-        last = None in held
-        if last:
-            held = held[: held.index(None)]
+    def write_batch(self, batch):
+        """Writes `batch` and queued lines. Returns whether the log is closed and its last line written."""
+        while not self.lines.empty() and len(batch) < 1024:
+            batch.append(self.lines.get())
+        # None marks the end of the log; the lines before it are still written.
+        is_last = None in batch
+        if is_last:
+            batch = batch[: batch.index(None)]
         if self.dropped:
             dropped, self.dropped = self.dropped, 0
-            held.append((self.clock.now(), "log-lines-dropped", {"count": dropped}))
+            batch.append((self.clock.now(), "log-lines-dropped", {"count": dropped}))
         self.write(
             b"".join(
-                orjson.dumps({"at": at / 10_000, "event": event, **fields}, default=shown) + b"\n"
-                for at, event, fields in held
+                orjson.dumps({"at": at / 10_000, "event": event, **fields}, default=json_default) + b"\n"
+                for at, event, fields in batch
             )
         )
-        return last
+        return is_last
 
     def write(self, data):
-        """Writes it all, however often the pipe takes only a part."""
+        """Writes all of `data`, in several writes if the pipe accepts only a part at once."""
         try:
             while data:
                 data = data[os.write(self.descriptor, data) :]
         except OSError:
-            self.dropped += 1  # nobody reads the log any more; queries go on without it
+            self.dropped += 1  # the log's reader has gone; queries are served without a log
 
     def close(self):
-        """What came before is still written."""
+        """Ends the log's thread once it has written the queued lines."""
         self.lines.put(None)
 
 
-def shown(value):
-    """The JSON form of what has none."""
+def json_default(value):
+    """Returns the text for a value that JSON has no type for."""
     return value.decode("utf-8", "replace") if isinstance(value, bytes) else str(value)
--- a/wickvane/net/queues.py
+++ b/wickvane/net/queues.py
@@ -1,138 +1,145 @@
-"""The queues between the dispatcher's threads, each with its bound. Nothing in here waits on a peer."""
+"""The bounded queues between a dispatcher's threads. Nothing in this module waits for a peer."""
 
 import os
 from collections import deque
 from threading import Condition, Lock
 
-ORDERS_MOST = 4_000  # that wait for one engine
+MAX_ORDERS = 4_000  # waiting for one engine
 
 
 class BoundedQueue:
-    """Between threads; at its bound `put` says no. Emptied as a whole."""
+    """A queue between threads, which is emptied as a whole. `put` returns False if it is full."""
 
-    def __init__(self, most):
-        self.items, self.most, self.more = deque(), most, Condition(Lock())
+    def __init__(self, max_size):
+        self.items, self.max_size, self.not_empty = deque(), max_size, Condition(Lock())
 
     def put(self, item, always=False):
-        """False at the bound, unless `always`."""
-        with self.more:
-            if len(self.items) >= self.most and not always:
+        """Appends an item. Returns False, without appending, if the queue is full and not `always`."""
+        with self.not_empty:
+            if len(self.items) >= self.max_size and not always:
                 return False
             self.items.append(item)
-            self.more.notify()
+            self.not_empty.notify()
         return True
 
     def take(self, seconds):
-        """All that is held, waited for so long where nothing is."""
-        with self.more:
+        """Removes and returns all items; waits up to this number of seconds if there are none."""
+        with self.not_empty:
             if not self.items and seconds > 0:
-                self.more.wait(seconds)
+                self.not_empty.wait(seconds)
             items, self.items = self.items, deque()
         return items
 
 
 class WakeupPipe:
-    """Wakes the one thread that waits on descriptors, this one's among them; costs nothing while it is awake.
+    """Wakes the one thread that waits for descriptors, the pipe's among them; free while it is awake.
 
-    That thread says that it is about to sleep before it looks for what came last, and who rings has put down
-    what it rings for: one of the two sees the other's."""
+    The waiting thread sets `asleep` before it looks for items one last time. A caller of wake() stores its
+    item before it reads `asleep`. So either the thread sees the item or the caller sees `asleep`.
+    """
 
     def __init__(self):
-        self.heard, self.rung = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
+        self.read_end, self.write_end = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
         self.asleep = False
 
-    def ring(self):
-        """Wakes the thread that waits, if it does."""
+    def wake(self):
+        """Wakes the waiting thread, if it sleeps."""
         if self.asleep:
             self.asleep = False
             try:
-                os.write(self.rung, b"\0")
+                os.write(self.write_end, b"\0")
             except BlockingIOError:
-                pass  # full of rings that nobody heard yet
+                pass  # the pipe is full of unread bytes, which wake the thread as well
 
-    def hear(self):
-        """Empties the pipe, so that the next ring is heard."""
+    def drain(self):
+        """Empties the pipe, so that it becomes readable only at the next wake()."""
         try:
-            os.read(self.heard, 512)
+            os.read(self.read_end, 512)
         except BlockingIOError:
             pass
 
 
 class ReadyQueue:
-    """What the engines' thread has to see to: queues with orders, connections that want a look."""
+    """The work of the engines' thread: engine queues that have orders, and connections to be checked."""
 
     def __init__(self):
-        self.items, self.bell = deque(), WakeupPipe()
+        self.items, self.wakeup_pipe = deque(), WakeupPipe()
 
     def put(self, item):
-        """Something to see to, from any thread."""
+        """Adds an item, from any thread, and wakes the engines' thread."""
         self.items.append(item)
-        self.bell.ring()
+        self.wakeup_pipe.wake()
 
 
 class EngineQueue(BoundedQueue):
-    """The orders for one engine process, and where it listens. speaks: None for the line protocol, else what
-    its connections are made by. Nobody waits on it: it calls when it begins to hold something."""
+    """The orders for one engine process, and its address.
 
-    def __init__(self, name, address, started, speaks=None, calls=None):
-        super().__init__(ORDERS_MOST)
-        self.name, self.address, self.started, self.speaks = name, address, started, speaks
-        self.calls, self.link = calls, None
-        self.gone = False  # the engine has left the list
+    No thread waits for this queue: it puts itself into ready_queue when it becomes non-empty. protocol: makes
+    the engine's connections; None for the line protocol. link: the Link that serves the queue, once there
+    is one.
+    """
+
+    def __init__(self, name, address, started, protocol=None, ready_queue=None):
+        super().__init__(MAX_ORDERS)
+        self.name, self.address, self.started, self.protocol = name, address, started, protocol
+        self.ready_queue, self.link = ready_queue, None
+        self.gone = False  # whether the engine has left the endpoint list
 
     def put(self, item, always=False):
-        """As BoundedQueue, but calls where nothing was held."""
-        with self.more:
-            if len(self.items) >= self.most and not always:
+        """As BoundedQueue.put; queues itself in ready_queue if it was empty."""
+        with self.not_empty:
+            if len(self.items) >= self.max_size and not always:
                 return False
             self.items.append(item)
             first = len(self.items) == 1
-        if first and self.calls is not None:
-            self.calls.put(self)
+        if first and self.ready_queue is not None:
+            self.ready_queue.put(self)
         return True
 
 
 class ResultStream:
-    """A long result on its way from an engine's thread to a client's, in bounded memory: the engine's waits
-    while the client takes nothing, so that its engine is not read from either."""
+    """A long result on its way from an engine's thread to a client's, in bounded memory.
+
+    The engine's thread waits while the client reads nothing, so that the engine is not read from either.
+    """
 
-    def __init__(self, most):
-        self.most, self.size, self.chunks, self.more = most, 0, deque(), Condition(Lock())
+    def __init__(self, max_size):
+        self.max_size, self.size, self.chunks, self.changed = max_size, 0, deque(), Condition(Lock())
         self.ended, self.broken, self.closed = False, False, False
 
     def put(self, chunk, size):
-        """False once nobody reads any more."""
-        with self.more:
-            while self.size >= self.most and not self.closed:
-                self.more.wait(1.0)
+        """Appends a chunk, once there is room for it. Returns False if the reader has closed the stream."""
+        with self.changed:
+            while self.size >= self.max_size and not self.closed:
+                self.changed.wait(1.0)
             if self.closed:
                 return False
             self.chunks.append((chunk, size))
             self.size += size
-            self.more.notify_all()
+            self.changed.notify_all()
         return True
 
     def end(self, broken):
-        """Nothing more comes; broken: the result is not whole."""
-        with self.more:
+        """Marks the end of the result. broken: whether the result is incomplete."""
+        with self.changed:
             self.ended, self.broken = True, broken
-            self.more.notify_all()
+            self.changed.notify_all()
 
     def take(self, seconds):
-        """The next chunk, None at the end, an empty one where none came in time."""
-        with self.more:
+        """Returns the next chunk, None at the end, or an empty chunk if none arrives within `seconds`."""
+        with self.changed:
             if not self.chunks and not self.ended:
-                self.more.wait(seconds)
+                self.changed.wait(seconds)
             if self.chunks:
                 chunk, size = self.chunks.popleft()
                 self.size -= size
-                self.more.notify_all()
+                self.changed.notify_all()
                 return chunk
             return None if self.ended else []
 
     def close(self):
-        """Nobody reads any more."""
-        with self.more:
+        """Closes the stream for its reader; further chunks are dropped."""
+        with self.changed:
             self.closed = True
             self.chunks.clear()
-            self.more.notify_all()
+            self.changed.notify_all()
--- a/wickvane/net/service.py
+++ b/wickvane/net/service.py
@@ -1,4 +1,4 @@
-"""Puts the parts together, starts their threads, and ends them in order."""
+"""Builds a dispatcher, starts its threads, reloads its configuration, and shuts it down gracefully."""
 
 import ctypes
 import gc
@@ -29,142 +29,162 @@
 from wickvane.net.threads import Stopped, Threads
 from wickvane.settings import Section, SettingsError, root_section
 
-STACK = 128 * 1024
-# Each of many threads that wait for the interpreter wakes as often as this to ask for it: with a hundred of
-# them, a short interval spends the core on waking. None computes for long, so a long one delays nobody.
-SWITCH_S = 0.5
-SOCKETS = 1024  # descriptors that may be held, where the configuration names no limit
-OTHERS = 14  # descriptors that are neither clients' nor engines'
-COMING_S = 0.75  # connections and requests go on coming after SIGTERM
-KILL_AFTER, TIMEOUT_MOST = 7_000, 30_000  # SIGKILL comes so long after the longest queue timeout, itself cut
+THREAD_STACK_SIZE = 128 * 1024
+# A thread that waits for the interpreter lock wakes at this interval to request it. With a hundred waiting
+# threads, a short interval costs most of the CPU time. No thread computes for long, so a long interval
+# delays none.
+SWITCH_INTERVAL_S = 0.5
+DEFAULT_MAX_DESCRIPTORS = 1024  # if the configuration has no limit
+OTHER_DESCRIPTORS = 14  # that belong to neither clients nor engines
+ARRIVAL_GRACE_S = 0.75  # new connections and queries may still arrive for this long after SIGTERM
+# In ticks. SIGKILL is expected KILL_DELAY after the longest queue timeout, which counts up to MAX_TIMEOUT.
+KILL_DELAY, MAX_TIMEOUT = 7_000, 30_000
 SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP}
-COLLECT = 5_000, 20, 20
-RELOADS, RELOAD_S = 10, 0.1  # a file that is being written when its signal comes is read again
+GC_THRESHOLDS = 5_000, 20, 20
+RELOAD_ATTEMPTS, RELOAD_INTERVAL_S = 10, 0.1  # a file may still be being written when its signal arrives
 
 
 M_ARENA_MAX = -8  # of malloc.h
 
 
 def configuration(path):
-    """The raw configuration of a file; ConfigError where it cannot be read."""
+    """Returns the raw configuration in a file; raises ConfigError if it cannot be read."""
     try:
         with open(path, "rb") as file:
-            found = orjson.loads(file.read())
+            config = orjson.loads(file.read())
     except OSError as error:
         raise ConfigError(f"the configuration {path} cannot be read: {error.strerror}", 2) from None
     except orjson.JSONDecodeError as error:
-        raise ConfigError(f"the configuration {path} is no JSON: {error}", 2) from None
-    return found
+        raise ConfigError(f"the configuration {path} is not valid JSON: {error}", 2) from None
+    return config
 
 
 class Config(NamedTuple):
-    """A configuration, checked and in the form that is worked with."""
+    """A parsed and valid configuration."""
 
-    registry: IdRegistry  # of its settings, which are in registry.deployment
+    registry: IdRegistry  # its settings are in registry.deployment
     engine_limits: Section  # the settings' limits
     listen: tuple[str, int]
-    sockets: int  # descriptors that may be held
-    coordinator: tuple[str, int] | None
-    known: tuple[int, list]  # the number of the last known event of the list, and the events
+    sockets: int  # maximum number of open descriptors
+    coordinator: tuple[str, int] | None  # None if extensions provide the endpoint list
+    known: tuple[int, list]  # the known endpoint list: index of its last event, and its events
 
 
-def parse_config(found, fronts=(), members=None):
-    """The Config of raw JSON; ConfigError where something in it cannot be used.
+def parse_config(raw_config, fronts=(), members=None):
+    """Returns the Config of a raw configuration; raises ConfigError if it is invalid.
 
-    members: that extension's part, with which no coordinator is needed unless it overrides what one lists.
+    fronts: engine types by client protocol. members: the settings of the extension `members`, with which no
+    coordinator is needed unless it overrides a coordinator's endpoint list.
     """
     try:
-        settings, limits = found["settings"], Section(found.get("limits") or {}, "limits")
-        alone = members is not None and not members.policy.overrides_coordinator
-        coordinator = None if alone else address_of(found["coordinator"])
+        settings, limits = raw_config["settings"], Section(raw_config.get("limits") or {}, "limits")
+        no_coordinator = members is not None and not members.policy.overrides_coordinator
+        coordinator = None if no_coordinator else address_of(raw_config["coordinator"])
         registry = IdRegistry(settings, fronts)
         if members is not None:
             registry.deployment = registry.deployment._replace(uses_engine_weights=True)
         return Config(
             registry,
             root_section(settings).section("limits"),
-            address_of(found["listen"]),
-            limits.count("sockets", SOCKETS),
+            address_of(raw_config["listen"]),
+            limits.count("sockets", DEFAULT_MAX_DESCRIPTORS),
             coordinator,
-            read_known(found.get("known") or {}),
+            read_known(raw_config.get("known") or {}),
         )
     except ProtocolError as error:
-        raise ConfigError(f"the configuration's list of engines: {error}", 2) from None
+        raise ConfigError(f"the configuration's endpoint list: {error}", 2) from None
     except (KeyError, IndexError) as error:
-        raise ConfigError(f"the configuration lacks, or does not know, {error}", 2) from None
+        raise ConfigError(f"the configuration does not define {error}", 2) from None
     except SettingsError as error:
         raise ConfigError(f"the configuration cannot be used: {error}", 2) from None
     except (TypeError, ValueError, AttributeError) as error:
-        raise ConfigError(f"the configuration has a value of the wrong form: {error}", 2) from None
+        raise ConfigError(f"the configuration has a value of the wrong type or form: {error}", 2) from None
 
 
-def fixed(found):
-    """Marks of what is settled at the start, to tell whether a later configuration has it otherwise."""
+def restart_digests(raw_config):
+    """Returns digests, by key, of the values that a reload cannot change, to detect a change of them."""
     return {
-        part: blake2b(orjson.dumps(found.get(part), option=orjson.OPT_SORT_KEYS)).digest()
-        for part in ("name", "listen", "limits", "settings")
+        key: blake2b(orjson.dumps(raw_config.get(key), option=orjson.OPT_SORT_KEYS)).digest()
+        for key in ("name", "listen", "limits", "settings")
     }
 
 
-def one_arena():
-    """The allocator's many arenas are for threads that run at once. Here only one does, and each arena would
-    keep what its busiest moment took: memory that grows with every new set of threads."""
+def use_single_arena():
+    """Limits malloc to one arena, if the C library supports it.
+
+    Several arenas are for threads that run at the same time. Here only one does, and each arena keeps the
+    memory of its peak use, so memory would grow with every new set of threads.
+    """
     try:
         ctypes.CDLL(None).mallopt(M_ARENA_MAX, 1)
     except (OSError, AttributeError):
-        pass  # another C library
+        pass  # a C library without mallopt
+
 
+def load_extensions(settings):
+    """Creates the extensions of a document, in the order of EXTENSION_MODULES; imports no other extension.
 
-def at_work(documented):
-    """The parts of a document in the order in which each is asked; nothing of another is imported."""
-    if not documented:
+    settings: by name, as parts.read() returns them; None without a document.
+    """
+    if not settings:
         return []
     from wickvane.parts import EXTENSION_MODULES
 
-    made = (
-        (getattr(importlib.import_module(EXTENSION_MODULES[name]), "At", None), documented[name])
+    extensions = (
+        (getattr(importlib.import_module(EXTENSION_MODULES[name]), "At", None), settings[name])
         for name in EXTENSION_MODULES
-        if name in documented
+        if name in settings
     )
-    return [at(terms) for at, terms in made if at is not None]
+    return [extension(terms) for extension, terms in extensions if extension is not None]
 
 
 class Service:
-    """Parts set, before the configuration is understood: fronts, speaks (how engines of a kind are spoken
-    to), lister (who tells the list of engines beside the coordinator, or in its place); before the decider
-    is made: accounts, deciding (its class); gate, which listeners heed; and links.stale, after which what was
-    decided is not sent."""
+    """A dispatcher.
+
+    Extensions set these attributes. In prepare(): fronts (engine types by client protocol), protocols (by
+    engine type: makes the connections to such engines), and lister (the extension that provides the endpoint
+    list, in addition to the coordinator or in its place). In build(): accounts (of flows) and decider_class.
+    In join(): gate (paces new connections at the listeners) and links.stale (ticks after which a decision is
+    stale and its attempt is not sent).
+    """
 
-    def __init__(self, found, log_to=1, parts=None):
+    def __init__(self, raw_config, log_to=1, parts=None):
+        """Raises ConfigError. log_to: descriptor of the log. parts: extensions' settings by name, or None."""
         self.clock, self.counters, self.stopping = Clock(), Counters(), threading.Event()
-        # Readable once `stopping` is set: wakes all that wait for their clients to ask something.
+        # Readable once `stopping` is set, which wakes the sessions that wait for their clients' queries.
         self.stop_descriptor, self.stop_writer = os.pipe2(os.O_CLOEXEC | os.O_NONBLOCK)
         self.log = Log(log_to, self.clock)
         self.threads = Threads(self.log, self.counters)
-        self.fronts, self.speaks, self.lister, self.accounts = (), None, None, None
-        self.deciding, self.gate, self.listeners = Decider, None, []
-        self.parts = at_work(parts)
+        self.fronts, self.protocols, self.lister, self.accounts = (), None, None, None
+        self.decider_class, self.gate, self.listeners = Decider, None, []
+        self.parts = load_extensions(parts)
         for part in self.parts:
-            part.prepare(self, found)
-        config = parse_config(found, self.fronts, self.lister and self.lister.terms)
+            part.prepare(self, raw_config)
+        config = parse_config(raw_config, self.fronts, self.lister and self.lister.terms)
         self.registry, self.address = config.registry, config.listen
-        self.name, self.seed, self.fixed = found.get("name") or "", found.get("seed", 0), fixed(found)
+        self.name, self.seed, self.restart_digests = (
+            raw_config.get("name") or "",
+            raw_config.get("seed", 0),
+            restart_digests(raw_config),
+        )
         self.reader = Reader(self.registry)
         self.exchange = Exchange(self.clock, self.counters)
         self.exchange.resource_groups = self.registry.deployment.groups
         for part in self.parts:
-            part.build(self, found)
+            part.build(self, raw_config)
         try:
-            self.make_workers(config)
+            self.make_decider_and_links(config)
             for part in self.parts:
-                part.join(self, found)
+                part.join(self, raw_config)
         except (TypeError, ValueError, AttributeError) as error:
-            raise ConfigError(f"the configuration has a value of the wrong form: {error}", 2) from None
-        self.known, self.coordinator = config.known, self.follow(config)
-
-    def make_workers(self, config):
-        """The decider and the engines' connections, which own what their threads work on."""
-        self.decider = self.deciding(
+            raise ConfigError(
+                f"the configuration has a value of the wrong type or form: {error}", 2
+            ) from None
+        self.known, self.coordinator = config.known, self.make_coordinator(config)
+
+    def make_decider_and_links(self, config):
+        """Creates the decider and the links to engines, each of which owns the state of its thread."""
+        self.decider = self.decider_class(
             self.exchange,
             self.registry,
             self.seed,
@@ -172,9 +192,9 @@
             self.log,
             self.counters,
             self.accounts,
-            self.speaks,
+            self.protocols,
         )
-        # One third for engines; what is left, less a few for the rest, for clients, who are promised one.
+        # A third of the descriptors is for engines; the rest, except for a few others, is for clients.
         for_engines = config.sockets // 3
         self.links = Links(
             self.exchange,
@@ -186,57 +206,57 @@
             self.accounts,
             self.threads,
         )
-        self.most_clients = max(8, config.sockets - for_engines - SPARE - OTHERS)
+        self.max_clients = max(8, config.sockets - for_engines - SPARE - OTHER_DESCRIPTORS)
 
-    def follow(self, config):
-        """The Coordinator, if there is one to follow."""
+    def make_coordinator(self, config):
+        """Returns the Coordinator, or None if the configuration has none."""
         if not config.coordinator:
             return None
-        listed = self.lister.streamed if self.lister else self.listed
-        # With files, what is known is told once what was at work is.
+        on_event = self.lister.streamed if self.lister else self.listed
+        # A lister delivers the configuration's events itself, after the list that it has recovered.
         known = (0, []) if self.lister else config.known
-        return Coordinator(config.coordinator, known, listed, self.seed, self.log, self.counters)
+        return Coordinator(config.coordinator, known, on_event, self.seed, self.log, self.counters)
 
-    def listed(self, number, whole, entries, back=()):
-        """A change of the engine list, from whoever tells it."""
-        self.exchange.inbox.put(("listed", whole, entries), always=True)
+    def listed(self, index, is_complete, entries, readmitted=()):
+        """Passes an event of the endpoint list to the decider, from any thread."""
+        self.exchange.inbox.put(("listed", is_complete, entries), always=True)
 
     def start(self):
         """Opens the listeners, and starts all threads."""
-        one_arena()
-        threading.stack_size(STACK)
-        threading.excepthook = self.died
-        sys.setswitchinterval(SWITCH_S)
-        # What is there for good is not looked through again and again by the collector of cycles.
+        use_single_arena()
+        threading.stack_size(THREAD_STACK_SIZE)
+        threading.excepthook = self.log_thread_fault
+        sys.setswitchinterval(SWITCH_INTERVAL_S)
+        # Excludes the objects that exist by now, which stay until the end, from garbage collections.
         gc.collect()
         gc.freeze()
-        gc.set_threshold(*COLLECT)
-        self.listen(self.address, self.most_clients, Session)
+        gc.set_threshold(*GC_THRESHOLDS)
+        self.listen(self.address, self.max_clients, Session)
         for part in self.parts:
             part.open(self)
-        self.writer = self.thread(self.log.run, "log")
-        self.thread(self.decider.run, "decider")
-        self.thread(self.links.run, "keeper")
+        self.writer = self.start_required(self.log.run, "log")
+        self.start_required(self.decider.run, "decider")
+        self.start_required(self.links.run, "keeper")
         for part in self.parts:
             part.start(self)
         if self.coordinator:
-            self.follower = self.thread(self.coordinator.run, "coordinator")
+            self.coordinator_thread = self.start_required(self.coordinator.run, "coordinator")
         for listener in self.listeners:
-            self.thread(listener.run, "listener")
+            self.start_required(listener.run, "listener")
         for part in self.parts:
             part.settled(self)
         self.log.line("ready", name=self.name, listen=f"{self.address[0]}:{self.address[1]}", pid=os.getpid())
 
-    def listen(self, address, most, session):
-        """A listener whose connections have sessions of this class."""
+    def listen(self, address, max_sessions, session):
+        """Adds a listener whose connections have sessions of this class; raises ConfigError."""
         try:
-            self.listeners.append(Listener(address, self, most, session, self.gate))
+            self.listeners.append(Listener(address, self, max_sessions, session, self.gate))
         except OSError as error:
-            place = f"{address[0]}:{address[1]}"
-            raise ConfigError(f"cannot listen on {place}: {error.strerror}", 1) from None
+            address_text = f"{address[0]}:{address[1]}"
+            raise ConfigError(f"cannot listen on {address_text}: {error.strerror}", 1) from None
 
-    def thread(self, work, name):
-        """One of those that nothing works without: its death ends the program, and is seen."""
+    def start_required(self, work, name):
+        """Starts and returns a thread; an exception in it is logged and ends the program with status 70."""
 
         def guarded():
             try:
@@ -251,47 +271,62 @@
 
         return self.threads.needed(guarded, name)
 
-    def died(self, hook):
-        """A thread of one peer ended by an exception: counted and logged."""
-        # One of the many threads of a single peer: its own guard should have met this.
+    def log_thread_fault(self, hook):
+        """Counts and logs an exception that has ended the thread of a single peer.
+
+        hook: threading.ExceptHookArgs. The thread should have handled the exception itself.
+        """
         self.counters.add("faults")
-        at = traceback.extract_tb(hook.exc_traceback)[-1]
+        frame = traceback.extract_tb(hook.exc_traceback)[-1]
         error = f"{hook.exc_type.__name__}: {hook.exc_value}"
-        self.log.line("fault", error=error, where=f"{at.name}:{at.lineno}")
+        self.log.line("fault", error=error, where=f"{frame.name}:{frame.lineno}")
 
     def run(self, path=None, parts_path=None):
-        """The main thread: starts, waits for signals, and ends in order; the exit status."""
-        # Before any thread starts, so that each inherits it and only this one is told.
+        """The main thread: starts the dispatcher, handles signals, shuts down; returns the exit status."""
+        # Set before any thread starts, so that all inherit the mask and only this thread receives signals.
         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
         try:
             self.start()
         except Stopped as stopped:
             self.log.line("stopped", reason="no-thread", detail=str(stopped))
-            self.log.pump()
+            self.log.flush()
             return 0
-        again = 0
+        reload_attempts = 0  # still allowed, after one that failed
         while True:
-            got = signal.sigtimedwait(SIGNALS, RELOAD_S) if again else signal.sigwaitinfo(SIGNALS)
-            if got is None or got.si_signo == signal.SIGHUP:
-                again = 0 if self.reload(path, parts_path) else (again or RELOADS) - 1
-            elif got.si_signo == signal.SIGUSR1:
-                self.show_counters("asked")
+            received = (
+                signal.sigtimedwait(SIGNALS, RELOAD_INTERVAL_S)
+                if reload_attempts
+                else signal.sigwaitinfo(SIGNALS)
+            )
+            if received is None or received.si_signo == signal.SIGHUP:
+                reload_attempts = (
+                    0 if self.reload(path, parts_path) else (reload_attempts or RELOAD_ATTEMPTS) - 1
+                )
+            elif received.si_signo == signal.SIGUSR1:
+                self.log_counters("asked")
             else:
                 break
         self.stop()
         return 0
 
     def reload(self, path, parts_path=None):
-        """Takes in what may change while queries are open: the coordinator, what is known of its list, and
-        the parts document. All is read and checked before any of it acts."""
+        """Applies changes of the coordinator's address, the known endpoint list and the extensions document.
+
+        Everything is read and checked before any of it takes effect. Returns False, with a line in the log,
+        if something is invalid. Changes of other values are logged as needing a restart.
+        """
         changes = []
         try:
-            found = configuration(path)
-            config = parse_config(found, (), self.lister and self.lister.terms)
-            kept = [part for part, mark in fixed(found).items() if mark != self.fixed[part]]
+            raw_config = configuration(path)
+            config = parse_config(raw_config, (), self.lister and self.lister.terms)
+            unapplied = [
+                key
+                for key, digest in restart_digests(raw_config).items()
+                if digest != self.restart_digests[key]
+            ]
             if parts_path:
-                changes = self.changed(parts_path)
-        except Exception as error:  # whatever is wrong with it: the one at work stays
+                changes = self.check_extensions(parts_path)
+        except Exception as error:  # after any error, the current configuration stays in effect
             self.counters.add("configurations-unusable")
             self.log.line("configuration-unusable", why=str(error))
             return False
@@ -304,73 +339,76 @@
         self.log.line(
             "configuration-taken",
             coordinator=":".join(map(str, config.coordinator)) if config.coordinator else None,
-            needs_restart=kept,
+            needs_restart=unapplied,
         )
         return True
 
-    def changed(self, parts_path):
-        """(part, its terms, what its check made ready) of the document that is at `parts_path` now."""
+    def check_extensions(self, parts_path):
+        """Checks the current extensions document.
+
+        Returns (extension, its settings, result of its check) for each; raises InvalidDocumentError.
+        """
         from wickvane import parts
 
         document = parts.read(parts_path)
-        of = {part.name: part for part in self.parts}
-        for name in set(document) ^ set(of):
+        extensions = {part.name: part for part in self.parts}
+        for name in set(document) ^ set(extensions):
             if getattr(importlib.import_module(parts.EXTENSION_MODULES[name]), "At", None) is not None:
                 raise parts.InvalidDocumentError(
                     f"{parts_path}: {name}: turning it on or off needs a restart"
                 )
         try:
-            return [(part, document[name], part.check(document[name])) for name, part in of.items()]
+            return [(part, document[name], part.check(document[name])) for name, part in extensions.items()]
         except parts.InvalidDocumentError as error:
             raise parts.InvalidDocumentError(f"{parts_path}: {error}") from None
 
-    def show_counters(self, why):
-        """A log line of all counters and of what the process holds."""
+    def log_counters(self, why):
+        """Logs all counters, the extensions' status, and the descriptors and memory of the process."""
         with open("/proc/self/status", "rb") as status:
             memory = {
                 line.split(b":")[0].decode(): int(line.split()[1])
                 for line in status
                 if line.startswith((b"VmHWM", b"VmRSS", b"Threads"))
             }
-        told = {part.name: said for part in self.parts if (said := part.status()) is not None}
+        extension_status = {part.name: status for part in self.parts if (status := part.status()) is not None}
         self.log.line(
             "counters",
             why=why,
             descriptors=len(os.listdir("/proc/self/fd")) - 1,
             **memory,
             cpu_s=time.process_time(),
-            longest_round_ms=self.decider.longest / 10,
-            **told,
+            longest_round_ms=self.decider.longest_round / 10,
+            **extension_status,
             **self.counters.shown(),
         )
 
     def stop(self):
-        """Ends in order: what was taken is answered, what comes is refused."""
+        """Shuts down gracefully: queries that were accepted are answered, new ones are rejected."""
         began = time.monotonic()
-        longest = max((group.timeout for group in self.registry.deployment.groups), default=0)
-        left = min(longest, TIMEOUT_MOST) + KILL_AFTER
-        self.exchange.inbox.put(("stop", left), always=True)
+        longest_timeout = max((group.timeout for group in self.registry.deployment.groups), default=0)
+        time_left = min(longest_timeout, MAX_TIMEOUT) + KILL_DELAY
+        self.exchange.inbox.put(("stop", time_left), always=True)
         self.log.line("stopping")
         for part in self.parts:
             part.leave(self)
-        time.sleep(COMING_S)
+        time.sleep(ARRIVAL_GRACE_S)
         for listener in self.listeners:
             listener.close()
-        # What is read from here on is answered, and not sent on.
+        # From here on, new queries are rejected with an answer.
         self.exchange.close()
         self.stopping.set()
         os.write(self.stop_writer, b"\0")
-        # A client that does not read its answer is not waited for into the kill.
-        by = began + left / 10_000 - 0.05
-        while any(listener.open_sessions() for listener in self.listeners) and time.monotonic() < by:
+        # Waits for open sessions, but ends before SIGKILL, even if a client does not read its answer.
+        end_by = began + time_left / 10_000 - 0.05
+        while any(listener.open_sessions() for listener in self.listeners) and time.monotonic() < end_by:
             time.sleep(0.02)
         self.links.stop()
         if self.coordinator:
             self.coordinator.stop()
-            self.follower.join(0.1)
+            self.coordinator_thread.join(0.1)
         for part in self.parts:
             part.stop()
-        self.show_counters("exit")
+        self.log_counters("exit")
         self.log.line("stopped", took=time.monotonic() - began)
         self.log.close()
         self.writer.join(1.0)
--- a/wickvane/net/shape.py
+++ b/wickvane/net/shape.py
@@ -1,58 +1,67 @@
-"""The one shape of what the parts document turns on.
+"""The interface of an extension, as the service uses it.
 
-Below the service and all parts, so that either may import it. A part's module has read(node), which makes
-plain figures of the document, and the class At, which puts them to work in a dispatcher; a node that is no
-dispatcher's (control) has none. The service goes through its parts in the order of
-wickvane.parts.EXTENSION_MODULES and knows none of them by name.
+This module imports neither the service nor an extension, so that both may import it. An extension's module
+has a function read(node), which converts its node of the extensions document into settings, and a class At,
+which applies them in a dispatcher; the module of a node that concerns no dispatcher (control) has no such
+class. The service calls its extensions in the order of wickvane.parts.EXTENSION_MODULES and mentions none by
+name.
 """
 
 
 class Part:
-    """One node of the parts document in one dispatcher: each step is called once, in this order, but those
-    of a reload. Raises ConfigError up to start()."""
+    """An extension in one dispatcher, made from its node of the extensions document.
 
-    name = ""
-    threads = 0  # it holds for good
+    The methods are called once each, in the order in which they stand here, except those for a reload (check,
+    change) and status. The methods up to open() may raise ConfigError.
+    """
+
+    name = ""  # of the node
+    threads = 0  # number of threads that it keeps for as long as the dispatcher runs
 
     def __init__(self, terms):
-        """terms: what read() made of the node."""
+        """terms: the settings that read() made of the node."""
         self.terms = terms
 
-    def prepare(self, service, found):
-        """Before the configuration `found` is understood: which fronts, which list of engines."""
+    def prepare(self, service, config):
+        """Called before the raw configuration is parsed; sets client protocols or the source of endpoints."""
 
-    def build(self, service, found):
-        """The configuration is understood (service.registry); decider and links are not made yet."""
+    def build(self, service, config):
+        """Called once the configuration is parsed (service.registry), before decider and links are made."""
 
-    def join(self, service, found):
-        """Decider and links are made."""
+    def join(self, service, config):
+        """Called once decider and links are made."""
 
     def open(self, service):
-        """Its addresses and files are taken; no thread runs yet."""
+        """Opens listening sockets and files. No thread runs yet."""
 
     def start(self, service):
-        """Its threads. The decider's and the keeper's run, and the coordinator's follows."""
+        """Starts its threads. The threads of the decider and the links run; the coordinator's follows."""
 
     def settled(self, service):
-        """All else runs."""
+        """Called when all other threads run."""
 
     def check(self, terms):
-        """At SIGHUP, before anything acts: parts.InvalidDocumentError where `terms` need a restart. What it
-        returns is handed to change()."""
+        """Checks new settings at a reload (SIGHUP), before any of them takes effect.
+
+        Returns what change() needs as `ready`. Raises parts.InvalidDocumentError if they need a restart.
+        """
         if terms != self.terms:
-            from wickvane import parts  # only with a document: a dispatcher without one has nothing of it
+            from wickvane import parts  # only with a document: a dispatcher without one does not load it
 
             raise parts.InvalidDocumentError(f"{self.name}: a change of it needs a restart")
 
     def change(self, terms, ready):
-        """All parts were checked: takes effect, and cannot fail."""
+        """Applies new settings after all extensions' checks have passed. Must not fail.
+
+        ready: what check() returned.
+        """
         self.terms = terms
 
     def status(self):
-        """What the line of counters says of it, or None."""
+        """Returns the extension's field in the log event of the counters, or None for none."""
 
     def leave(self, service):
-        """SIGTERM has come; clients are still served. Must not wait."""
+        """Called at SIGTERM, while clients are still served. Must not wait."""
 
     def stop(self):
-        """Nothing is open any more."""
+        """Called when no session is open any more."""
--- a/wickvane/net/tds/connection.py
+++ b/wickvane/net/tds/connection.py
@@ -62,7 +62,7 @@
 
     def __init__(self, link) -> None:
         super().__init__(link)
-        self.engines = link.queue.speaks
+        self.engines = link.queue.protocol
         self.packet_size = packets.DEFAULT_PACKET_SIZE
         self.assembler = packets.MessageAssembler(UNBOUNDED, ENGINE_MESSAGE_TYPES)
         self.state = BatchState.IDLE
@@ -168,7 +168,7 @@
 
     def start(self) -> None:
         """Starts the thread that dials, logs in and reads."""
-        if not self.link.links.threads.spare(self._run, "engine-reader"):
+        if not self.link.links.threads.try_start(self._run, "engine-reader"):
             self.fail("no-thread")
 
     def release(self) -> None:
--- a/wickvane/net/tds/extension.py
+++ b/wickvane/net/tds/extension.py
@@ -165,7 +165,7 @@
         from wickvane.net.tds import engine_types
 
         service.fronts = engine_types.engine_types_by_protocol(self.terms, found)
-        service.speaks = engine_types.engine_protocols(self.terms)
+        service.protocols = engine_types.engine_protocols(self.terms)
 
     def join(self, service, found: dict) -> None:
         """As shape.Part: the listener's logins and certificates."""
@@ -181,7 +181,7 @@
         if self.terms.listen:
             # TDS clients take their descriptors from those that clients may hold.
             reserved = self.terms.connections + SPARE
-            service.most_clients = max(MIN_CLIENT_DESCRIPTORS, service.most_clients - reserved)
+            service.max_clients = max(MIN_CLIENT_DESCRIPTORS, service.max_clients - reserved)
 
     def open(self, service) -> None:
         """As shape.Part: the listening socket."""
