--- a/tests/tds/test_retries.py
+++ b/tests/tds/test_retries.py
@@ -10,7 +10,7 @@
 import pytest
 from bench_free import SETTINGS, reset, statement, until
 from standins.tds_engine import COLUMNS, TdsEngine, result
-from test_readers import line_of_one
+from test_readers import link_with_one_attempt
 
 from tds.helpers import Dispatcher, ask, error_number, tds_settings
 from wickvane.events import Ending
@@ -141,7 +141,7 @@
 
 def out_on_a_pair(monkeypatch):
     """A batch of 100 KB half written on a pair of sockets with small buffers."""
-    keeper, sub, inbox = line_of_one(monkeypatch)
+    keeper, sub, inbox = link_with_one_attempt(monkeypatch)
     place, (ours, theirs) = TdsConnection(keeper), socket.socketpair()
     ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4608)
     place.sock, place.up, keeper.connections[:] = ours, True, [place]
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -1,4 +1,7 @@
-"""The parsers alone: input cut anywhere, generated garbage, and statements as people write them."""
+"""Tests without servers: parsers, rounds of a decider, and links and connections to engines.
+
+The parsers read input that is split at any position, generated garbage and typical statements.
+"""
 
 import random
 import socket
@@ -15,8 +18,8 @@
 from wickvane.net import coordinator
 from wickvane.net.decider import Decider
 from wickvane.net.exchange import Attempt, Exchange, PendingQuery
-from wickvane.net.lines import connection as lines
-from wickvane.net.lines import links as link
+from wickvane.net.lines import connection as line_protocol
+from wickvane.net.lines import links as engine_links
 from wickvane.net.lines.connection import Connection
 from wickvane.net.postgres.rows import result
 from wickvane.net.queues import EngineQueue
@@ -99,10 +102,10 @@
 
 
 def garbage(chance, *seeds):
-    """Bytes with the marks that matter to the parsers, or a well-formed text with a few bytes changed."""
+    """Bytes with the parsers' tokens at random positions, or a valid text with a few bytes changed."""
     if chance.random() < 0.5:
-        marks = [b"/*", b"*/", b"'", b"$$", b'"', b"\r\n", b"\n", b" ", b"=", b",", b".", b"data:", b"HIT"]
-        return b"".join(chance.choice([*marks, chance.randbytes(1)]) for _ in range(chance.randrange(60)))
+        tokens = [b"/*", b"*/", b"'", b"$$", b'"', b"\r\n", b"\n", b" ", b"=", b",", b".", b"data:", b"HIT"]
+        return b"".join(chance.choice([*tokens, chance.randbytes(1)]) for _ in range(chance.randrange(60)))
     text = bytearray(chance.choice(seeds))
     for _ in range(chance.randrange(1, 6)):
         at = chance.randrange(len(text))
@@ -110,71 +113,73 @@
     return bytes(text)
 
 
-def test_garbage_is_told_so_by_each_parser_and_never_anything_else():
-    chance, read, told = random.Random(3), [0] * 3, [0] * 3
+def test_each_parser_accepts_garbage_or_raises_its_own_error_only():
+    chance, parsed, rejected = random.Random(3), [0] * 3, [0] * 3
     good = statement("INSERT INTO s_2.t SELECT $a$x$a$ FROM u_3.v", verb="load", item="k", unique="u")
     good = good.encode()
     stream = sse(2, event(2, entry("e", "127.0.0.1:80")))
     for _ in range(20_000):
-        text, news = garbage(chance, good), garbage(chance, stream)
+        text, body = garbage(chance, good), garbage(chance, stream)
         answer = bytearray(garbage(chance, hit(b"ab")))
-        for n, (work, wrong) in enumerate(
+        for n, (parse, error) in enumerate(
             (
                 (lambda text=text: (is_empty(text), READER.read(text)), RequestRejected),
-                (lambda answer=answer: lines.parse(answer), ProtocolError),
-                (lambda news=news: follow([news]), ProtocolError),
+                (lambda answer=answer: line_protocol.parse(answer), ProtocolError),
+                (lambda body=body: read_stream([body]), ProtocolError),
             )
         ):
             try:
-                work()
-                read[n] += 1
-            except wrong:
-                told[n] += 1
-    assert all(read) and all(told)
-
-
-def follow(parts):
-    """What a coordinator without a connection makes of a stream's body that comes in these parts."""
-    told = []
-    heard = coordinator.Coordinator(("", 0), (0, []), lambda *event: told.append(event), 1, None, Counts())
-    parts = iter([b"HTTP/1.1 200 OK\r\n\r\n", *parts, b""])
-    lines = coordinator.LineReader(lambda size: next(parts))
-    lines.read_head()
+                parse()
+                parsed[n] += 1
+            except error:
+                rejected[n] += 1
+    assert all(parsed) and all(rejected)
+
+
+def read_stream(chunks):
+    """Returns the last index and the events of a stream whose body is received in these chunks."""
+    events = []
+    subscriber = coordinator.Coordinator(
+        ("", 0), (0, []), lambda *event: events.append(event), 1, None, NullCounters()
+    )
+    received = iter([b"HTTP/1.1 200 OK\r\n\r\n", *chunks, b""])
+    reader = coordinator.LineReader(lambda size: next(received))
+    reader.read_head()
     data = []
     try:
-        for line in lines.body_lines():
+        for line in reader.body_lines():
             if line.startswith(b"data:"):
                 data.append(line[5:].removeprefix(b" "))
             elif not line and data:
-                heard.handle_event(b"\n".join(data))
+                subscriber.handle_event(b"\n".join(data))
                 data = []
     except EOFError:
         pass
-    return heard.last, told
+    return subscriber.last, events
 
 
-class Counts:
-    """Counters that count nothing."""
+class NullCounters:
+    """Counters that ignore all counts."""
 
     def add(self, name, n=1):
         pass
 
-    def add_octets(self, side, received, sent):
+    def add_octets(self, peer_kind, received, sent):
         pass
 
 
-def test_a_stream_and_an_answer_read_the_same_wherever_they_are_cut():
+def test_a_stream_and_an_answer_are_read_alike_wherever_they_are_split():
     stream = b": note\r\n\r\n" + sse(2, event(2, entry("e", "127.0.0.1:80")))
     stream += sse(3, event(3, snapshot=True))
-    whole = follow([stream])
-    assert whole[0] == 3 and len(whole[1]) == 2
+    expected = read_stream([stream])
+    assert expected[0] == 3 and len(expected[1]) == 2
     for at in range(1, len(stream)):
-        assert follow([stream[:at], stream[at:]]) == whole
+        assert read_stream([stream[:at], stream[at:]]) == expected
     answer = hit(b"ab", b"a\tb\tc\n" * 3)
     for at in range(len(answer)):
-        assert lines.parse(bytearray(answer[:at])) is None
+        assert line_protocol.parse(bytearray(answer[:at])) is None
     buffer = bytearray(answer * 2)
-    assert lines.parse(buffer) == lines.parse(buffer) and not buffer
+    assert line_protocol.parse(buffer) == line_protocol.parse(buffer) and not buffer
 
 
 def test_rows_are_what_a_plain_reading_of_the_pages_gives():
@@ -198,8 +203,8 @@
         result([b"a\tb\n"], b"SELECT")
 
 
-class Clock:
-    """A clock that stands still, and a log that keeps its last line."""
+class StoppedClock:
+    """A clock that always returns the same time, and a log that keeps its last line."""
 
     def now(self):
         return 17_000_000_000_000
@@ -209,135 +214,134 @@
 
 
 def decider_with_one_engine():
-    clock = Clock()
-    decider = Decider(Exchange(clock, Counts()), IdRegistry(SETTINGS), 1, clock, clock, Counts())
+    clock = StoppedClock()
+    decider = Decider(Exchange(clock, NullCounters()), IdRegistry(SETTINGS), 1, clock, clock, NullCounters())
     decider.round([("listed", True, [("e", ("127.0.0.1", 1), EngineState.READY, "dc", "old", 0, 0, 1.0)])])
     return decider
 
 
-def take(decider, n, age, **fields):
-    ticket = PendingQuery(Clock().now() - age, **READER.read(statement(n=n, **fields).encode()))
-    decider.exchange.submit(ticket)
-    return ticket
+def submit(decider, n, age, **fields):
+    pending = PendingQuery(StoppedClock().now() - age, **READER.read(statement(n=n, **fields).encode()))
+    decider.exchange.submit(pending)
+    return pending
 
 
-def test_what_came_first_is_taken_first_whichever_thread_woke_first():
+def test_queries_with_a_key_are_taken_in_the_order_in_which_they_were_read():
     decider = decider_with_one_engine()
-    first = [take(decider, n, age, verb="load", item="k", unique="u") for n, age in enumerate((10, 700))]
-    woken = decider.exchange.inbox.take(0)
-    # A thread that wakes after the first round's items were taken; the ages tell of a standstill.
-    tickets = [*first, take(decider, 2, 300, verb="load", item="k", unique="u")]
-    decider.round(decider.collect_late(woken))
-    # Where reading takes 70 ms, what came 1 ms ago is not let in yet: one before it may be unread still.
-    assert [ticket.attempt_count for ticket in tickets] == [0, 1, 0] and tickets[0].index == -1
-    late = take(decider, 3, 500, verb="load", item="k", unique="u")
+    first = [submit(decider, n, age, verb="load", item="k", unique="u") for n, age in enumerate((10, 700))]
+    messages = decider.exchange.inbox.take(0)
+    # This query reaches the inbox after the others were taken from it; their ages indicate a suspension.
+    queries = [*first, submit(decider, 2, 300, verb="load", item="k", unique="u")]
+    decider.round(decider.collect_late(messages))
+    # With a read lag of 70 ms, the query of age 1 ms is delayed: an earlier one may not have been read yet.
+    assert [query.attempt_count for query in queries] == [0, 1, 0] and queries[0].index == -1
+    late = submit(decider, 3, 500, verb="load", item="k", unique="u")
     decider.round(decider.exchange.inbox.take(0))
-    for ticket in (*tickets, late):
-        ticket.arrived_at -= 1000
+    for query in (*queries, late):
+        query.arrived_at -= 1000
     decider.round([])
-    order = [tickets[1], tickets[2], late, tickets[0]]
+    order = [queries[1], queries[2], late, queries[0]]
     assert [query.index for query in next(iter(decider.scheduler.keys.queues.values()))] == [
-        ticket.index for ticket in order
+        pending.index for pending in order
     ]
 
 
-def line_of_one(monkeypatch, up=False):
-    """A link whose connection has not come up, and a submission that waits in its line."""
+def link_with_one_attempt(monkeypatch, up=False):
+    """A link whose connection has not been established, an attempt that waits on it, and the inbox."""
     monkeypatch.setattr(Connection, "start", lambda self: None)
-    clock, exchange = Clock(), Exchange(Clock(), Counts())
-    threads = Threads(clock, Counts())
+    clock, exchange = StoppedClock(), Exchange(StoppedClock(), NullCounters())
+    threads = Threads(clock, NullCounters())
     limits = root_section(SETTINGS).section("limits")
-    links = link.Links(exchange, limits, 8, clock, clock, Counts(), threads=threads)
-    keeper = link.Link(EngineQueue("e", ("127.0.0.1", 0), 0), links)
-    ticket = PendingQuery(clock.now(), **READER.read(statement().encode()))
-    submission = Attempt(ticket, 0, 0, keeper.queue, clock.now(), ticket.deadline)
-    keeper.ask(submission)
-    return keeper, submission, exchange.inbox
-
-
-def test_what_is_still_in_line_when_an_engine_drains_is_taken_back(monkeypatch):
-    keeper, submission, inbox = line_of_one(monkeypatch)
-    keeper.drain()
-    assert [item[:3] for item in inbox.take(0)] == [("ended", submission, Ending.NOT_SENT)]
-
-
-def test_a_cancelled_submission_has_not_ended_before_its_quit_is_written(monkeypatch):
-    keeper, submission, inbox = line_of_one(monkeypatch)
-    submission.written = True
-    keeper.quit(submission)
-    assert not inbox.take(0) and keeper.connections[0].outbox[-1][0] == "quit"
-    keeper.connections[0].drop(submission, Ending.CANCELLED)
+    links = engine_links.Links(exchange, limits, 8, clock, clock, NullCounters(), threads=threads)
+    link = engine_links.Link(EngineQueue("e", ("127.0.0.1", 0), 0), links)
+    pending = PendingQuery(clock.now(), **READER.read(statement().encode()))
+    attempt = Attempt(pending, 0, 0, link.queue, clock.now(), pending.deadline)
+    link.ask(attempt)
+    return link, attempt, exchange.inbox
+
+
+def test_attempts_that_still_wait_when_an_engine_drains_end_as_not_sent(monkeypatch):
+    link, attempt, inbox = link_with_one_attempt(monkeypatch)
+    link.drain()
+    assert [item[:3] for item in inbox.take(0)] == [("ended", attempt, Ending.NOT_SENT)]
+
+
+def test_a_cancelled_attempt_does_not_end_before_its_quit_is_written(monkeypatch):
+    link, attempt, inbox = link_with_one_attempt(monkeypatch)
+    attempt.written = True
+    link.quit(attempt)
+    assert not inbox.take(0) and link.connections[0].outbox[-1][0] == "quit"
+    link.connections[0].drop(attempt, Ending.CANCELLED)
     assert [item[2] for item in inbox.take(0)] == [Ending.CANCELLED]
 
 
 def test_a_connection_closes_before_the_engine_would_close_it_as_idle(monkeypatch):
-    keeper, submission, inbox = line_of_one(monkeypatch)
-    keeper.connections[0].up = True
-    keeper.connections[0].drop(submission, Ending.FINISHED)
+    link, attempt, inbox = link_with_one_attempt(monkeypatch)
+    link.connections[0].up = True
+    link.connections[0].drop(attempt, Ending.FINISHED)
     idle = SETTINGS["limits"]["conn_idle_ms"] * 10
-    keeper.links.round([])
-    keeper.links.look(int(submission.started_at + idle * 0.5))
-    assert keeper.connections
-    keeper.links.look(int(submission.started_at + idle * 0.9))
-    assert not keeper.connections and keeper.log.last[1]["reason"] == "idle"
+    link.links.round([])
+    link.links.look(int(attempt.started_at + idle * 0.5))
+    assert link.connections
+    link.links.look(int(attempt.started_at + idle * 0.9))
+    assert not link.connections and link.log.last[1]["reason"] == "idle"
 
 
-def on_a_pair(keeper):
-    place, (ours, theirs) = keeper.connections[0], socket.socketpair()
-    ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    place.sock, place.up = ours, True
-    return place, theirs
+def connect_to_socketpair(link):
+    """Returns the link's connection, on a socket with a small send buffer, and the peer's socket."""
+    connection, (sock, peer_sock) = link.connections[0], socket.socketpair()
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    connection.sock, connection.up = sock, True
+    return connection, peer_sock
 
 
-def test_what_an_engine_does_not_take_at_once_is_written_in_order_without_a_wait(monkeypatch):
-    keeper, submission, _ = line_of_one(monkeypatch)
-    place, theirs = on_a_pair(keeper)
+def test_lines_beyond_the_socket_buffer_are_written_later_in_order_without_blocking(monkeypatch):
+    link, attempt, _ = link_with_one_attempt(monkeypatch)
+    connection, peer_sock = connect_to_socketpair(link)
     texts = [b"%d" % n * 30_000 for n in range(8)]
     for line in texts:
-        assert place.put("line", line, submission.pending)
-    assert place.rest and submission.written
-    Thread(target=keeper.links.run, daemon=True).start()
-    got = theirs.recv(65_536)
-    while len(got) < 240_000 + got.find(b"0000"):
-        got += theirs.recv(65_536)
-    keeper.links.stop()
-    assert got.startswith(b"ASK ") and got.endswith(b"\r\n" + b"".join(texts))
-
-
-def test_a_connection_found_dead_before_a_byte_is_out_proves_that_nothing_ran(monkeypatch):
-    keeper, submission, inbox = line_of_one(monkeypatch)
-    place, theirs = on_a_pair(keeper)
-    theirs.close()
-    ticket = PendingQuery(submission.started_at, **READER.read(statement(n=2).encode()))
-    other = Attempt(ticket, 0, 0, keeper.queue, submission.started_at, ticket.deadline)
-    assert not place.put("ask", other) and not other.has_ended
-    assert [item[:3] for item in inbox.take(0)] == [("ended", submission, Ending.NOT_SENT)]
-    keeper.ask(other)
-    assert keeper.connections[0] is not place and not other.has_ended
-
-
-def test_long_limits_of_queries_that_have_ended_do_not_pile_up(monkeypatch):
-    keeper, submission, _ = line_of_one(monkeypatch)
+        assert connection.put("line", line, attempt.pending)
+    assert connection.rest and attempt.written
+    Thread(target=link.links.run, daemon=True).start()
+    received = peer_sock.recv(65_536)
+    while len(received) < 240_000 + received.find(b"0000"):
+        received += peer_sock.recv(65_536)
+    link.links.stop()
+    assert received.startswith(b"ASK ") and received.endswith(b"\r\n" + b"".join(texts))
+
+
+def test_an_attempt_on_a_connection_that_is_closed_before_any_byte_is_written_was_not_sent(monkeypatch):
+    link, attempt, inbox = link_with_one_attempt(monkeypatch)
+    connection, peer_sock = connect_to_socketpair(link)
+    peer_sock.close()
+    pending = PendingQuery(attempt.started_at, **READER.read(statement(n=2).encode()))
+    other = Attempt(pending, 0, 0, link.queue, attempt.started_at, pending.deadline)
+    assert not connection.put("ask", other) and not other.has_ended
+    assert [item[:3] for item in inbox.take(0)] == [("ended", attempt, Ending.NOT_SENT)]
+    link.ask(other)
+    assert link.connections[0] is not connection and not other.has_ended
+
+
+def test_distant_deadlines_of_ended_attempts_do_not_accumulate(monkeypatch):
+    link, attempt, _ = link_with_one_attempt(monkeypatch)
     for _ in range(5000):
-        ended = Attempt(
-            submission.pending, 0, 0, keeper.queue, submission.started_at, submission.deadline + 1
-        )
-        keeper.links.later(ended.deadline, ended)
+        ended = Attempt(attempt.pending, 0, 0, link.queue, attempt.started_at, attempt.deadline + 1)
+        link.links.later(ended.deadline, ended)
         ended.has_ended = True
-        keeper.links.look(submission.started_at)
-    assert len(keeper.links.waits) < 1000 and keeper.links.waits[0][2] is submission
+        link.links.look(attempt.started_at)
+    assert len(link.links.waits) < 1000 and link.links.waits[0][2] is attempt
 
 
-def test_an_event_that_the_module_cannot_bear_takes_no_other_with_it():
+def test_an_event_that_raises_an_exception_does_not_affect_other_queries():
     decider = decider_with_one_engine()
-    bad, good = take(decider, 1, 10), take(decider, 2, 10)
+    bad, good = submit(decider, 1, 10), submit(decider, 2, 10)
     bad.cost = "none"
     decider.round(decider.exchange.inbox.take(0))
     assert good.attempt_count == 1 and bad.attempt_count == 0 and decider.log.last[0] == "fault"
 
 
 def test_many_threads_share_one_arena_of_the_allocator():
-    """Each further one would keep what its busiest moment took, and reserves 64 MB of addresses."""
+    """Each further arena keeps the memory of its peak use, and reserves 64 MB of address space."""
     code = """
 import threading, time
 from wickvane.net.service import use_single_arena
--- a/tests/test_threads.py
+++ b/tests/test_threads.py
@@ -1,4 +1,4 @@
-"""A machine that has no thread left, or no descriptor: what it costs, and how many the program holds."""
+"""A dispatcher on a machine without free threads or descriptors, and how many of them it uses."""
 
 import signal
 import socket
@@ -11,31 +11,31 @@
 from wickvane.net import threads
 from wickvane.net.clock import Clock
 from wickvane.net.counters import Counters
-from wickvane.net.lines import connection as lines
+from wickvane.net.lines import connection as line_protocol
 from wickvane.net.log import Log
 from wickvane.net.threads import Stopped, Threads
 
 
 @pytest.fixture
-def scarce(monkeypatch):
-    """Refuses a thread of a name so many times; -1: always."""
-    left = {}
+def refusals(monkeypatch):
+    """How often a thread is still refused, by its name; -1: always."""
+    refusals_left = {}
 
-    class Scarce(threading.Thread):
+    class RefusableThread(threading.Thread):
         def start(self):
-            if left.get(self.name, 0):
-                left[self.name] -= 1
+            if refusals_left.get(self.name, 0):
+                refusals_left[self.name] -= 1
                 raise RuntimeError("can't start new thread")
             super().start()
 
-    monkeypatch.setattr(threads, "Thread", Scarce)
+    monkeypatch.setattr(threads, "Thread", RefusableThread)
     monkeypatch.setattr(threads, "FIRST_PAUSE_S", 0.01)
-    return left
+    return refusals_left
 
 
 @pytest.mark.parametrize("name", ["log", "decider", "keeper", "coordinator", "listener"])
-def test_a_thread_that_nothing_works_without_is_asked_for_until_it_is_there(scarce, name):
-    scarce[name] = 3
+def test_a_required_thread_is_requested_until_it_starts(refusals, name):
+    refusals[name] = 3
     dispatcher = Dispatcher(Engine())
     assert rows(Client(dispatcher).ask(statement()))
     lines = dispatcher.logged("thread-refused")
@@ -44,13 +44,13 @@
     assert dispatcher.logged("ready")
 
 
-def test_a_log_without_a_thread_still_says_so_and_the_end_is_heard_meanwhile(scarce, monkeypatch, tmp_path):
-    scarce["log"] = -1
-    written = open(tmp_path / "log", "wb+")
-    log, counters = Log(written.fileno(), Clock()), Counters()
-    tries = iter(range(3))
+def test_refusals_are_logged_without_a_log_thread_and_a_signal_ends_the_wait(refusals, monkeypatch, tmp_path):
+    refusals["log"] = -1
+    log_file = open(tmp_path / "log", "wb+")
+    log, counters = Log(log_file.fileno(), Clock()), Counters()
+    polls = iter(range(3))
     monkeypatch.setattr(
-        signal, "sigpending", lambda: set() if next(tries, None) is not None else {signal.SIGTERM}
+        signal, "sigpending", lambda: set() if next(polls, None) is not None else {signal.SIGTERM}
     )
     with pytest.raises(Stopped):
         Threads(log, counters).needed(log.run, "log")
@@ -58,55 +58,55 @@
     assert counters.shown() == {"threads-refused": 4}
 
 
-def test_a_session_without_a_thread_is_told_so_and_costs_nobody_else_anything(scarce):
+def test_a_session_without_a_thread_gets_an_error_and_affects_no_other(refusals):
     dispatcher = Dispatcher(Engine())
     client = Client(dispatcher)
-    scarce["session"] = 1
-    refused = Client(dispatcher, b"")
-    assert sqlstate([refused.message()]) == "53300" and refused.message() is None
+    refusals["session"] = 1
+    rejected = Client(dispatcher, b"")
+    assert sqlstate([rejected.message()]) == "53300" and rejected.message() is None
     assert rows(client.ask(statement(n=1))) and rows(Client(dispatcher).ask(statement(n=2)))
     ended = dispatcher.logged("client-connection-ended")[0]
     assert ended["reason"] == "no-thread" and dispatcher.logged("thread-refused")[0]["thread"] == "session"
 
 
-def test_threads_do_not_grow_with_engines_nor_their_connections():
+def test_the_number_of_threads_does_not_depend_on_engines_or_connections():
     engines = [Engine() for _ in range(30)]
     dispatcher = Dispatcher(*engines)
     before = set(threading.enumerate())
     client = Client(dispatcher)
     for n in range(300):
         assert rows(client.ask(statement(f"SELECT 1 FROM sales_{n % 60}.t", n=n)))
-    shown = dispatcher.service.counters.shown()
-    assert shown["engine-connections"] > 20
-    ours = {thread.name for thread in set(threading.enumerate()) - before}
-    assert "session" in ours and not {name for name in ours if name.startswith("engine")}
+    counts = dispatcher.service.counters.shown()
+    assert counts["engine-connections"] > 20
+    started = {thread.name for thread in set(threading.enumerate()) - before}
+    assert "session" in started and not {name for name in started if name.startswith("engine")}
 
 
-def test_no_descriptor_for_an_engine_is_not_the_engines_fault(monkeypatch):
-    made = socket.socket
+def test_a_lack_of_descriptors_is_not_counted_as_a_fault_of_the_engine(monkeypatch):
+    real_socket = socket.socket
 
-    def refused(*how, **more):
-        if threading.current_thread().name == "keeper" and left:
-            left.pop()
+    def refusing_socket(*args, **kwargs):
+        if threading.current_thread().name == "keeper" and failures_left:
+            failures_left.pop()
             raise OSError(24, "Too many open files")
-        return made(*how, **more)
+        return real_socket(*args, **kwargs)
 
-    left = [0] * 2
+    failures_left = [0] * 2
     dispatcher = Dispatcher(Engine())
     client = Client(dispatcher)
-    monkeypatch.setattr(lines.socket, "socket", refused)
+    monkeypatch.setattr(line_protocol.socket, "socket", refusing_socket)
     for n in range(3):
         client.ask(statement(n=n))
-    shown = dispatcher.service.counters.shown
-    assert not left and shown()["engine-connections-ended-no-descriptor"] == 2
-    assert "ending-no-connection" not in shown() and shown()["ending-not-sent"] == 2
+    counts = dispatcher.service.counters.shown
+    assert not failures_left and counts()["engine-connections-ended-no-descriptor"] == 2
+    assert "ending-no-connection" not in counts() and counts()["ending-not-sent"] == 2
     assert not dispatcher.service.decider.scheduler.engines.failure_rate[0]
     assert rows(client.ask(statement(n=9)))
 
 
-def test_idle_connections_make_room_for_an_engine_that_is_asked():
+def test_idle_connections_are_closed_for_an_attempt_on_another_engine():
     engines = [Engine() for _ in range(12)]
-    dispatcher = Dispatcher(*engines, sockets=48)  # 16 for engines, half of them may idle
+    dispatcher = Dispatcher(*engines, sockets=48)  # 16 for engines, of which half may be idle
     client = Client(dispatcher)
     for n in range(200):
         assert rows(client.ask(statement(f"SELECT 1 FROM sales_{n}.t", n=n)))
@@ -116,17 +116,17 @@
     assert len({engine.address for engine in engines if not engine.came.empty()}) > 8
 
 
-def test_a_full_house_of_connections_in_use_still_reaches_a_new_engine():
+def test_a_new_engine_is_reached_while_all_connections_are_in_use():
     silent = [Engine(lambda txn, words: b"") for _ in range(2)]
     events = Events()
     dispatcher = Dispatcher(*silent, coordinator=events, sockets=24)  # 8 for engines
     clients = [Client(dispatcher) for _ in range(6)]
     for n, client in enumerate(clients):
         client.send(statement(f"SELECT 1 FROM sales_{n}.t", n=n, limit=4000))
-    by = time.monotonic() + 10
-    while sum(engine.came.qsize() for engine in silent) < 6 and time.monotonic() < by:
+    deadline = time.monotonic() + 10
+    while sum(engine.came.qsize() for engine in silent) < 6 and time.monotonic() < deadline:
         time.sleep(0.01)
-    good = Engine()
+    new_engine = Engine()
     events.next("connected")
     events.send.put(
         sse(
@@ -134,19 +134,19 @@
             event(
                 2,
                 *(entry(f"e{n}", engine.address, "Terminating") for n, engine in enumerate(silent)),
-                entry("good", good.address),
+                entry("good", new_engine.address),
             ),
         )
     )
     assert rows(Client(dispatcher).ask(statement(n=99)))
 
 
-def test_an_engine_whose_address_is_a_name_is_looked_up_beside_the_keeper(scarce):
+def test_the_host_name_of_an_engine_is_resolved_outside_the_links_thread(refusals):
     engine = Engine()
     engine.address = engine.address.replace("127.0.0.1", "localhost")
     dispatcher = Dispatcher(engine)
-    scarce["engine-name"] = 1
+    refusals["engine-name"] = 1
     client = Client(dispatcher)
     assert rows(client.ask(statement(n=1))) and rows(client.ask(statement(n=2)))
-    shown = dispatcher.service.counters.shown()
-    assert shown["engine-connections-ended-no-thread"] == 1 and "ending-no-connection" not in shown
+    counts = dispatcher.service.counters.shown()
+    assert counts["engine-connections-ended-no-thread"] == 1 and "ending-no-connection" not in counts
--- a/wickvane/net/decider.py
+++ b/wickvane/net/decider.py
@@ -84,7 +84,7 @@
 
     def round(self, messages):
         """Runs one round of the scheduler for these messages and for the timers that are due."""
-        # Every event of a round happened at or before its time.
+        # Every event of a round happened at or before the round's time.
         began = self.now = max(self.now, self.clock.now())
         # Sessions' threads wake in any order, so queries are sorted by the times at which they were read.
         taken = sorted(
--- a/wickvane/net/listener.py
+++ b/wickvane/net/listener.py
@@ -67,9 +67,9 @@
         """Closes an idle session if the maximum is reached.
 
         Returns whether the listener is full nevertheless, or None if the spare connections are in use too.
-        This protects against clients that connect and send nothing, or stay connected after a
-        query. Sessions without any query are closed first, then those that have been idle longest. A session
-        that has just been accepted may be about to send a query and is closed last.
+        This protects against clients that connect and send nothing, or stay connected after a query. Sessions
+        without any query are closed first, then those that have been idle longest. A session that has just
+        been accepted may be about to send a query and is closed last.
         """
         for _ in range(MAX_EVICTION_ROUNDS):
             with self.lock:
--- a/wickvane/net/service.py
+++ b/wickvane/net/service.py
@@ -158,8 +158,8 @@
         self.fronts, self.protocols, self.lister, self.accounts = (), None, None, None
         self.decider_class, self.gate, self.listeners = Decider, None, []
         self.parts = load_extensions(parts)
-        for part in self.parts:
-            part.prepare(self, raw_config)
+        for extension in self.parts:
+            extension.prepare(self, raw_config)
         config = parse_config(raw_config, self.fronts, self.lister and self.lister.terms)
         self.registry, self.address = config.registry, config.listen
         self.name, self.seed, self.restart_digests = (
@@ -170,12 +170,12 @@
         self.reader = Reader(self.registry)
         self.exchange = Exchange(self.clock, self.counters)
         self.exchange.resource_groups = self.registry.deployment.groups
-        for part in self.parts:
-            part.build(self, raw_config)
+        for extension in self.parts:
+            extension.build(self, raw_config)
         try:
             self.make_decider_and_links(config)
-            for part in self.parts:
-                part.join(self, raw_config)
+            for extension in self.parts:
+                extension.join(self, raw_config)
         except (TypeError, ValueError, AttributeError) as error:
             raise ConfigError(
                 f"the configuration has a value of the wrong type or form: {error}", 2
@@ -232,19 +232,19 @@
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
         self.listen(self.address, self.max_clients, Session)
-        for part in self.parts:
-            part.open(self)
+        for extension in self.parts:
+            extension.open(self)
         self.writer = self.start_required(self.log.run, "log")
         self.start_required(self.decider.run, "decider")
         self.start_required(self.links.run, "keeper")
-        for part in self.parts:
-            part.start(self)
+        for extension in self.parts:
+            extension.start(self)
         if self.coordinator:
             self.coordinator_thread = self.start_required(self.coordinator.run, "coordinator")
         for listener in self.listeners:
             self.start_required(listener.run, "listener")
-        for part in self.parts:
-            part.settled(self)
+        for extension in self.parts:
+            extension.settled(self)
         self.log.line("ready", name=self.name, listen=f"{self.address[0]}:{self.address[1]}", pid=os.getpid())
 
     def listen(self, address, max_sessions, session):
@@ -330,8 +330,8 @@
             self.counters.add("configurations-unusable")
             self.log.line("configuration-unusable", why=str(error))
             return False
-        for part, terms, ready in changes:
-            part.change(terms, ready)
+        for extension, terms, ready in changes:
+            extension.change(terms, ready)
         if self.coordinator:
             _, events = config.known
             self.coordinator.move(config.coordinator, events)
@@ -351,14 +351,17 @@
         from wickvane import parts
 
         document = parts.read(parts_path)
-        extensions = {part.name: part for part in self.parts}
+        extensions = {extension.name: extension for extension in self.parts}
         for name in set(document) ^ set(extensions):
             if getattr(importlib.import_module(parts.EXTENSION_MODULES[name]), "At", None) is not None:
                 raise parts.InvalidDocumentError(
                     f"{parts_path}: {name}: turning it on or off needs a restart"
                 )
         try:
-            return [(part, document[name], part.check(document[name])) for name, part in extensions.items()]
+            return [
+                (extension, document[name], extension.check(document[name]))
+                for name, extension in extensions.items()
+            ]
         except parts.InvalidDocumentError as error:
             raise parts.InvalidDocumentError(f"{parts_path}: {error}") from None
 
@@ -370,7 +373,9 @@
                 for line in status
                 if line.startswith((b"VmHWM", b"VmRSS", b"Threads"))
             }
-        extension_status = {part.name: status for part in self.parts if (status := part.status()) is not None}
+        extension_status = {
+            extension.name: status for extension in self.parts if (status := extension.status()) is not None
+        }
         self.log.line(
             "counters",
             why=why,
@@ -389,8 +394,8 @@
         time_left = min(longest_timeout, MAX_TIMEOUT) + KILL_DELAY
         self.exchange.inbox.put(("stop", time_left), always=True)
         self.log.line("stopping")
-        for part in self.parts:
-            part.leave(self)
+        for extension in self.parts:
+            extension.leave(self)
         time.sleep(ARRIVAL_GRACE_S)
         for listener in self.listeners:
             listener.close()
@@ -406,8 +411,8 @@
         if self.coordinator:
             self.coordinator.stop()
             self.coordinator_thread.join(0.1)
-        for part in self.parts:
-            part.stop()
+        for extension in self.parts:
+            extension.stop()
         self.log_counters("exit")
         self.log.line("stopped", took=time.monotonic() - began)
         self.log.close()
--- a/wickvane/net/storms.py
+++ b/wickvane/net/storms.py
@@ -37,17 +37,17 @@
 
 
 class ConnectionGate:
-    """Guards the pacing of connections, which the listeners' threads and the decider's share."""
+    """Shares the ConnectionPacing `pace` between the threads of the listeners and the decider."""
 
-    def __init__(self, pacing, clock, log, storm):
-        self.pacing, self.clock, self.log, self.storm, self.lock = pacing, clock, log, storm, Lock()
+    def __init__(self, pace, clock, log, storm):
+        self.pace, self.clock, self.log, self.storm, self.lock = pace, clock, log, storm, Lock()
         self.rejections = 0  # in this pacing interval
 
     def observe(self, now, lag):
         """Reports the read lag (ticks) and the used CPU time; returns the pacing's events."""
         with self.lock:
             events, rejections, self.rejections = (
-                self.pacing.observe(now, lag, time.process_time()),
+                self.pace.observe(now, lag, time.process_time()),
                 self.rejections,
                 0,
             )
@@ -60,15 +60,15 @@
     def admits(self, is_urgent, sock):
         """Whether a new connection is admitted now. is_urgent: called with the socket while a pace is set."""
         with self.lock:
-            urgent = self.pacing.rate is not None and is_urgent(sock)
-            admitted = self.pacing.admits(self.clock.now(), urgent)
+            urgent = self.pace.rate is not None and is_urgent(sock)
+            admitted = self.pace.admits(self.clock.now(), urgent)
         self.storm.record_connection()
         return admitted
 
     def retry_after_ms(self):
         """Returns the retry-after time of a connection that is rejected now, in milliseconds."""
         with self.lock:
-            return -(-self.pacing.retry_after(self.clock.now()) // 10)
+            return -(-self.pace.retry_after(self.clock.now()) // 10)
 
     def log_rejection(self, peer, retry_after):
         """Logs a rejected connection, up to MAX_LOGGED_REJECTIONS per pacing interval."""
@@ -92,13 +92,14 @@
         )
         now = self.clock.now()
         self.storm = StormDetector(now, deployment.retry_budget_ratio, remember)
-        self.retry_not_before = OrderedDict()  # by fingerprint of a rejected query: the time of its advice
+        # By fingerprint of a rejected query: the time before which a retry ignores the retry-after advice.
+        self.retry_not_before = OrderedDict()
         if part.connections:
             objective = min((group.latency_objective for group in deployment.groups), default=15_000)
-            pacing = ConnectionPacing(
+            pace = ConnectionPacing(
                 now, objective, float(limits.get("cores") or 1.0), deployment.max_retry_after, seed
             )
-            self.gate = ConnectionGate(pacing, self.clock, self.log, self.storm)
+            self.gate = ConnectionGate(pace, self.clock, self.log, self.storm)
             self.set_timer(0, now + PACING_INTERVAL)
             self.next_pacing_at, self.max_read_lag = now + PACING_INTERVAL, 0
         return self.gate
