--- a/wickvane/net/decider.py
+++ b/wickvane/net/decider.py
@@ -54,8 +54,8 @@
         """The thread: runs a round whenever there are messages or a timer is due; never returns."""
         while True:
             now = self.clock.now()
-            until = min(self.timers[0][0], now + MAX_WAIT) if self.timers else now + MAX_WAIT
-            messages = self.exchange.inbox.take((until - now) / 10_000)
+            wait_until = min(self.timers[0][0], now + MAX_WAIT) if self.timers else now + MAX_WAIT
+            messages = self.exchange.inbox.take((wait_until - now) / 10_000)
             pause = self.now + MIN_ROUND_INTERVAL - self.clock.now()
             if pause > 0:
                 time.sleep(pause / 10_000)
@@ -268,9 +268,9 @@
         pending, name = self.registry.queries.names[query], self.registry.engines.names[engine]
         if self.observer is not None:
             self.observer.attempt_started(name)
-        until = min(pending.deadline, self.now + max_wait) if max_wait else pending.deadline
+        deadline = min(pending.deadline, self.now + max_wait) if max_wait else pending.deadline
         queue = self.queues.get(name)
-        pending.attempt = Attempt(pending, pending.attempt_count, engine, queue, self.now, until, start_by)
+        pending.attempt = Attempt(pending, pending.attempt_count, engine, queue, self.now, deadline, start_by)
         pending.attempt_count += 1
         self.registry.attempt_started(query, name)
         pending.stage_times.setdefault("submitted", self.now)
@@ -302,7 +302,7 @@
             attempt.queue.put(("quit", attempt), always=True)
 
     def set_terms(self, query, priority, memory_grant):
-        """Writer: sets a query's priority, also for an attempt in flight."""
+        """Writer: sets a query's priority, also for an attempt in flight; memory_grant is not used."""
         pending = self.registry.queries.names[query]
         pending.priority = priority
         attempt = pending.attempt
--- a/wickvane/net/queues.py
+++ b/wickvane/net/queues.py
@@ -91,8 +91,8 @@
             if len(self.items) >= self.max_size and not always:
                 return False
             self.items.append(item)
-            first = len(self.items) == 1
-        if first and self.ready_queue is not None:
+            was_empty = len(self.items) == 1
+        if was_empty and self.ready_queue is not None:
             self.ready_queue.put(self)
         return True
 
