--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -390,7 +390,7 @@
 
 
 def test_a_silent_event_stream_is_reopened_after_the_last_event(monkeypatch):
-    monkeypatch.setattr("wickvane.net.coordinator.SILENT_S", 0.05)
+    monkeypatch.setattr("wickvane.net.coordinator.READ_TIMEOUT_S", 0.05)
     coordinator = Events()
     dispatcher = Dispatcher(coordinator=coordinator)
     assert [coordinator.next(), coordinator.next()] == [("connected", b"1")] * 2
