--- a/tests/fuzz_codecs.py
+++ b/tests/fuzz_codecs.py
@@ -59,7 +59,7 @@
     prelogin.read_prelogin,
     sql_batch.read_sql_batch,
     transaction_manager.read_transaction_request,
-    lambda data: rpc.statement_of(rpc.read_rpc_request(data), rpc.PreparedStatements()),
+    lambda data: rpc.statement_to_run(rpc.read_rpc_request(data), rpc.PreparedStatements()),
     lambda data: list(ipfix.Reader(32_473).feed(data)),
     lambda data: list(netflow9.Reader9().message(data)),
 )
--- a/tests/scheduling/test_retry_after.py
+++ b/tests/scheduling/test_retry_after.py
@@ -135,7 +135,7 @@
     assert "stay-away=" in said
     away = int(said.partition("stay-away=")[2].partition("ms")[0])
     assert 2000 <= away <= 4000
-    assert [errors.state_of(ms) for ms in (0, 1, 100, 101, 25_300, 10**6)] == [1, 3, 3, 4, 255, 255]
+    assert [errors.error_state(ms) for ms in (0, 1, 100, 101, 25_300, 10**6)] == [1, 3, 3, 4, 255, 255]
 
 
 @pytest.mark.parametrize("heeds", ["true", "false"])
--- a/tests/scheduling/test_storm_damping.py
+++ b/tests/scheduling/test_storm_damping.py
@@ -74,7 +74,7 @@
         [
             said
             for token, _, said in tokens.TokenStreamReader().feed(body)
-            if token == tokens.INFO and said[0] == errors.STORM
+            if token == tokens.INFO and said[0] == errors.RETRY_STORM
         ]
         for body in found[-2:]
     ]
--- a/tests/tds/test_codec.py
+++ b/tests/tds/test_codec.py
@@ -148,10 +148,12 @@
     info = type_info.read_type_info(Cursor(raw_info))
     assert info.raw == raw_info
     cursor = Cursor(raw)
-    assert conversion.to_python(info, values.read_value(cursor, info)) == value and cursor.at == len(raw)
+    assert conversion.to_python(info, values.read_value(cursor, info)) == value and cursor.position == len(
+        raw
+    )
     cursor = Cursor(raw)
     values.skip_value(cursor, info)
-    assert cursor.at == len(raw)
+    assert cursor.position == len(raw)
     for cut in range(len(raw)):
         with pytest.raises(IncompleteDataError):
             values.read_value(Cursor(raw[:cut]), info)
@@ -223,7 +225,7 @@
         ("", b"\x6f\x08", RAW["datetime"][1]),
         ("", RAW["decimal"][0], RAW["decimal"][1]),
     )
-    statement, told = rpc.statement_of(asked, rpc.PreparedStatements())
+    statement, told = rpc.statement_to_run(asked, rpc.PreparedStatements())
     assert statement == (
         UNTOUCHED + "x=N'it''s' AND y=-4 AND z='1900-01-02T00:00:01.000' AND @@rowcount=-123.45"
     )
@@ -239,19 +241,19 @@
         ("", *text("SELECT @p")),
         ("@p", encoding.INT_INFO, encoding.encode_int(3)),
     )
-    statement, told = rpc.statement_of(asked, prepared)
+    statement, told = rpc.statement_to_run(asked, prepared)
     assert statement == "SELECT 3" and told[0] == tokens.RETURNVALUE
     again = call(
         rpc.ProcedureId.EXECUTE,
         ("", encoding.INT_INFO, encoding.encode_int(1)),
         ("", encoding.INT_INFO, encoding.encode_int(9)),
     )
-    assert rpc.statement_of(again, prepared)[0] == "SELECT 9"
+    assert rpc.statement_to_run(again, prepared)[0] == "SELECT 9"
     for _ in range(rpc.MAX_PREPARED_STATEMENTS):
         prepared.add("x", "")
     assert len(prepared.by_handle) == rpc.MAX_PREPARED_STATEMENTS
     with pytest.raises(ProtocolError, match="handle"):
-        rpc.statement_of(again, prepared)
+        rpc.statement_to_run(again, prepared)
 
 
 @pytest.mark.parametrize(
@@ -321,7 +323,7 @@
         login7.read_login7,
         prelogin.read_prelogin,
         sql_batch.read_sql_batch,
-        lambda d: rpc.statement_of(rpc.read_rpc_request(d), rpc.PreparedStatements()),
+        lambda d: rpc.statement_to_run(rpc.read_rpc_request(d), rpc.PreparedStatements()),
         transaction_manager.read_transaction_request,
     ):
         try:
--- a/tests/tds/test_wire_digest.py
+++ b/tests/tds/test_wire_digest.py
@@ -51,14 +51,21 @@
     raw = values.read_value(cursor, info)
     value = conversion.to_python(info, raw)
     described = (info.type, info.size, info.precision, info.scale, info.collation, info.raw, info.is_plp)
-    return described, raw, cursor.at, value, conversion.to_text(value), conversion.to_literal(value, info)
+    return (
+        described,
+        raw,
+        cursor.position,
+        value,
+        conversion.to_text(value),
+        conversion.to_literal(value, info),
+    )
 
 
 def skipped_value(info_octets: bytes, data: bytes) -> int:
     info = type_info.read_type_info(Cursor(info_octets))
     cursor = Cursor(data)
     values.skip_value(cursor, info)
-    return cursor.at
+    return cursor.position
 
 
 def token_content(content: object) -> object:
@@ -190,7 +197,7 @@
             yield outcome(lambda d=used: read_login(d))
         for used in (asked, damaged(chance, asked)):
             yield outcome(lambda d=used: prelogin.read_prelogin(d))
-            yield outcome(lambda d=used: prelogin.encryption_of(prelogin.read_prelogin(d)))
+            yield outcome(lambda d=used: prelogin.read_encryption(prelogin.read_prelogin(d)))
 
 
 def encoded_parameters(chance: Random, number: int) -> bytes:
@@ -219,7 +226,7 @@
     prepared = rpc.PreparedStatements()
 
     def call(body: bytes) -> tuple:
-        return tuple(rpc.statement_of(rpc.read_rpc_request(body), prepared))
+        return tuple(rpc.statement_to_run(rpc.read_rpc_request(body), prepared))
 
     def transaction_request(body: bytes) -> tuple:
         request = transaction_manager.read_transaction_request(body)
--- a/wickvane/net/tds/__init__.py
+++ b/wickvane/net/tds/__init__.py
@@ -1,1 +1,1 @@
-"""TDS 7.4, as clients and engines speak it."""
+"""TDS 7.4: client sessions and connections to engines."""
--- a/wickvane/net/tds/authentication.py
+++ b/wickvane/net/tds/authentication.py
@@ -1,7 +1,8 @@
-"""Authentication of clients: a password file of users and argon2 hashes, and a bound on concurrent checks.
+"""Authentication of clients by a password file of users and argon2 hashes, with a bound on concurrent checks.
 
-A check is expensive by design, and reconnecting clients make many: one runs at a time, few wait for it, and a
-password that was correct lately is recognised by a keyed digest that exists in this process only.
+A check is expensive by design, and clients that reconnect cause many checks. Therefore one check runs at a
+time, at most MAX_WAITING_CHECKS logins are in check at once, and a password that was recently accepted is
+recognised by a keyed digest whose key exists only in this process.
 """
 
 import os
@@ -18,19 +19,19 @@
 DIGEST_SIZE = 32  # octets
 ARGON2_TIME_COST = 3
 ARGON2_MEMORY_KIB = 8192
-ARGON2_LANES = 1  # checks run one at a time
+ARGON2_LANES = 1  # only one check runs at a time
 
 
 class LoginCheck(Enum):
-    """The outcome of a check."""
+    """The result of a password check."""
 
     ACCEPTED = auto()
     REJECTED = auto()
-    BUSY = auto()  # too many wait to be checked
+    BUSY = auto()  # too many logins wait for a check
 
 
 def read_password_file(path: str) -> dict[str, str]:
-    """Hashes by user, from lines "user:hash"; raises FileError, which names the line."""
+    """Returns the hashes by user from lines "user:hash"; raises FileError, which names an invalid line."""
     users: dict[str, str] = {}
     text = read_bounded(path, MAX_FILE_SIZE).decode("utf-8", "replace")
     for number, line in enumerate(text.splitlines(), 1):
@@ -38,9 +39,7 @@
             continue
         user, colon, password_hash = line.strip().partition(":")
         if not colon or not user or not password_hash.startswith("$argon2") or user in users:
-            raise FileError(
-                f"{path}: line {number}: expected a user, a colon and an argon2 hash, each user once"
-            )
+            raise FileError(f"{path}: line {number}: expected a unique user, a colon and an argon2 hash")
         users[user] = password_hash
     if not users or len(users) > MAX_USERS:
         raise FileError(f"{path}: expected 1 to {MAX_USERS} users")
@@ -48,7 +47,7 @@
 
 
 def hash_password(password: str) -> str:
-    """A hash for the password file."""
+    """Hashes a password for the password file."""
     from argon2 import PasswordHasher
 
     hasher = PasswordHasher(
@@ -60,8 +59,9 @@
 class Authenticator:
     """Checks users and passwords, from any thread.
 
-    users: hashes by user; None accepts everybody, for listeners on loopback only. _lock guards users, the
-    cache and the count of waiting checks; _check_lock is held during a check, never within _lock."""
+    users: hashes by user; None accepts every login and is used only for loopback listeners.
+    _lock guards users, the cache and the count of waiting checks. _check_lock is held during a check and
+    never acquired while _lock is held."""
 
     def __init__(self, users: dict[str, str] | None) -> None:
         self.users = users
@@ -73,13 +73,13 @@
         self._unknown_user_hash = hash_password("") if users is not None else ""
 
     def replace_users(self, users: dict[str, str] | None) -> None:
-        """Takes the users of a new password file."""
+        """Replaces the users by those of a new password file."""
         with self._lock:
             self.users = users
             self._digests = {}
 
     def check(self, user: str, password: str) -> LoginCheck:
-        """Checks a password; waits for the checks ahead of it."""
+        """Checks a password after the checks that are already waiting."""
         if self.users is None:
             return LoginCheck.ACCEPTED
         encoded = password.encode("utf-8", "replace")
@@ -93,7 +93,7 @@
             users = self.users
         try:
             with self._check_lock:
-                # An unknown user takes the same time, so that time does not tell which users exist.
+                # Checking an unknown user takes as long, so that the duration reveals no existing users.
                 password_hash = users.get(user, self._unknown_user_hash)
                 accepted = _verify(password_hash, password) and user in users
         finally:
@@ -101,10 +101,10 @@
                 self._waiting -= 1
         if not accepted:
             return LoginCheck.REJECTED
-        self._remember(users, user, digest)
+        self._cache_digest(users, user, digest)
         return LoginCheck.ACCEPTED
 
-    def _remember(self, users: dict[str, str], user: str, digest: bytes) -> None:
+    def _cache_digest(self, users: dict[str, str], user: str, digest: bytes) -> None:
         with self._lock:
             if users is not self.users:
                 return
--- a/wickvane/net/tds/batch_answer.py
+++ b/wickvane/net/tds/batch_answer.py
@@ -1,4 +1,4 @@
-"""The answer of an engine to one batch: its tokens gathered, its error, its load report, its end. No I/O."""
+"""Reads an engine's answer to one batch: result tokens, first error, load report and final DONE. No I/O."""
 
 import re
 from typing import NamedTuple
@@ -11,12 +11,12 @@
 MAX_GATHERED_SIZE = 48_000  # octets; a longer result is streamed
 DONE_SIZE = 13  # octets of a DONE, DONEPROC or DONEINPROC
 LOAD_REPORT = re.compile(r"work=(\d{1,9}(?:\.\d{1,6})?) memory=(\d{1,9}(?:\.\d{1,6})?)\Z")
-WORK_UNITS = 10  # units of an attempt's work per unit of a load report
+REPORT_UNIT_WORK = 10  # work units of an attempt per unit of work in a load report
 RESULT_TOKENS = frozenset((tokens.COLMETADATA, tokens.ROW, tokens.NBCROW, tokens.ORDER))
 
 
 class LoadReport(NamedTuple):
-    """What an engine reports of a batch: work in tenths of its unit, memory in its unit."""
+    """An engine's report on a batch: work in tenths of the engine's unit, memory in the engine's unit."""
 
     work: int
     memory: float
@@ -25,7 +25,7 @@
 class Chunk(NamedTuple):
     """The result tokens of one packet and their size in octets.
 
-    end_status: the status of the DONE that ends the answer, None where the answer goes on."""
+    end_status: the status of the DONE that ends the answer, None if the answer continues."""
 
     tokens: list[Token]
     size: int
@@ -35,8 +35,8 @@
 class BatchAnswer:
     """Reads the packets of an answer.
 
-    result: tokens gathered so far, as long as the answer is not streamed; size: octets of all result tokens;
-    error: the first ERROR."""
+    result: the tokens gathered so far, if the answer is not streamed; size: total octets of all result
+    tokens; error: the first ERROR."""
 
     def __init__(self) -> None:
         self.result = GatheredTokens()
@@ -48,13 +48,13 @@
     def read_packet(self, body: bytes, attention_sent: bool) -> Chunk:
         """Reads a packet's tokens; raises ProtocolError.
 
-        Behind the end of the answer only the acknowledgement of an attention may follow."""
+        Only the acknowledgement of an ATTENTION may follow the end of the answer."""
         result_tokens: list[Token] = []
         size = 0
         end_status: int | None = None
         for token in self._reader.feed(body):
             if end_status is not None and not attention_sent:
-                raise ProtocolError("tokens behind the end of an answer")
+                raise ProtocolError("an answer has tokens after its final DONE")
             token_type = token.type
             if token_type in RESULT_TOKENS:
                 result_tokens.append(token)
@@ -70,20 +70,20 @@
         return Chunk(result_tokens, size, end_status)
 
     def is_long(self) -> bool:
-        """Whether the result is too long to be gathered."""
+        """Returns whether the result is too long to be gathered."""
         return self.size > MAX_GATHERED_SIZE
 
     def is_mid_token(self) -> bool:
-        """Whether a token has begun that is not complete."""
+        """Returns whether an incomplete token is buffered."""
         return self._reader.is_mid_token()
 
     def expect_acknowledgement(self) -> None:
-        """Prepares to read the acknowledgement of an attention, which is a message of its own."""
+        """Prepares to read the acknowledgement of an ATTENTION, which is a separate message."""
         self.result = GatheredTokens()
         self._reader = tokens.TokenStreamReader()
 
     def _status_at_end(self, done: Done, earlier: int | None) -> int:
-        """The status that counts: an acknowledgement's, else that of the first DONE that ends the answer."""
+        """Returns the status of an acknowledgement, else that of the first DONE that ends the answer."""
         if done.status & tokens.DONE_ATTN:
             return done.status
         if done.status & tokens.DONE_COUNT:
@@ -94,9 +94,9 @@
         if token.type == tokens.ERROR:
             if self.error is None:
                 self.error = token.content
-        elif token.type == tokens.INFO and token.content.number == errors.REPORT:
+        elif token.type == tokens.INFO and token.content.number == errors.LOAD_REPORT:
             if found := LOAD_REPORT.match(token.content.text):
-                self.load_report = LoadReport(int(float(found[1]) * WORK_UNITS), float(found[2]))
+                self.load_report = LoadReport(int(float(found[1]) * REPORT_UNIT_WORK), float(found[2]))
 
 
 def _ends_answer(token: Token) -> bool:
@@ -107,8 +107,8 @@
 
 
 def read_end_status(body: bytes) -> int:
-    """The status of the DONE at the end of a message's last packet; raises ProtocolError."""
+    """Returns the status of the DONE that ends a message's last packet; raises ProtocolError."""
     end = body[-DONE_SIZE:]
     if len(end) < DONE_SIZE or end[0] not in tokens.DONE_TOKENS:
-        raise ProtocolError("an answer without its end")
+        raise ProtocolError("an answer has no final DONE")
     return int.from_bytes(end[1:3], "little")
--- a/wickvane/net/tds/connection.py
+++ b/wickvane/net/tds/connection.py
@@ -1,16 +1,17 @@
 """One connection to an engine that speaks TDS: a login, then one batch at a time, cancelled by ATTENTION.
 
-It has the interface of a connection of the line protocol: the engine pool's I/O loop hands in orders; a
-thread of its own dials, logs in and reads, since it may wait for the client of a streamed result, which the
-I/O loop must not. Each attempt gets one ending. What proves that nothing ran:
+It has the interface of a line protocol connection: the engine pool's I/O loop sends what is put on it. A
+thread of its own connects, logs in and reads, since reading may wait for the client of a streamed result, and
+the I/O loop must not wait for a client. Each attempt gets exactly one ending. The last column says whether
+that ending proves that nothing ran:
 
     connection refused or timed out, login rejected, routed elsewhere    no connection   proven
-    given up or lost before the first packet was sent                    not sent        proven
+    cancelled or lost before the first packet was sent                   not sent        proven
     lost before the last byte of the batch was sent                      no connection   proven
-    ERROR of a number in errors.REJECTED_BEFORE_RUNNING                  rejected        proven
+    ERROR with a number in errors.REJECTED_BEFORE_RUNNING                rejected        proven
     any other ERROR, whatever its severity                               error           no
-    reset, closed, malformed or no end after all of it was sent          reset           no
-    attention acknowledged                                               cancelled       no
+    reset, closed, malformed or incomplete after all of it was sent      reset           no
+    ATTENTION acknowledged                                               cancelled       no
 """
 
 import socket
@@ -26,57 +27,57 @@
 from wickvane.net.tds.results import GatheredTokens
 from wickvane.net.tds.sql_batch import encode_sql_batch
 
-STREAM_BUFFER_SIZE = 256 << 10  # octets between the engine's thread and the client's
+STREAM_BUFFER_SIZE = 256 << 10  # octets between the connection's thread and the client session's thread
 RECEIVE_SIZE = 32_768  # octets
 READ_TIMEOUT_S = 5
-MAX_READ_TIMEOUTS_MIDWAY = 2
+MAX_READ_TIMEOUTS_MID_ANSWER = 2
 MAX_LOGIN_ANSWER_SIZE = 65_536  # octets
-UNBOUNDED = 1 << 62  # a result has no bound: its packets are taken out one by one
+NO_SIZE_LIMIT = 1 << 62  # a result may have any size, since its packets are processed one by one
 MAX_LOGGED_ERROR_CHARACTERS = 400
 ENGINE_MESSAGE_TYPES = frozenset((packets.TABULAR_RESULT, packets.PRELOGIN))
 
 
 class BatchState(Enum):
-    """Where the batch on a connection is."""
+    """The state of the batch on a connection."""
 
-    IDLE = auto()  # none is out
-    RUNNING = auto()  # sent; its result is gathered
-    STREAMING = auto()  # its result is passed on while it is read
-    ATTENTION_SENT = auto()  # cancelled; the acknowledgement is awaited
+    IDLE = auto()  # no batch is in flight
+    RUNNING = auto()  # the batch is sent and its result is gathered
+    STREAMING = auto()  # the result is forwarded to the client while it is read
+    ATTENTION_SENT = auto()  # the batch is cancelled; the acknowledgement is pending
 
 
 class BatchEvent(Enum):
-    """What changes a BatchState."""
+    """The events that change a BatchState."""
 
     BATCH_ENCODED = auto()
-    STREAM_BEGUN = auto()
+    STREAM_STARTED = auto()
     ATTENTION_ENCODED = auto()
     ANSWER_COMPLETE = auto()
 
 
 class Connection(lines.Connection):
-    """One connection to an engine by TDS, with a thread of its own."""
+    """One TDS connection to an engine, with a thread of its own."""
 
-    READS = 0  # its own thread reads, not the I/O loop
-    RUNS_WHOLE = True  # MS-TDS 2.2.1.3: a batch is complete with the packet that has the EOM bit
+    READS = 0  # the I/O loop does not read; the connection's own thread does
+    RUNS_WHOLE = True  # MS-TDS 2.2.1.3: an engine runs a batch only after the packet with the EOM bit
 
     def __init__(self, link) -> None:
         super().__init__(link)
         self.engines = link.queue.speaks
         self.packet_size = packets.DEFAULT_PACKET_SIZE
-        self.assembler = packets.MessageAssembler(UNBOUNDED, ENGINE_MESSAGE_TYPES)
+        self.assembler = packets.MessageAssembler(NO_SIZE_LIMIT, ENGINE_MESSAGE_TYPES)
         self.state = BatchState.IDLE
-        self.attention_deadline = 0  # ticks; by then an attention must be acknowledged
+        self.attention_deadline = 0  # ticks; the time by which an ATTENTION must be acknowledged
         self.attempt = None
         self.answer_reader: BatchAnswer | None = None
         self.stream: ResultStream | None = None
 
     def _change_state(self, event: BatchEvent) -> None:
-        """All transitions. Under the lock."""
+        """Changes the state. The caller must hold the lock."""
         match event:
             case BatchEvent.BATCH_ENCODED:
                 self.state = BatchState.RUNNING
-            case BatchEvent.STREAM_BEGUN:
+            case BatchEvent.STREAM_STARTED:
                 if self.state is BatchState.RUNNING:
                     self.state = BatchState.STREAMING
             case BatchEvent.ATTENTION_ENCODED:
@@ -86,11 +87,11 @@
 
     @property
     def attention_sent(self) -> bool:
-        """Whether the acknowledgement of an attention is awaited."""
+        """Whether an ATTENTION was sent and is not acknowledged yet."""
         return self.state is BatchState.ATTENTION_SENT
 
     def takes(self, attempt, now: int) -> bool:
-        """As lines.Connection: one batch at a time."""
+        """See lines.Connection; accepts one batch at a time."""
         with self.lock:
             usable = not self.dead and not self.retired
             unused = not self.open and self.state is BatchState.IDLE
@@ -99,7 +100,7 @@
     # Orders
 
     def ask(self, attempt) -> bytes | None:
-        """The packets of an attempt's batch; None where it is not sent any more."""
+        """Returns the packets of an attempt's batch, or None if the attempt must not be sent any more."""
         fields = self.fields(attempt)
         if not fields:
             return None
@@ -109,12 +110,12 @@
         self.answer_reader = BatchAnswer()
         self.stream = None
         self._change_state(BatchEvent.BATCH_ENCODED)
-        # Temporary tables and options that the last query left in the engine's session must not be seen.
+        # Resets the engine's session, so that a query sees no temporary tables or options of earlier ones.
         status = packets.STATUS_RESET_CONNECTION if self.asked else 0
         return packets.encode_packets(packets.SQL_BATCH, encode_sql_batch(text), self.packet_size, 0, status)
 
     def attention(self, attempt, ending: Ending) -> bytes | None:
-        """The ATTENTION that cancels an attempt; None where it is not running or is cancelled already."""
+        """Returns the ATTENTION that cancels an attempt; None if it is not running or already cancelled."""
         if self.attempt is not attempt or self.state in (BatchState.IDLE, BatchState.ATTENTION_SENT):
             return None
         self._change_state(BatchEvent.ATTENTION_ENCODED)
@@ -123,16 +124,16 @@
         return packets.encode_packets(packets.ATTENTION, b"")
 
     def terms(self, attempt) -> None:
-        """Nothing: TDS cannot change the priority of a batch that is out."""
+        """Sends nothing: TDS cannot change the priority of a batch that is in flight."""
         return None
 
     FORMS = {"ask": ask, "attention": attention, "terms": terms}
 
     def call_off(self, attempt, ending: Ending, at_once: bool) -> None:
-        """Cancels a batch by ATTENTION; a streamed result is left to its client.
+        """Cancels a batch by ATTENTION, unless its result is streamed, which only its client cancels.
 
-        The attempt ends with the acknowledgement or the connection, since until then the engine works on it;
-        at_once: it ends now, as its client's own time limit requires."""
+        The attempt ends with the acknowledgement or with the connection, since the engine works on it until
+        then. at_once: the attempt ends immediately, as required when the client's time limit has expired."""
         if self.stream is not None:
             return
         self.put("attention", attempt, ending)
@@ -140,7 +141,7 @@
             self.drop(attempt, ending)
 
     def drop(self, attempt, ending: Ending, pages=None) -> None:
-        """The one end of an attempt on this connection."""
+        """Ends an attempt on this connection; does nothing if it has already ended."""
         with self.lock:
             if self.open.get(attempt.pending.id) is not attempt:
                 return
@@ -151,28 +152,28 @@
         self.link.links.call(self)
 
     def idles(self) -> bool:
-        """As lines.Connection."""
+        """See lines.Connection; a connection is not idle while a batch is in flight."""
         return super().idles() and self.state is BatchState.IDLE
 
     def overdue(self, now: int) -> tuple[str, str | None] | None:
-        """As lines.Connection; an attention has a time within which it must be acknowledged."""
+        """See lines.Connection; also returns a reason if an ATTENTION is not acknowledged in time."""
         if self.attention_sent and now > self.attention_deadline:
             return "attention-unanswered", None
         return super().overdue(now) if self.up else None
 
     def due(self, now: int) -> int:
-        """As lines.Connection."""
+        """See lines.Connection; checks more often during a login and while an ATTENTION is pending."""
         return now + lines.LOOK if self.attention_sent or not self.up else super().due(now)
 
     # Dialling and login
 
     def start(self) -> None:
-        """Starts the thread that dials, logs in and reads."""
+        """Starts the thread that connects, logs in and reads."""
         if not self.link.links.threads.spare(self._run, "engine-reader"):
             self.fail("no-thread")
 
     def release(self) -> None:
-        """Nothing: its own thread closes the socket."""
+        """Does nothing, since the connection's own thread closes the socket."""
 
     def _run(self) -> None:
         self.guard(self._connect_and_read)
@@ -189,7 +190,7 @@
     def _connect_and_read(self) -> None:
         sock = self.dial()
         with self.lock:
-            self.sock = sock  # so that ending the connection from elsewhere ends the login too
+            self.sock = sock  # so that another thread that ends the connection also ends the login
         if self.dead:
             return
         rejection = self._log_in(sock)
@@ -200,9 +201,9 @@
             self._read()
 
     def _log_in(self, sock: socket.socket) -> str | None:
-        """Why the engine does not accept the login, or None."""
+        """Logs in; returns the reason for which the engine rejects the login, or None."""
         if engine_login.requires_encryption(self._exchange(sock, engine_login.prelogin_request())):
-            return "it takes encrypted logins only"
+            return "the engine accepts only encrypted logins"
         engines = self.engines
         request = engine_login.login_request(engines.user, engines.password, engines.database)
         result = engine_login.read_login_answer(self._exchange(sock, request))
@@ -217,7 +218,7 @@
         while (answer := self.assembler.next_message()) is None:
             data = sock.recv(RECEIVE_SIZE)
             if not data:
-                raise ConnectionResetError("closed at the login")
+                raise ConnectionResetError("the engine closed the connection during the login")
             self.received += len(data)
             self.assembler.feed(data)
         return answer.body
@@ -225,23 +226,23 @@
     # Reading
 
     def _read(self) -> None:
-        timeouts_midway = 0
+        consecutive_timeouts = 0
         while not self.dead:
             try:
                 data = self.sock.recv(RECEIVE_SIZE)
             except BlockingIOError:
-                # The scheduler judges silence; half a packet or token is an answer that stopped.
-                timeouts_midway = timeouts_midway + 1 if self._is_midway() else 0
-                if timeouts_midway >= MAX_READ_TIMEOUTS_MIDWAY:
-                    raise ProtocolError("an answer stopped midway") from None
+                # The scheduler detects silent engines; this limit is for incomplete packets and tokens.
+                consecutive_timeouts = consecutive_timeouts + 1 if self._is_mid_answer() else 0
+                if consecutive_timeouts >= MAX_READ_TIMEOUTS_MID_ANSWER:
+                    raise ProtocolError("an answer stopped inside a packet or token") from None
                 continue
             if not data:
                 self.fail("peer-closed")
                 return
-            timeouts_midway = 0
+            consecutive_timeouts = 0
             self._receive(data)
 
-    def _is_midway(self) -> bool:
+    def _is_mid_answer(self) -> bool:
         answer = self.answer_reader
         return bool(self.assembler.buffer) or answer is not None and answer.is_mid_token()
 
@@ -257,10 +258,10 @@
     def _process_packet(self, packet: packets.Message) -> None:
         answer = self.answer_reader
         if packet.type != packets.TABULAR_RESULT or answer is None or self.state is BatchState.IDLE:
-            raise ProtocolError("an answer to nothing")
+            raise ProtocolError("the engine sent an answer while no batch was in flight")
         is_last = bool(packet.status & packets.STATUS_EOM)
         if self.attention_sent and (self.stream is not None or answer.is_long()):
-            # An engine may go on for long with a cancelled result: of it only the end is read.
+            # An engine may continue a cancelled result for a long time; only the final DONE is read.
             if is_last:
                 self._finish(read_end_status(packet.body))
             return
@@ -268,46 +269,46 @@
         if answer.load_report is not None:
             self.attempt.work = answer.load_report.work
             self.attempt.memory = answer.load_report.memory
-        self._pass_on(answer, chunk)
+        self._forward_result(answer, chunk)
         if is_last:
             if answer.is_mid_token() or chunk.end_status is None:
-                raise ProtocolError("an answer without its end")
+                raise ProtocolError("an answer has no final DONE")
             self._finish(chunk.end_status)
 
-    def _pass_on(self, answer: BatchAnswer, chunk: Chunk) -> None:
-        """Gathers a chunk of the result, or hands it to the stream."""
+    def _forward_result(self, answer: BatchAnswer, chunk: Chunk) -> None:
+        """Gathers a chunk of the result, or forwards it to the stream."""
         if self.stream is not None:
             if chunk.tokens and not self.stream.put(chunk.tokens, chunk.size):
-                self.put("attention", self.attempt, Ending.CANCELLED)  # the client has gone
+                self.put("attention", self.attempt, Ending.CANCELLED)  # the client has disconnected
             return
         answer.result.extend(chunk.tokens)
         if answer.is_long():
             if answer.error is None and not self.attention_sent:
-                self._begin_stream(answer)
+                self._start_stream(answer)
             else:
-                answer.result.clear()  # cancelled or failed: nobody reads it
+                answer.result.clear()  # the batch was cancelled or failed, so that the result is not needed
 
-    def _begin_stream(self, answer: BatchAnswer) -> None:
+    def _start_stream(self, answer: BatchAnswer) -> None:
         attempt = self.attempt
         stream = ResultStream(STREAM_BUFFER_SIZE)
         stream.put(list(answer.result), 0)
         answer.result = GatheredTokens()
         with self.lock:
             is_open = self.open.get(attempt.pending.id) is attempt
-            begins = is_open and self.link.exchange.start_streaming(attempt, stream)
-            if begins:
+            started = is_open and self.link.exchange.start_streaming(attempt, stream)
+            if started:
                 self.stream = stream
-                self._change_state(BatchEvent.STREAM_BEGUN)
-        if not begins:
+                self._change_state(BatchEvent.STREAM_STARTED)
+        if not started:
             answer.size = 0
 
     def _finish(self, status: int) -> None:
-        """The answer has ended; status: of its last DONE."""
+        """Processes the end of an answer; status: the status of its final DONE."""
         attempt = self.attempt
         answer = self.answer_reader
         stream = self.stream
         acknowledged = bool(status & tokens.DONE_ATTN)
-        # An attention that crossed the end of the answer is still to be acknowledged.
+        # The ATTENTION crossed the end of the answer and is acknowledged after it.
         awaits_acknowledgement = self.attention_sent and not acknowledged
         ending = self._ending(attempt, answer, acknowledged)
         attempt.answered_at = self.link.clock.now()
@@ -325,7 +326,7 @@
             ending = Ending.CANCELLED if awaits_acknowledgement else ending
         is_gathered = ending == Ending.FINISHED and stream is None
         self.drop(attempt, ending, result if is_gathered else None)
-        if answer.error is not None and answer.error.severity >= errors.FATAL:
+        if answer.error is not None and answer.error.severity >= errors.MIN_FATAL_SEVERITY:
             self.fail("engine-error", attempt.pending.error_text)
 
     def _ending(self, attempt, answer: BatchAnswer, acknowledged: bool) -> Ending:
@@ -335,10 +336,10 @@
             return Ending.FINISHED
         number, _, severity, text = answer.error
         attempt.pending.error_text = f"{number}: {text[:MAX_LOGGED_ERROR_CHARACTERS]}"
-        return errors.ending_of(number, severity)
+        return errors.attempt_ending(number, severity)
 
     def fail(self, reason: str, detail: str | None = None) -> None:
-        """As lines.Connection; a stream breaks off."""
+        """See lines.Connection; also ends the stream of an incomplete result."""
         stream = self.stream
         super().fail(reason, detail)
         if stream is not None:
--- a/wickvane/net/tds/conversion.py
+++ b/wickvane/net/tds/conversion.py
@@ -1,4 +1,4 @@
-"""Values of TDS data types as Python's own, and those as text or as literals of SQL."""
+"""Converts values of TDS data types to Python values, and these to text or SQL literals."""
 
 import struct
 from collections.abc import Callable
@@ -47,7 +47,7 @@
 
 Value = int | float | Decimal | bool | str | bytes | date | time | datetime | UUID | None
 
-# Code pages of varchar by the LCID's low word; others are read as DEFAULT_CODE_PAGE.
+# Code pages of varchar by the low word of the collation's LCID; any other uses DEFAULT_CODE_PAGE.
 CODE_PAGES = {
     0x401: "cp1256",
     0x404: "cp950",
@@ -63,7 +63,7 @@
     0x804: "cp936",
 }
 DEFAULT_CODE_PAGE = "cp1252"
-UTF8_COLLATION_FLAG = 0x04  # fUTF8, of the collation's fourth octet
+UTF8_COLLATION_FLAG = 0x04  # fUTF8, in the collation's fourth octet
 LEGACY_DATETIME_TYPES = frozenset((DATETIM4, DATETIME, DATETIMN))
 UNICODE_TYPES = frozenset((NVARCHAR, NCHAR, NTEXT, XML))
 LEGACY_EPOCH = datetime(1900, 1, 1)
@@ -74,10 +74,10 @@
 
 
 def to_python(info: TypeInfo, data: bytes | None) -> Value:
-    """Converts a value's octets; raises ProtocolError where they are out of their type's range.
+    """Converts a value's octets; raises ProtocolError if the value is out of its type's range.
 
-    A datetimeoffset becomes a str, since Python's datetime cannot hold all of them; binary types and
-    variants stay bytes."""
+    A datetimeoffset becomes a str, since Python's datetime cannot represent all of its values; values of
+    binary types and variants remain bytes."""
     if data is None:
         return None
     convert = _CONVERTERS.get(info.type)
@@ -85,7 +85,7 @@
 
 
 def to_text(value: Value) -> str | None:
-    """A value as PostgreSQL would show it; None stays None."""
+    """Formats a value in PostgreSQL's text format; returns None for None."""
     if value is None or isinstance(value, str):
         return value
     if isinstance(value, bool):
@@ -100,7 +100,7 @@
 
 
 def to_literal(value: Value, info: TypeInfo) -> str:
-    """A value as a literal of SQL; raises ProtocolError for a float that has none."""
+    """Formats a value as an SQL literal; raises ProtocolError for an infinite or NaN float."""
     if value is None:
         return "NULL"
     if isinstance(value, bool):
@@ -145,7 +145,7 @@
 
 def _to_int(info: TypeInfo, data: bytes) -> int:
     if len(data) == 1:
-        return data[0]  # tinyint has no sign
+        return data[0]  # tinyint is unsigned
     return int.from_bytes(data, "little", signed=True)
 
 
@@ -185,7 +185,7 @@
 
 
 def _time_units(data: bytes, scale: int) -> int:
-    """The time of day in units of 100 ns."""
+    """Reads a time of day in units of 100 ns."""
     units = int.from_bytes(data, "little") * 10 ** (MAX_TIME_SCALE - scale)
     if units >= TIME_UNITS_PER_DAY:
         raise ProtocolError("a time is out of range")
@@ -219,13 +219,13 @@
 
 
 def _to_datetimeoffset_text(info: TypeInfo, data: bytes) -> str:
-    moment = _to_datetime(info, data)
+    utc_datetime = _to_datetime(info, data)
     offset = int.from_bytes(data[time_size(info.scale) + DATE_SIZE :], "little", signed=True)
     minutes = abs(offset)
     if minutes > MAX_UTC_OFFSET_MINUTES:
         raise ProtocolError("an offset from UTC is out of range")
     try:
-        local = moment + timedelta(minutes=offset)
+        local = utc_datetime + timedelta(minutes=offset)
     except OverflowError:
         raise ProtocolError("a date is out of range") from None
     sign = "-" if offset < 0 else "+"
--- a/wickvane/net/tds/cursor.py
+++ b/wickvane/net/tds/cursor.py
@@ -1,43 +1,43 @@
-"""A read position in bytes of which the rest may not have arrived yet."""
+"""Reads protocol data that may not have been received completely yet."""
 
 from wickvane.errors import WickvaneError
 
 
 class IncompleteDataError(WickvaneError):
-    """The data ends before the item that is read does; it can be read again with more data."""
+    """The data ends before the end of the item; the read can be repeated when more data has arrived."""
 
 
 class Cursor:
     """Reads little-endian integers, octets and strings in order; sizes are in octets."""
 
-    __slots__ = ("data", "at", "end")
+    __slots__ = ("data", "position", "end")
 
-    def __init__(self, data: bytes | bytearray, at: int = 0, end: int | None = None) -> None:
+    def __init__(self, data: bytes | bytearray, position: int = 0, end: int | None = None) -> None:
         self.data = data
-        self.at = at
+        self.position = position
         self.end = len(data) if end is None else end
 
     def take(self, size: int) -> bytes:
-        """Returns the next octets; raises IncompleteDataError where fewer are there."""
-        at = self.at
-        if size > self.end - at:
+        """Returns the next octets; raises IncompleteDataError if fewer remain."""
+        position = self.position
+        if size > self.end - position:
             raise IncompleteDataError
-        self.at = at + size
-        return bytes(self.data[at : at + size])
+        self.position = position + size
+        return bytes(self.data[position : position + size])
 
     def skip(self, size: int) -> None:
-        """Passes over octets; raises IncompleteDataError where fewer are there."""
-        if size > self.end - self.at:
+        """Skips octets; raises IncompleteDataError if fewer remain."""
+        if size > self.end - self.position:
             raise IncompleteDataError
-        self.at += size
+        self.position += size
 
     def byte(self) -> int:
         """Reads a BYTE."""
-        at = self.at
-        if at >= self.end:
+        position = self.position
+        if position >= self.end:
             raise IncompleteDataError
-        self.at = at + 1
-        return self.data[at]
+        self.position = position + 1
+        return self.data[position]
 
     def ushort(self) -> int:
         """Reads a USHORT (2 octets)."""
@@ -60,9 +60,9 @@
         return self.take(2 * characters).decode("utf-16-le", "replace")
 
     def b_varchar(self) -> str:
-        """Reads a B_VARCHAR: a string behind its length in one octet."""
+        """Reads a B_VARCHAR: a string preceded by its length in one octet."""
         return self.ucs2(self.byte())
 
     def us_varchar(self) -> str:
-        """Reads a US_VARCHAR: a string behind its length in two octets."""
+        """Reads a US_VARCHAR: a string preceded by its length in two octets."""
         return self.ucs2(self.ushort())
--- a/wickvane/net/tds/encoding.py
+++ b/wickvane/net/tds/encoding.py
@@ -1,4 +1,4 @@
-"""TYPE_INFO octets and values that wickvane writes itself: nvarchar, nvarchar(max) and int."""
+"""Encodes the types and values that wickvane itself sends: nvarchar, nvarchar(max) and int."""
 
 import struct
 
@@ -12,12 +12,12 @@
 
 
 def nvarchar_info(characters: int = MAX_NVARCHAR_CHARACTERS) -> bytes:
-    """The TYPE_INFO of nvarchar(characters)."""
+    """Encodes the TYPE_INFO of nvarchar(characters)."""
     return bytes((NVARCHAR,)) + struct.pack("<H", 2 * characters) + COLLATION
 
 
 def encode_nvarchar(text: str | None) -> bytes:
-    """A value of nvarchar_info(); None is NULL."""
+    """Encodes a value of nvarchar_info(); None is NULL."""
     if text is None:
         return b"\xff\xff"
     data = text.encode("utf-16-le")
@@ -25,7 +25,7 @@
 
 
 def encode_nvarchar_max(text: str | None) -> bytes:
-    """A value of NVARCHAR_MAX_INFO, in one chunk; None is NULL."""
+    """Encodes a value of NVARCHAR_MAX_INFO in one PLP chunk; None is NULL."""
     if text is None:
         return struct.pack("<Q", PLP_NULL)
     data = text.encode("utf-16-le")
@@ -33,5 +33,5 @@
 
 
 def encode_int(value: int | None) -> bytes:
-    """A value of INT_INFO; None is NULL."""
+    """Encodes a value of INT_INFO; None is NULL."""
     return b"\0" if value is None else b"\4" + struct.pack("<i", value)
--- a/wickvane/net/tds/engine_types.py
+++ b/wickvane/net/tds/engine_types.py
@@ -1,44 +1,46 @@
-"""Which types of engine each client protocol's queries may use, and how engines by TDS are connected to."""
+"""The engine types that queries of each client protocol may use, and the connections to TDS engines."""
 
 from wickvane.errors import ConfigError
 from wickvane.net.tds.connection import Connection
-from wickvane.net.tds.extension import Engines, Tds
+from wickvane.net.tds.extension import EngineType, Tds
 
 CONFIG_EXIT_CODE = 2
 
 
 class EngineProtocol:
-    """How engines of one type are connected to, and the login for it."""
+    """The connection class for engines of one type, and the login at them."""
 
     connection = Connection
 
-    def __init__(self, engines: Engines) -> None:
+    def __init__(self, engines: EngineType) -> None:
         self.user = engines.user
         self.password = engines.password
         self.database = engines.database
 
 
 def document_error(text: str) -> ConfigError:
-    """The error for a document that the dispatcher cannot start with."""
-    return ConfigError(f"the parts document: tds: {text}", CONFIG_EXIT_CODE)
+    """Returns the error for an extensions document with which the dispatcher cannot start."""
+    return ConfigError(f"the extensions document: tds: {text}", CONFIG_EXIT_CODE)
 
 
 def engine_types_by_protocol(document: Tds, configuration: dict) -> tuple[list[str], list[str]]:
-    """The engine types for PostgreSQL clients' queries, and those for TDS clients'.
+    """Returns the engine types for queries of PostgreSQL clients, and those for queries of TDS clients.
 
-    Raises ConfigError for a type that is not among the settings': the scheduler knows no size of it, and the
-    engine types of a client protocol are a closed set."""
+    Raises ConfigError for a type that the settings don't list: the scheduler doesn't know the size of its
+    engines, and the engine types of a client protocol are a closed set."""
     known = list((configuration.get("settings") or {}).get("host_types") or ())
     tds_engines = {engines.kind: engines for engines in document.engines}
     unknown = sorted(set(tds_engines) - set(known))
     if unknown:
         raise document_error(f"engines {unknown[0]}: expected a kind of host_types: {', '.join(known)}")
-    line_types = [kind for kind in known if kind not in tds_engines]
-    for_postgres = line_types + [kind for kind, engines in tds_engines.items() if engines.postgres]
-    for_tds = list(tds_engines) + (line_types if document.lines else [])
-    return for_postgres, for_tds
+    line_protocol_types = [kind for kind in known if kind not in tds_engines]
+    postgres_client_types = line_protocol_types + [
+        kind for kind, engines in tds_engines.items() if engines.postgres
+    ]
+    tds_client_types = list(tds_engines) + (line_protocol_types if document.lines else [])
+    return postgres_client_types, tds_client_types
 
 
 def engine_protocols(document: Tds) -> dict[str, EngineProtocol]:
-    """The protocol of each engine type that speaks TDS."""
+    """Returns the EngineProtocol of each engine type that speaks TDS."""
     return {engines.kind: EngineProtocol(engines) for engines in document.engines}
--- a/wickvane/net/tds/extension.py
+++ b/wickvane/net/tds/extension.py
@@ -1,6 +1,6 @@
-"""The node `tds` of the extension document: a listener for TDS clients, and which engines speak TDS.
+"""The node `tds` of the extensions document: a listener for TDS clients, and the engine types that speak TDS.
 
-The node's names and those of the fields here are the document's.
+Fields listed in NEEDS_RESTART are compared by name, and the names appear in error messages.
 """
 
 import ipaddress
@@ -12,42 +12,44 @@
 from wickvane.net import shape
 from wickvane.net.tds import authentication
 
-MAX_PASSWORD_SIZE = 1024  # characters of a password file's content
+MAX_PASSWORD_SIZE = 1024  # characters read from a password file
 MAX_PATTERN_CHARACTERS = 128
-TICKS_PER_LIMIT_UNIT = 10  # the limit field is in milliseconds
+TICKS_PER_LIMIT_UNIT = 10  # a rule's limit is in milliseconds
 MAX_CONNECTIONS = 10_000
 DEFAULT_CONNECTIONS = 64
 DEFAULT_IDLE = 600_000  # ticks
 DEFAULT_ATTENTION_TIME = 50_000  # ticks
 MIN_CLIENT_DESCRIPTORS = 8
-LIMIT = parts.duration("1ms", "24h")
-TDS_CLIENTS = 1  # place among the client protocols of service.fronts; PostgreSQL is 0
+LIMIT_DURATION = parts.duration("1ms", "24h")
+TDS_PROTOCOL_INDEX = 1  # index in service.fronts; that of PostgreSQL clients is 0
 NEEDS_RESTART = ("listen", "connections", "engines", "lines", "acknowledge")
 
 
 class Rule(NamedTuple):
-    """Which resource group the queries of a login get; patterns are regular expressions, None matches all."""
+    """The resource group, tenant and time limit for the queries of matching logins.
+
+    application and database are regular expressions; None matches every login."""
 
     application: str | None
     database: str | None
     user: str | None
     group: str
     tenant: str | None
-    limit: str  # milliseconds, as in the field ahead of a statement
+    limit: str  # milliseconds, as in the fields of a statement's comment
 
 
-class Engines(NamedTuple):
-    """A type of engine that speaks TDS, and the login at it."""
+class EngineType(NamedTuple):
+    """An engine type that speaks TDS, and the login at its engines."""
 
     kind: str
     user: str
     password: str
     database: str
-    postgres: bool  # whether PostgreSQL clients' queries may use it
+    postgres: bool  # whether queries of PostgreSQL clients may use it
 
 
 class Tds(NamedTuple):
-    """The node's values; times in ticks."""
+    """The values of the node; times are in ticks."""
 
     listen: tuple | None
     connections: int
@@ -58,12 +60,12 @@
     users: dict | None
     rules: tuple
     engines: tuple
-    lines: bool  # whether TDS clients' queries may use engines of the line protocol
+    lines: bool  # whether queries of TDS clients may use engines of the line protocol
     acknowledge: int
 
 
 PATTERN_TEXT = parts.ValueType(
-    "a text with * for any characters",
+    "a text in which * matches any characters",
     lambda value: (
         value if isinstance(value, str) and 0 < len(value) <= MAX_PATTERN_CHARACTERS else parts.reject_value()
     ),
@@ -71,18 +73,18 @@
 
 
 def read(node: parts.Node) -> Tds:
-    """Reads the node; raises parts.InvalidDocumentError where a value cannot be used."""
+    """Reads the node; raises parts.InvalidDocumentError if a value is invalid."""
     listen = node.value("listen", parts.address)
     encryption = node.value("encrypt", parts.choice("off", "on", "required"), "off")
     certificate = node.value("certificate", parts.path)
     key = node.value("key", parts.path)
     if encryption != "off" and not certificate:
-        raise node.error("a certificate where TLS is on")
+        raise node.error("a certificate if encrypt is not off")
     users = _read_users(node, listen)
     rules = tuple(_read_rule(child) for child in node.children("rule"))
     engines = tuple(_read_engines(child) for child in node.children("engines"))
-    if len({each.kind for each in engines}) < len(engines):
-        raise node.error("each kind of engines once")
+    if len({engine_type.kind for engine_type in engines}) < len(engines):
+        raise node.error("a unique kind for each engines node")
     return Tds(
         listen=listen,
         connections=node.value("connections", parts.integer(1, MAX_CONNECTIONS), DEFAULT_CONNECTIONS),
@@ -106,7 +108,7 @@
         except FileError as error:
             raise node.error(str(error), path, "logins") from None
     if listen and not ipaddress.ip_address(listen[0]).is_loopback:
-        raise node.error("a file of logins where others than this machine can connect")
+        raise node.error("a logins file if listen is not a loopback address")
     return None
 
 
@@ -117,7 +119,7 @@
         user=node.property("user", parts.name),
         group=node.value("group", parts.name, required=True),
         tenant=node.value("tenant", parts.name),
-        limit=str(node.value("limit", LIMIT, required=True) // TICKS_PER_LIMIT_UNIT),
+        limit=str(node.value("limit", LIMIT_DURATION, required=True) // TICKS_PER_LIMIT_UNIT),
     )
     node.reject_unknown()
     return rule
@@ -128,9 +130,9 @@
     return None if value is None else ".*".join(map(re.escape, value.split("*")))
 
 
-def _read_engines(node: parts.Node) -> Engines:
+def _read_engines(node: parts.Node) -> EngineType:
     password = _read_engine_password(node)
-    engines = Engines(
+    engines = EngineType(
         kind=node.argument(parts.name),
         user=node.value("user", parts.name, "wickvane"),
         password=password,
@@ -149,26 +151,26 @@
         with open(path) as file:
             return file.read(MAX_PASSWORD_SIZE).strip("\r\n")
     except (OSError, UnicodeDecodeError) as error:
-        raise node.error(f"a file that can be read ({error})", path, "password-file") from None
+        raise node.error(f"a readable file ({error})", path, "password-file") from None
 
 
 class At(shape.Part):
-    """The TDS listener and engines by TDS in a running dispatcher.
+    """The TDS listener and the TDS engines of a running dispatcher.
 
-    Modules of the package are imported in the steps, so that reading a document imports none of them."""
+    The methods import the package's modules, so that reading a document imports none of them."""
 
     name = "tds"
     threads = 1
 
     def prepare(self, service, found: dict) -> None:
-        """As shape.Part: the engine types of each client protocol."""
+        """See shape.Part; sets the engine types that each client protocol may use."""
         from wickvane.net.tds import engine_types
 
         service.fronts = engine_types.engine_types_by_protocol(self.terms, found)
         service.speaks = engine_types.engine_protocols(self.terms)
 
     def join(self, service, found: dict) -> None:
-        """As shape.Part: the listener's logins and certificates."""
+        """See shape.Part; loads the listener's logins and certificates."""
         from wickvane.net.listener import SPARE
         from wickvane.net.tds.engine_types import document_error
         from wickvane.net.tds.listener import ListenerConfig
@@ -179,21 +181,21 @@
             raise document_error(f"certificate: its files cannot be used: {error}") from None
         service.links.attention_time = self.terms.acknowledge
         if self.terms.listen:
-            # TDS clients take their descriptors from those that clients may hold.
+            # The descriptors for TDS clients are taken from the number that all clients may use.
             reserved = self.terms.connections + SPARE
             service.most_clients = max(MIN_CLIENT_DESCRIPTORS, service.most_clients - reserved)
 
     def open(self, service) -> None:
-        """As shape.Part: the listening socket."""
+        """See shape.Part; opens the listening socket."""
         if self.terms.listen:
             from wickvane.net.statement import Reader
             from wickvane.net.tds.session_factory import SessionFactory
 
-            factory = SessionFactory(self.listener, Reader(service.registry, TDS_CLIENTS))
+            factory = SessionFactory(self.listener, Reader(service.registry, TDS_PROTOCOL_INDEX))
             service.listen(self.terms.listen, self.terms.connections, factory)
 
     def check(self, terms: Tds):
-        """As shape.Part: the TLS context of a changed document, for change()."""
+        """See shape.Part; returns the TLS context of a changed document, for change()."""
         from wickvane.net.tds.listener import load_tls_context
 
         for name in NEEDS_RESTART:
@@ -205,6 +207,6 @@
             raise parts.InvalidDocumentError(f"tds: certificate: its files cannot be used: {error}") from None
 
     def change(self, terms: Tds, ready) -> None:
-        """As shape.Part: new rules, logins and certificates."""
+        """See shape.Part; applies new rules, logins and certificates."""
         super().change(terms, ready)
         self.listener.update(terms, ready)
--- a/wickvane/net/tds/handshake.py
+++ b/wickvane/net/tds/handshake.py
@@ -1,4 +1,4 @@
-"""The start of a client session: PRELOGIN, TLS as it is agreed on, LOGIN7 and the answer to it."""
+"""The handshake of a client session: PRELOGIN, TLS if it is agreed on, LOGIN7 and the answer to it."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 
 
 def perform_handshake(session: Session) -> login7.Login7:
-    """Returns the login once it is accepted, before it is answered.
+    """Receives and checks a login; returns it without having sent the answer.
 
-    Raises ProtocolError, ssl.SSLError, or Ended with the last message for the client."""
+    Raises ProtocolError, ssl.SSLError, or Ended with the final message for the client if it is rejected."""
     login = _receive_login(session)
     _check_login(session, login)
     return login
 
 
 def agreed_encryption(policy: str, requested: int) -> int:
-    """MS-TDS 2.2.6.5: the answer to a client's ENCRYPTION; policy: "off", "on" or "required"."""
+    """Returns the answer to a client's ENCRYPTION (MS-TDS 2.2.6.5); policy: "off", "on" or "required"."""
     if policy == "off":
         return prelogin.ENCRYPT_NOT_SUPPORTED
     if policy == "required":
@@ -45,7 +45,7 @@
 
 
 def login_answer(login: login7.Login7, database: str) -> bytes:
-    """The packets that accept a login."""
+    """Returns the packets that accept a login."""
     collation = bytes((len(COLLATION),)) + COLLATION
     packet_sizes = str(login.packet_size), str(packets.DEFAULT_PACKET_SIZE)
     answer = (
@@ -62,23 +62,23 @@
 def _receive_login(session: Session) -> login7.Login7:
     message = session.next_message(session.first_by)
     if message.type != packets.PRELOGIN:
-        raise ProtocolError("the first message is no PRELOGIN")
-    requested = prelogin.encryption_of(prelogin.read_prelogin(message.body))
+        raise ProtocolError("the first message is not a PRELOGIN")
+    requested = prelogin.read_encryption(prelogin.read_prelogin(message.body))
     agreed = agreed_encryption(session.listener.encryption, requested)
     session.put(_prelogin_answer(agreed))
     if session.full:
         raise Ended("too-many", session.TOO_MANY)
     if agreed != prelogin.ENCRYPT_NOT_SUPPORTED:
         if requested == prelogin.ENCRYPT_NOT_SUPPORTED:
-            text = "this dispatcher takes encrypted connections only"
+            text = "this dispatcher accepts only encrypted connections"
             raise Ended("no-encryption", fatal_error_packets(errors.ENCRYPTION, text))
         _start_tls(session)
     message = session.next_message(session.first_by)
     if message.type != packets.LOGIN7:
-        raise ProtocolError("no LOGIN7 behind the PRELOGIN")
+        raise ProtocolError("the message after the PRELOGIN is not a LOGIN7")
     login = login7.read_login7(message.body)
     if agreed == prelogin.ENCRYPT_OFF:
-        session.tls = None  # the login alone was encrypted
+        session.tls = None  # only the login is encrypted
     return login
 
 
@@ -94,7 +94,7 @@
 
 
 def _start_tls(session: Session) -> None:
-    """The TLS handshake within PRELOGIN packets; behind it, packets are within TLS."""
+    """Performs the TLS handshake, whose messages are in PRELOGIN packets; later packets are within TLS."""
     tls = TlsLayer(session.listener.tls_context)
     for _ in range(MAX_TLS_ROUND_TRIPS):
         done, data = tls.advance_handshake()
@@ -105,17 +105,19 @@
             return
         message = session.next_message(session.first_by)
         if message.type != packets.PRELOGIN:
-            raise ProtocolError("a handshake that is not in PRELOGIN packets")
+            raise ProtocolError("a TLS handshake message is not in a PRELOGIN packet")
         tls.receive(message.body)
-    raise ProtocolError("a handshake that does not end")
+    raise ProtocolError("the TLS handshake takes too many round trips")
 
 
 def _check_login(session: Session, login: login7.Login7) -> None:
     if login.version < login7.MIN_TDS_VERSION:
-        text = "TDS 7.2 or later is needed"
+        text = "TDS 7.2 or later is required"
         raise Ended("protocol-version", fatal_error_packets(errors.PROTOCOL, text))
     if login.integrated:
-        raise _rejected_login("login-failed", errors.LOGIN_FAILED, "logins by user and password only")
+        raise _rejected_login(
+            "login-failed", errors.LOGIN_FAILED, "only logins by user and password are accepted"
+        )
     match session.listener.authenticator.check(login.user, login.password):
         case LoginCheck.BUSY:
             raise _rejected_login("login-busy", errors.LOGIN_BUSY, "too many logins at once; try again")
--- a/wickvane/net/tds/hash.py
+++ b/wickvane/net/tds/hash.py
@@ -1,4 +1,4 @@
-"""Reads a password on standard input and writes its hash, for a line of the file of logins."""
+"""Command that reads a password from standard input and prints its hash for a line of the password file."""
 
 import sys
 from getpass import getpass
@@ -9,7 +9,7 @@
 
 
 def main() -> int:
-    """Reads a password and prints its hash; 2 as exit status where there is none."""
+    """Reads a password and prints its hash; returns the exit status, which is 2 if the password is empty."""
     password = getpass("password: ") if sys.stdin.isatty() else sys.stdin.readline().rstrip("\r\n")
     if not password:
         print("no password", file=sys.stderr)
--- a/wickvane/net/tds/listener.py
+++ b/wickvane/net/tds/listener.py
@@ -1,4 +1,4 @@
-"""What all sessions of the TDS listener share: its encryption, its logins and the rules for their queries."""
+"""The configuration that all sessions of the TDS listener share: encryption, logins and query rules."""
 
 import re
 import ssl
@@ -8,14 +8,14 @@
 
 
 class ListenerConfig:
-    """The part of the extension document that sessions need; replaced as a whole by a new document."""
+    """The values of the extensions document that client sessions need; a reload replaces all of them."""
 
     def __init__(self, document) -> None:
         self.authenticator = Authenticator(document.users)
         self.update(document, load_tls_context(document))
 
     def update(self, document, tls_context: ssl.SSLContext | None) -> None:
-        """Takes a new document; sessions that are logged in go on."""
+        """Applies a new document; sessions that are already logged in continue."""
         self.encryption = document.encryption
         self.rules = document.rules
         self.tls_context = tls_context
@@ -24,7 +24,7 @@
             self.authenticator.replace_users(document.users)
 
     def query_defaults(self, application: str, database: str, user: str) -> dict[str, str] | None:
-        """The fields of a login's queries, from the first rule that matches it; None without one."""
+        """Returns the fields for a login's queries from the first matching rule; None if no rule matches."""
         for rule in self.rules:
             if (
                 (rule.application is None or re.fullmatch(rule.application, application, re.I))
@@ -37,13 +37,13 @@
 
 
 def load_tls_context(document) -> ssl.SSLContext | None:
-    """The TLS context from the files as they are now; None without TLS.
+    """Returns a TLS context with the current content of the files, or None if TLS is off.
 
-    Raises OSError or ValueError where the files cannot be used."""
+    Raises OSError or ValueError if the files cannot be used."""
     if document.encryption == "off":
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    # Within TDS 7 the handshake ends with the server's last message, which TLS 1.3 does not guarantee.
+    # In TDS 7 the TLS handshake must end with a message of the server; TLS 1.3 does not guarantee this.
     context.maximum_version = ssl.TLSVersion.TLSv1_2
     context.load_cert_chain(document.certificate, document.key)
     return context
--- a/wickvane/net/tds/login7.py
+++ b/wickvane/net/tds/login7.py
@@ -1,4 +1,4 @@
-"""LOGIN7 (MS-TDS 2.2.6.4), read and written. No I/O."""
+"""Reads and writes LOGIN7 (MS-TDS 2.2.6.4). No I/O."""
 
 import struct
 from dataclasses import dataclass, field
@@ -8,13 +8,13 @@
 from wickvane.net.tds.token_encoding import TDS_74
 
 MIN_TDS_VERSION = 0x72090002  # 7.2
-LOGIN_HEAD_SIZE = 94  # octets ahead of the variable data
-MIN_DATA_OFFSET = 86  # where older clients' variable data begins
-FIELDS_OFFSET = 36  # pairs of offset and length begin here
+LOGIN_HEAD_SIZE = 94  # octets before the variable data
+MIN_DATA_OFFSET = 86  # offset of the variable data of older clients
+FIELDS_OFFSET = 36  # offset of the first pair of offset and length
 FLAGS2_OFFSET = 25
 FLAGS3_OFFSET = 27
-INTEGRATED_SECURITY_FLAG = 0x80  # of the second flags
-EXTENSION_FLAG = 0x10  # of the third flags
+INTEGRATED_SECURITY_FLAG = 0x80  # in OptionFlags2
+EXTENSION_FLAG = 0x10  # in OptionFlags3
 FIELDS = ("host", "user", "password", "application", "server", "extension", "library", "language", "database")
 MAX_FIELD_CHARACTERS = 128
 MAX_FEATURES = 64
@@ -31,8 +31,9 @@
 class Login7:
     """The content of a LOGIN7.
 
-    packet_size is within the protocol's bounds; integrated: a login by the system's account is requested;
-    extension: offset and length of the feature extensions; features: their ids."""
+    packet_size: clamped to the protocol's bounds; integrated: integrated (SSPI) authentication is requested;
+    extension: offset and length of the feature extensions; features: their ids. FIELDS has the names of the
+    fields that read_login7() sets."""
 
     version: int
     packet_size: int
@@ -50,7 +51,7 @@
 
 
 def obfuscate_password(password: str) -> bytes:
-    """The octets of a password: of each octet the halves are exchanged, then it is XORed with 0xA5."""
+    """Encodes a password: swaps the 4-bit halves of each octet, then XORs the octet with 0xA5."""
     return bytes(((b << 4 | b >> 4) & 255) ^ PASSWORD_MASK for b in password.encode("utf-16-le"))
 
 
@@ -61,7 +62,7 @@
 
 
 def read_login7(body: bytes) -> Login7:
-    """Reads a LOGIN7; raises ProtocolError."""
+    """Reads a LOGIN7; raises ProtocolError if it is invalid."""
     if len(body) < LOGIN_HEAD_SIZE:
         raise ProtocolError("a LOGIN7 is cut")
     length, version, packet_size = struct.unpack_from("<III", body)
@@ -116,7 +117,7 @@
     host: str = "",
     server: str = "",
 ) -> bytes:
-    """A LOGIN7 by user and password, without feature extensions."""
+    """Encodes a LOGIN7 with user and password, without feature extensions."""
     values = (
         host.encode("utf-16-le"),
         user.encode("utf-16-le"),
@@ -135,7 +136,7 @@
         data += value
     length = LOGIN_HEAD_SIZE + len(data)
     client_id = bytes(6)
-    # SSPI, attached database file and new password are empty.
+    # The fields for SSPI, attached database file and new password are empty.
     fields += client_id + struct.pack("<HHHHHHI", length, 0, length, 0, length, 0, 0)
     head = struct.pack("<IIIIII", length, TDS_74, packet_size, CLIENT_PROGRAM_VERSION, 0, 0)
     head += CLIENT_FLAGS + struct.pack("<iI", 0, CLIENT_LCID)
--- a/wickvane/net/tds/packets.py
+++ b/wickvane/net/tds/packets.py
@@ -1,4 +1,4 @@
-"""TDS packets (MS-TDS 2.2.3): messages assembled from a stream of packets, and written as packets. No I/O."""
+"""TDS packets (MS-TDS 2.2.3): assembles messages from packets and splits messages into packets. No I/O."""
 
 import struct
 from collections.abc import Collection
@@ -25,14 +25,14 @@
 STATUS_RESET_CONNECTION = 0x08
 STATUS_RESET_CONNECTION_SKIP_TRAN = 0x10
 
-MIN_PACKET_SIZE = 512  # octets, with the header
+MIN_PACKET_SIZE = 512  # octets, including the header
 DEFAULT_PACKET_SIZE = 4096
 MAX_PACKET_SIZE = 32_767
-MAX_PACKETS_PER_MESSAGE = 4096  # against a message of empty packets
+MAX_PACKETS_PER_MESSAGE = 4096  # bounds the number of empty packets
 
 
 class Message(NamedTuple):
-    """A packet, or a message with the status of its first packet."""
+    """A packet, or a complete message; a message has the status of its first packet."""
 
     type: int
     status: int
@@ -40,9 +40,10 @@
 
 
 class MessageAssembler:
-    """Octets in, complete messages out; drops messages whose last packet has STATUS_IGNORE.
+    """Assembles complete messages from received octets; discards those whose last packet has STATUS_IGNORE.
 
-    Holds one message of max_message_size octets and one packet at most. Raises ProtocolError."""
+    Buffers at most one message of max_message_size octets and one packet; types: the accepted packet types.
+    next_packet() and next_message() raise ProtocolError for invalid data."""
 
     def __init__(self, max_message_size: int, types: Collection[int] = CLIENT_TYPES) -> None:
         self.max_message_size = max_message_size
@@ -58,11 +59,11 @@
         self.buffer += data
 
     def is_mid_message(self) -> bool:
-        """Whether a message has begun that is not complete."""
+        """Returns whether an incomplete message is buffered."""
         return bool(self.buffer or self._bodies)
 
     def next_packet(self) -> Message | None:
-        """The next packet; None while it is incomplete."""
+        """Returns the next packet, or None if it is incomplete."""
         if len(self.buffer) < HEADER.size:
             return None
         packet_type, status, length, _, _, _ = HEADER.unpack_from(self.buffer)
@@ -77,9 +78,9 @@
         return Message(packet_type, status, body)
 
     def next_message(self) -> Message | None:
-        """The next complete message; None while there is none.
+        """Returns the next complete message, or None if there is none.
 
-        An ATTENTION cancels a message of which only some packets were sent."""
+        An ATTENTION discards a message of which only some packets were received."""
         while (packet := self.next_packet()) is not None:
             if not self._bodies:
                 self._type = packet.type
@@ -108,14 +109,14 @@
 def encode_packets(
     message_type: int, body: bytes, packet_size: int = DEFAULT_PACKET_SIZE, spid: int = 0, status: int = 0
 ) -> bytes:
-    """A message as packets of packet_size octets at most; status: flags of the first packet."""
-    room = packet_size - HEADER.size
-    if len(body) <= room:
+    """Splits a message into packets of at most packet_size octets; status: flags of the first packet."""
+    max_body_size = packet_size - HEADER.size
+    if len(body) <= max_body_size:
         return HEADER.pack(message_type, STATUS_EOM | status, HEADER.size + len(body), spid, 1, 0) + body
     parts = []
-    for number, at in enumerate(range(0, len(body), room), 1):
-        piece = body[at : at + room]
-        flags = STATUS_EOM if at + room >= len(body) else 0
+    for number, offset in enumerate(range(0, len(body), max_body_size), 1):
+        piece = body[offset : offset + max_body_size]
+        flags = STATUS_EOM if offset + max_body_size >= len(body) else 0
         if number == 1:
             flags |= status
         parts.append(HEADER.pack(message_type, flags, HEADER.size + len(piece), spid, number & 255, 0))
@@ -124,27 +125,27 @@
 
 
 class PacketWriter:
-    """Writes one message in pieces: full packets are returned, the rest is held back for the next piece."""
+    """Writes one message in pieces: returns full packets and buffers the rest until the next piece."""
 
     def __init__(self, message_type: int, packet_size: int = DEFAULT_PACKET_SIZE, spid: int = 0) -> None:
         self._type = message_type
-        self._room = packet_size - HEADER.size
+        self._max_body_size = packet_size - HEADER.size
         self._spid = spid
-        self._held = bytearray()
+        self._unsent = bytearray()
         self._number = 0
 
     def write(self, data: bytes) -> bytes:
-        """The packets that are full with this data."""
-        self._held += data
+        """Adds data; returns the packets that are full."""
+        self._unsent += data
         parts = []
-        while len(self._held) > self._room:
-            parts.append(self._packet(bytes(self._held[: self._room]), 0))
-            del self._held[: self._room]
+        while len(self._unsent) > self._max_body_size:
+            parts.append(self._packet(bytes(self._unsent[: self._max_body_size]), 0))
+            del self._unsent[: self._max_body_size]
         return b"".join(parts)
 
     def finish(self, data: bytes = b"") -> bytes:
-        """The remaining packets, the last of them with STATUS_EOM."""
-        return self.write(data) + self._packet(bytes(self._held), STATUS_EOM)
+        """Adds data; returns the remaining packets, the last one with STATUS_EOM."""
+        return self.write(data) + self._packet(bytes(self._unsent), STATUS_EOM)
 
     def _packet(self, body: bytes, status: int) -> bytes:
         self._number = (self._number + 1) & 255
--- a/wickvane/net/tds/prelogin.py
+++ b/wickvane/net/tds/prelogin.py
@@ -1,4 +1,4 @@
-"""PRELOGIN (MS-TDS 2.2.6.5), read and written. No I/O."""
+"""Reads and writes PRELOGIN (MS-TDS 2.2.6.5). No I/O."""
 
 import struct
 
@@ -13,7 +13,7 @@
 TERMINATOR = 0xFF
 
 # Values of ENCRYPTION
-ENCRYPT_OFF = 0  # the login alone is encrypted
+ENCRYPT_OFF = 0  # only the login is encrypted
 ENCRYPT_ON = 1
 ENCRYPT_NOT_SUPPORTED = 2
 ENCRYPT_REQUIRED = 3
@@ -23,7 +23,7 @@
 
 
 def read_prelogin(body: bytes) -> dict[int, bytes]:
-    """Returns the options' octets by token; raises ProtocolError."""
+    """Returns the options' octets by option token; raises ProtocolError if the PRELOGIN is invalid."""
     options: dict[int, bytes] = {}
     at = 0
     while True:
@@ -42,7 +42,7 @@
 
 
 def encode_prelogin(options: dict[int, bytes]) -> bytes:
-    """A PRELOGIN of options by token, in their order."""
+    """Encodes a PRELOGIN; options: octets by option token, in the order to write."""
     data_offset = OPTION_SIZE * len(options) + 1
     head = b""
     data = b""
@@ -52,8 +52,8 @@
     return head + bytes((TERMINATOR,)) + data
 
 
-def encryption_of(options: dict[int, bytes]) -> int:
-    """The value of ENCRYPTION; raises ProtocolError where it is invalid."""
+def read_encryption(options: dict[int, bytes]) -> int:
+    """Returns the value of ENCRYPTION, by default ENCRYPT_NOT_SUPPORTED; raises ProtocolError if invalid."""
     value = options.get(ENCRYPTION, bytes((ENCRYPT_NOT_SUPPORTED,)))
     if len(value) != 1 or value[0] > ENCRYPT_REQUIRED:
         raise ProtocolError("a PRELOGIN's encryption cannot be")
--- a/wickvane/net/tds/results.py
+++ b/wickvane/net/tds/results.py
@@ -1,4 +1,4 @@
-"""Results translated between the protocols: result pages to TDS tokens, TDS tokens to PostgreSQL messages."""
+"""Converts results between the protocols: result pages to TDS tokens, TDS tokens to PostgreSQL messages."""
 
 import struct
 from collections.abc import Iterable, Sequence
@@ -18,7 +18,7 @@
 COLMETADATA_NVARCHAR = encode_colmetadata((name, nvarchar_info()) for name in PAGE_COLUMNS)
 COLMETADATA_NVARCHAR_MAX = encode_colmetadata((name, NVARCHAR_MAX_INFO) for name in PAGE_COLUMNS)
 ROW_TOKEN = bytes((ROW,))
-# Precomputed: packing each length anew is a large part of the time a row takes.
+# Precomputed, since packing each length again takes a large part of the time for a row.
 ENCODED_LENGTHS = [struct.pack("<H", size) for size in range(MAX_CELL_SIZE + 1)]
 
 POSTGRES_TEXT_OID = 25
@@ -29,15 +29,15 @@
 
 
 class GatheredTokens(list[Token]):
-    """A complete result of a TDS engine without its final DONE; rows: the count that the DONE had."""
+    """The tokens of a TDS engine's result except its final DONE; rows: the row count of that DONE."""
 
     rows = 0
 
 
 def encode_pages(pages: Sequence[bytes]) -> tuple[bytes, int]:
-    """The octets of all tokens but the final DONE, and the number of rows.
+    """Encodes result pages; returns the octets of all tokens except the final DONE, and the number of rows.
 
-    pages: lines of three cells with tabs between them. Raises ValueError where a line has another number."""
+    pages: lines of three cells separated by tabs. Raises ValueError if a line has another number of cells."""
     text = b"".join(pages).decode("utf-8", "replace")
     lines = text.split("\n")[:-1]
     has_long_cells = max(map(len, lines), default=0) > MAX_NVARCHAR_CHARACTERS
@@ -72,16 +72,16 @@
 
 
 class PostgresRows:
-    """Writes a token stream as PostgreSQL's messages, all columns as text.
+    """Encodes a token stream as PostgreSQL messages with all columns as text.
 
-    count: rows so far. Only the first result set's columns are described."""
+    count: rows encoded so far. Only the columns of the first result set are described."""
 
     def __init__(self) -> None:
         self.columns: list[Column] | None = None
         self.count = 0
 
     def encode(self, tokens: Iterable[Token]) -> bytes:
-        """RowDescription and DataRow messages of further tokens."""
+        """Returns the RowDescription and DataRow messages of further tokens."""
         parts = []
         for token in tokens:
             if token.type in ROW_TOKENS:
@@ -93,7 +93,7 @@
         return b"".join(parts)
 
     def end(self, tag: bytes) -> bytes:
-        """The CommandComplete behind the last row."""
+        """Returns the CommandComplete that follows the last row."""
         body = b"%b %d\0" % (tag, self.count)
         return b"C" + struct.pack("!I", 4 + len(body)) + body
 
--- a/wickvane/net/tds/rpc.py
+++ b/wickvane/net/tds/rpc.py
@@ -1,8 +1,8 @@
-"""RPC requests (MS-TDS 2.2.6.6), and the statements that they stand for. No I/O.
+"""Reads RPC requests (MS-TDS 2.2.6.6) and determines the statement that each one runs. No I/O.
 
-A call of sp_executesql or one of the prepared-statement procedures becomes the statement itself, with its
-parameters as literals: a query is one text for engines of either protocol, and its fields, table group and
-shape are read in one place.
+A call of sp_executesql or of a prepared-statement procedure is replaced by its statement, with parameters as
+literals. A query is thus one text for engines of either protocol, and its fields, table group and shape are
+read in one place.
 """
 
 import re
@@ -19,16 +19,16 @@
 from wickvane.net.tds.type_info import TypeInfo, read_type_info
 from wickvane.net.tds.values import read_value
 
-PROCEDURE_ID_FOLLOWS = 0xFFFF  # in place of the length of a procedure's name
+PROCEDURE_ID_FOLLOWS = 0xFFFF  # in place of the length of a procedure's name: a ProcID follows
 MAX_NAME_CHARACTERS = 1046
-BATCH_FLAGS = (0x80, 0xFE, 0xFF)  # what separates the calls of one request
+BATCH_FLAGS = (0x80, 0xFE, 0xFF)  # separators between the calls of one request
 MAX_PARAMETERS = 2100
-MAX_PREPARED_STATEMENTS = 64  # of a session; the oldest is dropped
+MAX_PREPARED_STATEMENTS = 64  # per client session; the oldest one is discarded
 # Status flags of a parameter
 BY_REFERENCE = 0x01
 DEFAULT_VALUE = 0x02
 
-# Strings, quoted names and comments, in which an @name is no parameter; then names.
+# Matches strings, quoted names and comments, in which an @name is not a parameter, and otherwise names.
 NAMES_AND_OPAQUE_TEXT = re.compile(
     r"'(?:[^']|'')*(?:'|\Z)|\"(?:[^\"]|\"\")*(?:\"|\Z)|\[(?:[^\]]|\]\])*(?:\]|\Z)|--[^\n]*"
     r"|/\*.*?(?:\*/|\Z)|(?P<name>@@?[\w#$]+)",
@@ -38,7 +38,7 @@
 
 
 class ProcedureId(IntEnum):
-    """The special procedures that are understood, by their ProcID."""
+    """The supported special procedures by ProcID; PROCEDURE_IDS derives their names from the members."""
 
     EXECUTESQL = 10
     PREPARE = 11
@@ -51,7 +51,7 @@
 
 
 class RpcParameter(NamedTuple):
-    """A parameter of a call; flags: its status flags."""
+    """A parameter of an RPC call; flags: its status flags."""
 
     name: str
     flags: int
@@ -60,7 +60,7 @@
 
 
 class RpcRequest(NamedTuple):
-    """One call: procedure_id is 0 for a procedure that has only a name."""
+    """One RPC call; procedure_id: 0 for a procedure that is identified only by name."""
 
     procedure_id: int
     name: str
@@ -75,21 +75,23 @@
 
 
 class StatementToRun(NamedTuple):
-    """What a call asks for: a statement, None where none is to be run, and the tokens that answer it too."""
+    """The result of an RPC call.
+
+    text: the statement to run, None if there is none; tokens: RETURNVALUE tokens for the answer."""
 
     text: str | None
     tokens: bytes = b""
 
 
 class PreparedStatements:
-    """A session's prepared statements by handle; bounded by MAX_PREPARED_STATEMENTS."""
+    """A client session's prepared statements by handle, at most MAX_PREPARED_STATEMENTS."""
 
     def __init__(self) -> None:
         self.by_handle: dict[int, PreparedStatement] = {}
         self._last_handle = 0
 
     def add(self, text: str, declarations: str) -> int:
-        """Keeps a statement; returns its handle."""
+        """Stores a statement and returns its handle; discards the oldest statement if there are too many."""
         self._last_handle += 1
         if len(self.by_handle) >= MAX_PREPARED_STATEMENTS:
             del self.by_handle[next(iter(self.by_handle))]
@@ -97,21 +99,21 @@
         return self._last_handle
 
     def get(self, handle: Value) -> PreparedStatement:
-        """The statement of a handle; raises ProtocolError where there is none."""
+        """Returns the statement of a handle; raises ProtocolError if there is none."""
         if handle not in self.by_handle:
             raise ProtocolError("this handle is not prepared, or was too long ago")
         return self.by_handle[handle]
 
 
 def read_rpc_request(body: bytes) -> RpcRequest:
-    """Reads an RPC request of one call; raises ProtocolError."""
+    """Reads an RPC request of one call; raises ProtocolError if it is invalid or has more than one."""
     cursor = Cursor(body, skip_all_headers(body))
     try:
         procedure_id, name = _read_procedure(cursor)
         cursor.ushort()  # option flags
         parameters: list[RpcParameter] = []
-        while cursor.at < cursor.end:
-            if cursor.data[cursor.at] in BATCH_FLAGS:
+        while cursor.position < cursor.end:
+            if cursor.data[cursor.position] in BATCH_FLAGS:
                 raise ProtocolError("more than one call in a request is not taken")
             parameters.append(_read_parameter(cursor))
             if len(parameters) > MAX_PARAMETERS:
@@ -139,8 +141,8 @@
     return RpcParameter(name, flags, info, to_python(info, read_value(cursor, info)))
 
 
-def statement_of(request: RpcRequest, prepared: PreparedStatements) -> StatementToRun:
-    """The statement that a call stands for; raises ProtocolError where there is none."""
+def statement_to_run(request: RpcRequest, prepared: PreparedStatements) -> StatementToRun:
+    """Returns the statement that a call runs; raises ProtocolError if the call is invalid or unsupported."""
     match request.procedure_id:
         case ProcedureId.EXECUTESQL:
             return _execute_sql(request)
@@ -174,7 +176,7 @@
 
 
 def _exec_statement(request: RpcRequest) -> str:
-    """A call of a procedure by name, as an EXEC with literals."""
+    """Returns an EXEC statement with literals for a call of a procedure by name."""
     if any(parameter.flags & BY_REFERENCE for parameter in request.parameters):
         raise ProtocolError("parameters that are given back are not taken")
     arguments = ", ".join(
@@ -195,9 +197,9 @@
 
 
 def _with_literals(statement: PreparedStatement, parameters: Sequence[RpcParameter]) -> str:
-    """The statement with its parameters as literals.
+    """Returns the statement's text with its parameters replaced by literals.
 
-    Raises ProtocolError where a parameter has no value, is an output parameter or is left to its default."""
+    Raises ProtocolError if a parameter has no value, is an output parameter or uses its default."""
     declared = [name.lower() for name in DECLARED_NAME.findall(statement.declarations)]
     literals: dict[str, str] = {}
     for position, (name, flags, info, value) in enumerate(parameters):
--- a/wickvane/net/tds/session.py
+++ b/wickvane/net/tds/session.py
@@ -1,4 +1,4 @@
-"""One client session by TDS 7.4: a login, then SQL batches and RPC requests, one at a time."""
+"""One TDS 7.4 client session: a login, then SQL batches and RPC requests, one at a time."""
 
 import secrets
 import ssl
@@ -25,7 +25,7 @@
 from wickvane.net.tds.handshake import INITIAL_DATABASE, login_answer, perform_handshake
 from wickvane.net.tds.listener import ListenerConfig
 from wickvane.net.tds.result_writer import ResultWriter
-from wickvane.net.tds.rpc import PreparedStatements, read_rpc_request, statement_of
+from wickvane.net.tds.rpc import PreparedStatements, read_rpc_request, statement_to_run
 from wickvane.net.tds.session_setup import answer_setup_statement
 from wickvane.net.tds.sql_batch import read_sql_batch
 from wickvane.net.tds.tls import TlsLayer
@@ -51,15 +51,15 @@
 
 
 class SessionState(Enum):
-    """Where a session is."""
+    """The state of a client session."""
 
     LOGIN = auto()
-    READY = auto()  # logged in; a request may be in flight
-    ATTENTION_RECEIVED = auto()  # the request in flight is cancelled, which is not yet acknowledged
+    READY = auto()  # the client is logged in; a request may be in flight
+    ATTENTION_RECEIVED = auto()  # the request in flight is cancelled; the ATTENTION is not acknowledged yet
 
 
 class SessionEvent(Enum):
-    """What changes a SessionState."""
+    """The events that change a SessionState."""
 
     LOGIN_ACCEPTED = auto()
     ATTENTION_RECEIVED = auto()
@@ -68,10 +68,10 @@
 
 
 class Session(Front):
-    """One client connection by TDS; buffer: the assembler's, with what was received and not read yet."""
+    """One client connection by TDS; buffer: that of the assembler, with received octets not read yet."""
 
     TOO_MANY = fatal_error_packets(errors.TOO_MANY, "too many clients")
-    peek_s = CLIENT_CHECK_INTERVAL_S  # an ATTENTION arrives while the session waits for its query
+    peek_s = CLIENT_CHECK_INTERVAL_S  # an ATTENTION may arrive while the session waits for its query
 
     def __init__(self, sock, peer, service, full, listener: ListenerConfig, reader: Reader) -> None:
         super().__init__(sock, peer, service, full)
@@ -87,13 +87,13 @@
         self.query_defaults: dict[str, str] | None = None
         self.prepared = PreparedStatements()
         self.transaction = SessionTransaction()
-        # Of the request in flight: tokens ahead of its answer, whether it is an RPC, and RETURNVALUE tokens.
+        # Of the request in flight: tokens that precede its answer, whether it is an RPC, RETURNVALUE tokens.
         self._answer_prefix = b""
         self._is_rpc = False
         self._output_values = b""
 
     def _change_state(self, event: SessionEvent) -> None:
-        """All transitions."""
+        """Changes the state."""
         match event:
             case SessionEvent.LOGIN_ACCEPTED:
                 self.state = SessionState.READY
@@ -106,18 +106,18 @@
     def _is_cancelled(self) -> bool:
         return self.state is SessionState.ATTENTION_RECEIVED
 
-    # Reading and writing, within TLS or without
+    # Reading and writing, with or without TLS
 
     def plain(self, data: bytes) -> bytes:
-        """As Front."""
+        """See Front; decrypts received octets if TLS is on."""
         return data if self.tls is None else self.tls.decrypt(data)
 
     def put(self, data: bytes, key=NOBODY, messages: int = 1, what: int = 0) -> None:
-        """As Front."""
+        """See Front; encrypts the data if TLS is on."""
         super().put(data if self.tls is None else self.tls.encrypt(data), key, messages, what)
 
     def start_tls(self, tls: TlsLayer) -> None:
-        """From here on, everything is within TLS; so is what was received and not read yet."""
+        """Uses TLS for all further octets, including those received but not read yet."""
         received = bytes(self.buffer)
         self.buffer.clear()
         self.tls = tls
@@ -125,9 +125,9 @@
             self.buffer += tls.decrypt(received)
 
     def next_message(self, until: float) -> packets.Message:
-        """The next message; until: time.monotonic() by which it must be complete.
+        """Receives the next message; until: the time.monotonic() by which it must be complete.
 
-        Raises ProtocolError, and what Front.want() raises."""
+        Raises ProtocolError and the errors of Front.want()."""
         while (message := self.assembler.next_message()) is None:
             self.want(len(self.buffer) + 1, until)
         return message
@@ -137,7 +137,7 @@
         self.put(self._answer_packets(body))
 
     def _answer_packets(self, body: bytes) -> bytes:
-        """The packets of an answer, with what is to go ahead of it."""
+        """Returns the packets of an answer, including the tokens that precede it."""
         data = result_packets(self._answer_prefix + body, self.packet_size, SPID)
         self._answer_prefix = b""
         return data
@@ -145,13 +145,13 @@
     # Lifecycle
 
     def talk(self) -> None:
-        """As Front: the handshake, then requests until the connection ends."""
+        """See Front; performs the handshake, then serves requests until the connection ends."""
         try:
             self._log_in()
             self._serve_requests()
         except ProtocolError as error:
-            last = fatal_error_packets(errors.PROTOCOL, str(error))
-            raise Ended("message-malformed", last, str(error)) from None
+            fatal_error = fatal_error_packets(errors.PROTOCOL, str(error))
+            raise Ended("message-malformed", fatal_error, str(error)) from None
         except ssl.SSLError as error:
             raise Ended("tls-failed", detail=error.reason or type(error).__name__) from None
 
@@ -161,14 +161,14 @@
         self.packet_size = login.packet_size
         self.query_defaults = self.listener.query_defaults(login.application, self.database, login.user)
         self.assembler.max_message_size = MAX_MESSAGE_SIZE
-        # Drivers' pools connect ahead of need: a client that has logged in need not ask soon.
+        # Connection pools connect in advance: a logged-in client has no deadline for its first query.
         self.first_by = NO_DEADLINE
         self._change_state(SessionEvent.LOGIN_ACCEPTED)
         self.sock.settimeout(WRITE_S)
         self.put(login_answer(login, self.database))
 
     def rank(self, fresh: int) -> int:
-        """As Front. Connections that never log in must not push out those that have."""
+        """See Front; a connection that has not logged in must not displace one that has."""
         if self.queries:
             return 3
         if self.state is not SessionState.LOGIN:
@@ -207,12 +207,12 @@
             case packets.RPC:
                 self._serve_rpc(message.body)
             case packets.ATTENTION:
-                # Its request has been answered in full; it is acknowledged all the same.
+                # The request is already answered completely; the ATTENTION must still be acknowledged.
                 self._reply(encode_done(tokens.DONE_ATTN))
             case packets.TRANSACTION_MANAGER:
                 self._serve_transaction_request(message.body)
             case _:
-                raise ProtocolError("this request is not taken")
+                raise ProtocolError("a packet of this type is not supported as a request")
 
     # Requests
 
@@ -220,7 +220,7 @@
         self._is_rpc = True
         self._output_values = b""
         try:
-            statement = statement_of(read_rpc_request(body), self.prepared)
+            statement = statement_to_run(read_rpc_request(body), self.prepared)
         except ProtocolError as error:
             self._reply(error_answer(errors.UNUSABLE, str(error)))
             return
@@ -235,7 +235,7 @@
         arrived = self.arrived()
         setup = answer_setup_statement(text, self.database)
         if setup is None:
-            self.ask(text.encode("utf-8", "replace"), arrived, defaults=self._defaults_of_query())
+            self.ask(text.encode("utf-8", "replace"), arrived, defaults=self._new_query_defaults())
             return
         if setup.database is not None:
             self.database = setup.database
@@ -245,14 +245,14 @@
         else:
             self._reply(setup.tokens + self.answer_end(setup.rows))
 
-    def _defaults_of_query(self) -> dict[str, str] | None:
-        """The fields of a query that has none ahead of it, where the login's rule names a group."""
+    def _new_query_defaults(self) -> dict[str, str] | None:
+        """Returns the fields for a query without fields of its own, or None if no rule matched the login."""
         return self.query_defaults and self.query_defaults | {"txn": secrets.token_hex(8)}
 
     def _serve_transaction_request(self, body: bytes) -> None:
         request = read_transaction_request(body)
         if request.type is TransactionRequestType.SAVE:
-            self._reply(error_answer(errors.UNUSABLE, "savepoints are not had here"))
+            self._reply(error_answer(errors.UNUSABLE, "savepoints are not supported"))
             return
         self._is_rpc = False
         answer = self.transaction.apply(TRANSACTION_ACTIONS[request.type])
@@ -262,11 +262,11 @@
         self._reply(answer.tokens + encode_done(answer.status))
 
     def answer_end(self, rows: int | None, status: int = 0) -> bytes:
-        """The tokens that end the answer to the request in flight; rows: None where it has no result."""
+        """Returns the tokens that end the answer to the request in flight; rows: None if it has no result."""
         return rpc_end(rows, self._output_values, status) if self._is_rpc else batch_end(rows, status)
 
     def vanished(self) -> bool:
-        """As Front: reads what arrived while the query is in flight, the connection's end or an ATTENTION."""
+        """See Front; reads what arrived while the query is in flight, to detect a disconnect or ATTENTION."""
         self.sock.settimeout(0)
         try:
             data = self.sock.recv(RECV)
@@ -293,7 +293,7 @@
     # Answers
 
     def answered(self, pending, kind: str) -> tuple[str, bytes, int]:
-        """As Front."""
+        """See Front; raises no error: an unreadable result is answered as a failed query."""
         effect = self.exchange.resource_groups[pending.resource_group].effect
         if effect != Effect.READ_ONLY and kind in (ex.FINISHED, ex.FAILED):
             self.transaction.has_effects = True
@@ -311,7 +311,7 @@
         return kind, self._answer_packets(data), 2
 
     def _result_answer(self, pending) -> tuple[str, bytes, int]:
-        """Raises ValueError where the result cannot be read."""
+        """Returns the answer with a result, as answered() does; raises ValueError if it cannot be read."""
         if isinstance(pending.result, results.GatheredTokens):
             data = b"".join(token.raw for token in pending.result)
             rows = pending.result.rows
@@ -332,31 +332,33 @@
         return encode_done(tokens.DONE_ERROR)
 
     def internal_error(self) -> bytes:
-        """As Front."""
+        """See Front."""
         return fatal_error_packets(errors.INTERNAL, "internal error")
 
     def rejected(self, rejected: RequestRejected) -> bytes:
-        """As Front."""
+        """See Front; returns the answer to a rejected request."""
         number = errors.STOPPING if rejected.sqlstate == ex.SHUTDOWN_SQLSTATE else errors.UNUSABLE
         return self._answer_packets(error_answer(number, f"{rejected.sqlstate}: {rejected.text}"))
 
     @staticmethod
     def too_fast(away: int) -> bytes:
-        """The answer to a connection beyond the listener's rate; away: milliseconds to wait, 0 for none."""
+        """Returns the answer to a connection beyond the listener's rate.
+
+        away: the advised delay in milliseconds, 0 if none is advised."""
         return connection_rate_packets(away)
 
     @staticmethod
     def is_urgent(first: bytes) -> bool:
-        """Never: an ATTENTION arrives on the connection of its query."""
+        """Returns False, since an ATTENTION arrives on the connection of its query."""
         return False
 
     def warn(self) -> None:
-        """As Front: an INFO ahead of the next answer."""
+        """See Front; sends an INFO before the next answer."""
         text = f"{STORM_TEXT} retry-storm={self.warned}"
-        self._answer_prefix += encode_message(tokens.INFO, errors.STORM, 1, 0, text)
+        self._answer_prefix += encode_message(tokens.INFO, errors.RETRY_STORM, 1, 0, text)
 
     def streaming(self, pending) -> ResultWriter:
-        """As Front."""
+        """See Front; returns the writer of a streamed result."""
         prefix = self._answer_prefix
         self._answer_prefix = b""
         return ResultWriter(prefix, self.packet_size, self.answer_end)
--- a/wickvane/net/tds/session_factory.py
+++ b/wickvane/net/tds/session_factory.py
@@ -1,4 +1,4 @@
-"""The sessions of a TDS listener."""
+"""Creates the client sessions of a TDS listener."""
 
 from wickvane.net.statement import Reader
 from wickvane.net.tds.listener import ListenerConfig
@@ -6,9 +6,9 @@
 
 
 class SessionFactory:
-    """Makes the sessions of one listener, and the answers to connections that get none.
+    """Creates the client sessions of one listener; provides the answers to connections rejected without one.
 
-    reader: of statements, for the resource groups of TDS clients."""
+    reader: the statement reader for queries of TDS clients."""
 
     TOO_MANY = Session.TOO_MANY
     too_fast = staticmethod(Session.too_fast)
@@ -19,5 +19,5 @@
         self._reader = reader
 
     def __call__(self, sock, peer, service, full) -> Session:
-        """A session of an accepted connection."""
+        """Creates the session of an accepted connection."""
         return Session(sock, peer, service, full, self._listener, self._reader)
--- a/wickvane/net/tds/session_setup.py
+++ b/wickvane/net/tds/session_setup.py
@@ -1,4 +1,4 @@
-"""Statements that drivers send to set up a session, answered here: SET, USE, @@variables, transactions."""
+"""Answers statements by which drivers set up a session: SET, USE, SELECT @@variable, transactions."""
 
 import re
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 MAX_STATEMENT_CHARACTERS = 1024
 MAX_DATABASE_CHARACTERS = 128
 TEXT_COLUMN_CHARACTERS = 128
-DATABASE_CHANGED = 5701  # number of the INFO that goes with ENVCHANGE of the database
+DATABASE_CHANGED = 5701  # number of the INFO that accompanies an ENVCHANGE of the database
 VARIABLE = r"@@\w+(?:\s+as\s+\[?\w+\]?)?"
 SET_STATEMENTS = re.compile(
     r"(?:\s*set\s+(?!identity_insert|@)[a-z_ ]+?\s+(?:on|off|[-\w']+)\s*;?)+\s*\Z", re.I
@@ -42,10 +42,10 @@
 
 
 class SetupAnswer(NamedTuple):
-    """The answer to a set-up statement: its tokens up to the final DONE, and what it changes.
+    """The answer to a set-up statement: its tokens up to the final DONE, and its effects on the session.
 
-    database: the new one; transaction: "begin", "commit" or "rollback"; rows: their number, where it has a
-    result."""
+    database: the new database; transaction: "begin", "commit" or "rollback"; rows: the number of rows, None
+    if the statement has no result."""
 
     tokens: bytes = b""
     database: str | None = None
@@ -54,7 +54,9 @@
 
 
 def answer_setup_statement(text: str, database: str) -> SetupAnswer | None:
-    """The answer to a statement that touches no data; None for all others. database: the session's."""
+    """Returns the answer to a statement that accesses no data, or None for any other statement.
+
+    database: the session's current database."""
     if len(text) > MAX_STATEMENT_CHARACTERS:
         return None
     if not text.strip(" \t\r\n;") or SET_STATEMENTS.match(text):
@@ -70,14 +72,14 @@
 
 
 def encode_database_change(new: str, old: str) -> bytes:
-    """The tokens that say that the session's database has changed."""
+    """Encodes the ENVCHANGE and INFO tokens for a change of the session's database."""
     return encode_envchange(tokens.ENV_DATABASE, new, old) + encode_message(
         tokens.INFO, DATABASE_CHANGED, 2, 0, f"Changed database context to '{new}'."
     )
 
 
 def _answer_variables(expressions: str) -> SetupAnswer | None:
-    """One row of @@variables; None where one of them is unknown."""
+    """Returns an answer of one row with the @@variables' values, or None if a variable is unknown."""
     columns = []
     row = bytes((tokens.ROW,))
     for expression in expressions.split(","):
--- a/wickvane/net/tds/sql_batch.py
+++ b/wickvane/net/tds/sql_batch.py
@@ -1,4 +1,4 @@
-"""SQLBatch (MS-TDS 2.2.6.7) and the ALL_HEADERS ahead of each request (2.2.5.3). No I/O."""
+"""SQLBatch (MS-TDS 2.2.6.7) and the ALL_HEADERS that precede each request (2.2.5.3). No I/O."""
 
 import struct
 
@@ -12,23 +12,23 @@
 
 
 def skip_all_headers(body: bytes) -> int:
-    """Where a request begins behind its ALL_HEADERS; raises ProtocolError."""
+    """Returns the offset of a request's content after its ALL_HEADERS; raises ProtocolError."""
     if len(body) < ALL_HEADERS_LENGTH_SIZE:
         raise ProtocolError("a request has no headers")
     total = int.from_bytes(body[:ALL_HEADERS_LENGTH_SIZE], "little")
     if not ALL_HEADERS_LENGTH_SIZE <= total <= len(body):
         raise ProtocolError("a request's headers are longer than it")
-    at = ALL_HEADERS_LENGTH_SIZE
-    while at < total:
-        size = int.from_bytes(body[at : at + 4], "little")
-        if size < MIN_HEADER_SIZE or at + size > total:
+    offset = ALL_HEADERS_LENGTH_SIZE
+    while offset < total:
+        size = int.from_bytes(body[offset : offset + 4], "little")
+        if size < MIN_HEADER_SIZE or offset + size > total:
             raise ProtocolError("a request's header has a wrong length")
-        at += size
+        offset += size
     return total
 
 
 def read_sql_batch(body: bytes) -> str:
-    """The text of an SQLBatch; raises ProtocolError."""
+    """Decodes the text of an SQLBatch; raises ProtocolError."""
     data = body[skip_all_headers(body) :]
     if len(data) % 2:
         raise ProtocolError("a batch has an odd length")
@@ -36,7 +36,7 @@
 
 
 def encode_sql_batch(text: str, transaction_descriptor: bytes = NO_TRANSACTION) -> bytes:
-    """An SQLBatch with a transaction descriptor header and one outstanding request."""
+    """Encodes an SQLBatch with a transaction descriptor header and one outstanding request."""
     header_size = TRANSACTION_DESCRIPTOR_HEADER_SIZE
     headers = struct.pack("<IIH", 4 + header_size, header_size, TRANSACTION_DESCRIPTOR_HEADER)
     headers += transaction_descriptor + struct.pack("<I", 1)
--- a/wickvane/net/tds/tls.py
+++ b/wickvane/net/tds/tls.py
@@ -1,4 +1,4 @@
-"""TLS of a client connection as a transformation of octets. No I/O."""
+"""TLS for a client connection, as a conversion between encrypted and plain octets. No I/O."""
 
 import ssl
 from typing import NamedTuple
@@ -7,14 +7,14 @@
 
 
 class HandshakeStep(NamedTuple):
-    """done: the handshake is complete; data: octets for the client."""
+    """The result of a handshake step; done: the handshake is complete; data: octets to send to the client."""
 
     done: bool
     data: bytes
 
 
 class TlsLayer:
-    """The server's side of one TLS connection; all methods raise ssl.SSLError."""
+    """The server side of one TLS connection; all methods may raise ssl.SSLError."""
 
     def __init__(self, context: ssl.SSLContext) -> None:
         self._incoming = ssl.MemoryBIO()
@@ -22,7 +22,7 @@
         self._tls = context.wrap_bio(self._incoming, self._outgoing, server_side=True)
 
     def advance_handshake(self) -> HandshakeStep:
-        """Goes on with the handshake as far as the octets received allow."""
+        """Advances the handshake as far as the received octets allow."""
         try:
             self._tls.do_handshake()
             done = True
@@ -35,7 +35,7 @@
         self._incoming.write(data)
 
     def decrypt(self, data: bytes) -> bytes:
-        """The plain octets that are complete with this data."""
+        """Adds received octets; returns the plain octets that can be decrypted."""
         self._incoming.write(data)
         parts = []
         try:
@@ -46,6 +46,6 @@
         return b"".join(parts)
 
     def encrypt(self, data: bytes) -> bytes:
-        """Octets for the client."""
+        """Encrypts data; returns the octets to send to the client."""
         self._tls.write(data)
         return self._outgoing.read()
--- a/wickvane/net/tds/tokens.py
+++ b/wickvane/net/tds/tokens.py
@@ -7,7 +7,7 @@
 from wickvane.errors import ProtocolError
 from wickvane.net.tds.cursor import Cursor, IncompleteDataError
 from wickvane.net.tds.type_info import IMAGE, NTEXT, TEXT, TypeInfo, read_type_info
-from wickvane.net.tds.values import read_value, skipper_of
+from wickvane.net.tds.values import read_value, value_skipper
 
 # Token types
 OFFSET = 0x78
@@ -55,7 +55,7 @@
 
 MAX_COLUMNS = 4096
 MAX_TOKEN_SIZE = 2 << 20  # octets
-NO_METADATA = 0xFFFF  # a COLMETADATA's count of columns where it has none
+NO_METADATA = 0xFFFF  # in place of the column count of a COLMETADATA without metadata
 FEATURE_TERMINATOR = 0xFF
 OFFSET_SIZE = 4
 _new_tuple = tuple.__new__
@@ -89,7 +89,7 @@
 
 
 class EnvironmentChange(NamedTuple):
-    """The content of an ENVCHANGE; data: the new and the old value, each behind its length."""
+    """The content of an ENVCHANGE; data: the new and the old value, each preceded by its length."""
 
     type: int
     data: bytes
@@ -109,9 +109,9 @@
 class Token(NamedTuple):
     """A token: its type, its octets, and its content.
 
-    COLMETADATA has a list of Column, or None where it has no metadata. ROW and NBCROW have None: see
-    row_values(). RETURNSTATUS has an int, FEATUREEXTACK None, and tokens without a class of their own have
-    octets."""
+    The content of COLMETADATA is a list of Column, or None if it has no metadata; that of ROW and NBCROW is
+    None, since row_values() reads them; that of RETURNSTATUS is an int, and that of FEATUREEXTACK is None.
+    The content of tokens without a class of their own is their octets."""
 
     type: int
     raw: bytes
@@ -126,17 +126,17 @@
     def __init__(self) -> None:
         self.buffer = bytearray()
         self.columns: list[Column] | None = None
-        self._skippers: list[tuple[Callable[[Cursor, TypeInfo], object], TypeInfo]] = []
+        self._value_skippers: list[tuple[Callable[[Cursor, TypeInfo], object], TypeInfo]] = []
 
     def feed(self, data: bytes) -> Iterator[Token]:
-        """Yields the tokens that are complete with this data."""
+        """Adds data; yields the tokens that are now complete; raises ProtocolError for invalid data."""
         buffer = self.buffer
         buffer += data
-        at = 0
+        position = 0
         end = len(buffer)
         try:
-            while at < end:
-                cursor = Cursor(buffer, at, end)
+            while position < end:
+                cursor = Cursor(buffer, position, end)
                 try:
                     token_type = cursor.byte()
                     read_content = _CONTENT_READERS.get(token_type)
@@ -144,31 +144,31 @@
                         raise ProtocolError(f"the token {token_type:#x} is not known")
                     content = read_content(self, cursor)
                 except IncompleteDataError:
-                    if end - at > MAX_TOKEN_SIZE:
+                    if end - position > MAX_TOKEN_SIZE:
                         raise ProtocolError("a token is too long") from None
                     return
-                begin = at
-                at = cursor.at
-                # Without the NamedTuple's own constructor, which is slow for a loop over many rows.
-                yield _new_tuple(Token, (token_type, bytes(buffer[begin:at]), content))
+                start = position
+                position = cursor.position
+                # Bypasses the NamedTuple's constructor, which is slow in a loop over many rows.
+                yield _new_tuple(Token, (token_type, bytes(buffer[start:position]), content))
         finally:
-            del buffer[:at]
+            del buffer[:position]
 
     def is_mid_token(self) -> bool:
-        """Whether a token has begun that is not complete."""
+        """Returns whether an incomplete token is buffered."""
         return bool(self.buffer)
 
     def _read_row(self, cursor: Cursor) -> None:
         if self.columns is None:
             raise ProtocolError("a row ahead of its columns")
-        for skip, info in self._skippers:
+        for skip, info in self._value_skippers:
             skip(cursor, info)
 
     def _read_nbcrow(self, cursor: Cursor) -> None:
         if self.columns is None:
             raise ProtocolError("a row ahead of its columns")
         null_bitmap = cursor.take((len(self.columns) + 7) // 8)
-        for n, (skip, info) in enumerate(self._skippers):
+        for n, (skip, info) in enumerate(self._value_skippers):
             if not null_bitmap[n >> 3] >> (n & 7) & 1:
                 skip(cursor, info)
 
@@ -176,7 +176,7 @@
         columns = _read_columns(cursor)
         if columns is not None:
             self.columns = columns
-            self._skippers = [(skipper_of(column.info), column.info) for column in columns]
+            self._value_skippers = [(value_skipper(column.info), column.info) for column in columns]
         return columns
 
     def _read_done(self, cursor: Cursor) -> Done:
@@ -236,7 +236,7 @@
 
 
 def row_values(raw: bytes, columns: list[Column]) -> list[bytes | None]:
-    """The octets of each column of a ROW's or NBCROW's raw octets; None for NULL."""
+    """Returns each column's octets from the raw octets of a ROW or NBCROW; None for NULL."""
     cursor = Cursor(raw)
     token_type = cursor.byte()
     try:
--- a/wickvane/net/tds/transaction.py
+++ b/wickvane/net/tds/transaction.py
@@ -1,4 +1,4 @@
-"""A client session's transaction. Each query is a transaction of its own; begin and end are only answered."""
+"""A client session's transaction, which is only simulated: each query is a transaction of its own."""
 
 import secrets
 from typing import NamedTuple
@@ -12,21 +12,23 @@
 
 
 class TransactionAnswer(NamedTuple):
-    """The tokens of an answer ahead of its final DONE, and flags for that DONE."""
+    """The tokens that precede an answer's final DONE, and status flags of that DONE."""
 
     tokens: bytes
     status: int
 
 
 class SessionTransaction:
-    """The open transaction; has_effects: a query in it may have changed data."""
+    """The transaction that the client believes to be open.
+
+    has_effects: a query since its beginning may have changed data."""
 
     def __init__(self) -> None:
         self.has_effects = False
         self._descriptor = b""
 
     def apply(self, action: str) -> TransactionAnswer:
-        """Answers "begin", "commit" or "rollback"; a rollback of effects is an error."""
+        """Answers "begin", "commit" or "rollback"; a rollback fails if a query may have changed data."""
         if action == "begin":
             return self._begin()
         descriptor = self._descriptor
@@ -35,7 +37,7 @@
         self.has_effects = False
         answer = b""
         if rollback_fails:
-            text = "what has run since the transaction began stays: each query is a transaction here"
+            text = "cannot roll back: each query is a transaction of its own, and earlier ones stay in effect"
             answer = encode_message(tokens.ERROR, errors.NO_ROLLBACK, 1, DEFAULT_SEVERITY, text)
         if descriptor:
             committed = action == "commit"
--- a/wickvane/net/tds/transaction_manager.py
+++ b/wickvane/net/tds/transaction_manager.py
@@ -1,4 +1,4 @@
-"""Transaction Manager Requests (MS-TDS 2.2.6.9). No I/O."""
+"""Reads Transaction Manager Requests (MS-TDS 2.2.6.9). No I/O."""
 
 from enum import IntEnum
 from typing import NamedTuple
@@ -11,7 +11,7 @@
 
 
 class TransactionRequestType(IntEnum):
-    """The requests that are understood, by their number."""
+    """The supported requests; the values are the protocol's request numbers."""
 
     BEGIN = 5
     COMMIT = 7
@@ -20,14 +20,14 @@
 
 
 class TransactionRequest(NamedTuple):
-    """A request; begins_another: a new transaction begins behind it."""
+    """A request; begins_another: a new transaction begins after it."""
 
     type: TransactionRequestType
     begins_another: bool
 
 
 def read_transaction_request(body: bytes) -> TransactionRequest:
-    """Reads a request; raises ProtocolError."""
+    """Reads a request; raises ProtocolError if it is invalid or not supported."""
     cursor = Cursor(body, skip_all_headers(body))
     try:
         number = cursor.ushort()
--- a/wickvane/net/tds/type_info.py
+++ b/wickvane/net/tds/type_info.py
@@ -19,7 +19,7 @@
 FLT8 = 0x3E
 MONEY4 = 0x7A
 INT8 = 0x7F
-# Types whose values have their length in one octet
+# Types whose values start with a one-octet length
 GUID = 0x24
 INTN = 0x26
 DATEN = 0x28
@@ -32,14 +32,14 @@
 FLTN = 0x6D
 MONEYN = 0x6E
 DATETIMN = 0x6F
-# Types whose values have their length in two octets, or are partially length-prefixed (PLP)
+# Types whose values start with a two-octet length, or are partially length-prefixed (PLP)
 BIGVARBINARY = 0xA5
 BIGVARCHAR = 0xA7
 BIGBINARY = 0xAD
 BIGCHAR = 0xAF
 NVARCHAR = 0xE7
 NCHAR = 0xEF
-# Types whose values have their length in four octets
+# Types whose values start with a four-octet length
 IMAGE = 0x22
 TEXT = 0x23
 VARIANT = 0x62
@@ -78,14 +78,14 @@
 CHARACTER_TYPES = frozenset((BIGVARCHAR, BIGCHAR, NVARCHAR, NCHAR))
 LONG_TYPES = frozenset((IMAGE, TEXT, NTEXT))
 MAX_SHORT_SIZE = 8000
-PLP_SIZE = 0xFFFF  # in place of a size: values are partially length-prefixed
+PLP_SIZE = 0xFFFF  # in place of a size if values are partially length-prefixed
 COLLATION_SIZE = 5
 COLLATION = bytes.fromhex("0904d00034")  # Latin1_General_CI_AS
 
 
 @dataclass(slots=True)
 class TypeInfo:
-    """A TYPE_INFO: its type, and what else is needed to read a value. raw: its octets."""
+    """A decoded TYPE_INFO: the type and the details needed to read a value. raw: the encoded octets."""
 
     type: int
     size: int = 0
@@ -101,19 +101,19 @@
 
 
 def read_type_info(cursor: Cursor) -> TypeInfo:
-    """Reads a TYPE_INFO; raises ProtocolError where it is invalid or its type is unknown."""
-    begin = cursor.at
+    """Reads a TYPE_INFO; raises ProtocolError if it is invalid or its type is unknown."""
+    start = cursor.position
     info = TypeInfo(cursor.byte())
     read_details = _DETAIL_READERS.get(info.type)
     if read_details is None:
         raise ProtocolError(f"the type {info.type:#x} is not known")
     read_details(cursor, info)
-    info.raw = bytes(cursor.data[begin : cursor.at])
+    info.raw = bytes(cursor.data[start : cursor.position])
     return info
 
 
 def time_size(scale: int) -> int:
-    """Octets of a time of day with `scale` digits behind the second."""
+    """Returns the size in octets of a time of day with `scale` fractional digits of the second."""
     return 3 if scale <= 2 else 4 if scale <= 4 else 5
 
 
--- a/wickvane/net/tds/values.py
+++ b/wickvane/net/tds/values.py
@@ -1,7 +1,7 @@
-"""Values of TDS data types as octets: read or passed over in ROW, NBCROW, RETURNVALUE and RPC parameters.
+"""Reads or skips encoded values of TDS data types in ROW, NBCROW, RETURNVALUE and RPC parameters.
 
-A reader that reaches the end of the data raises IncompleteDataError, so that it can be called again with
-more; what can never be read raises ProtocolError. Values are bounded by MAX_VALUE_SIZE.
+A reader raises IncompleteDataError if the data ends before the value does, so that it can be called again
+with more data, and ProtocolError if the value is invalid. MAX_VALUE_SIZE bounds the size of a value.
 """
 
 from collections.abc import Callable
@@ -36,22 +36,22 @@
 PLP_NULL = 0xFFFFFFFFFFFFFFFF
 PLP_UNKNOWN_LENGTH = 0xFFFFFFFFFFFFFFFE
 TEXT_TIMESTAMP_SIZE = 8
-# Octets behind the time of day: the date, and the offset from UTC.
+# Octets that follow the time of day: the date and the offset from UTC.
 EXTRA_TIME_SIZES = {TIMEN: 0, DATETIME2N: DATE_SIZE, DATETIMEOFFSETN: DATE_SIZE + 2}
 
 
 def read_value(cursor: Cursor, info: TypeInfo) -> bytes | None:
-    """Reads a value's octets; None for NULL."""
+    """Returns a value's octets, or None for NULL."""
     return _READERS[info.type](cursor, info)
 
 
 def skip_value(cursor: Cursor, info: TypeInfo) -> None:
-    """Passes over a value; the same errors as read_value()."""
-    skipper_of(info)(cursor, info)
+    """Skips a value; raises the same errors as read_value()."""
+    value_skipper(info)(cursor, info)
 
 
-def skipper_of(info: TypeInfo) -> Callable[[Cursor, TypeInfo], object]:
-    """The function that passes over values of a type, to be looked up once for many rows."""
+def value_skipper(info: TypeInfo) -> Callable[[Cursor, TypeInfo], object]:
+    """Returns the function that skips values of a type, so that one lookup serves many rows."""
     return _SKIPPERS[info.type]
 
 
--- a/wickvane/rehearsal/tds.py
+++ b/wickvane/rehearsal/tds.py
@@ -80,7 +80,7 @@
                 + encoding.encode_nvarchar(query.id.decode())
             )
             report = token_encoding.encode_message(
-                tokens.INFO, errors.REPORT, 1, 0, f"work={work / 10:.1f} memory={memory:.0f}"
+                tokens.INFO, errors.LOAD_REPORT, 1, 0, f"work={work / 10:.1f} memory={memory:.0f}"
             )
             self.tokens(COLUMNS + row + report + token_encoding.encode_done(tokens.DONE_COUNT, 1))
         elif ending == Ending.REJECTED:
