--- a/tests/tds/generated_values.py
+++ b/tests/tds/generated_values.py
@@ -1,4 +1,4 @@
-"""Values of each TDS data type, generated as octets, and damage to them."""
+"""Generates encoded values of each TDS data type, and damages them."""
 
 import struct
 from random import Random
@@ -25,86 +25,86 @@
     **dict.fromkeys((0x3C, 0x3D, 0x3E, 0x7F), 8),
 }
 TIME_TYPES = (0x28, 0x29, 0x2A, 0x2B)
-LENGTHS = {0x6A: (5, 9, 13, 17), 0x6C: (5, 9, 13, 17)}
+DECIMAL_LENGTHS = {0x6A: (5, 9, 13, 17), 0x6C: (5, 9, 13, 17)}
 
 
-def octets(chance: Random, size: int) -> bytes:
-    return bytes(chance.randrange(256) for _ in range(size))
+def random_octets(rng: Random, size: int) -> bytes:
+    return bytes(rng.randrange(256) for _ in range(size))
 
 
-def word(chance: Random) -> str:
-    return "".join(chance.choice("abc'é中 \\\"\U0001f600") for _ in range(chance.randrange(12)))
+def random_text(rng: Random) -> str:
+    return "".join(rng.choice("abc'é中 \\\"\U0001f600") for _ in range(rng.randrange(12)))
 
 
-def encoded_plp(chance: Random, _info: bytes) -> bytes:
-    if chance.random() < 0.1:
+def encoded_plp(rng: Random, _info: bytes) -> bytes:
+    if rng.random() < 0.1:
         return b"\xff" * 8
-    chunks = [octets(chance, 2 * chance.randrange(1, 9)) for _ in range(chance.randrange(3))]
-    total = sum(map(len, chunks)) if chance.random() < 0.6 else 0xFFFFFFFFFFFFFFFE
+    chunks = [random_octets(rng, 2 * rng.randrange(1, 9)) for _ in range(rng.randrange(3))]
+    total = sum(map(len, chunks)) if rng.random() < 0.6 else 0xFFFFFFFFFFFFFFFE
     return struct.pack("<Q", total) + b"".join(struct.pack("<I", len(c)) + c for c in chunks) + bytes(4)
 
 
-def encoded_short_length(chance: Random, _info: bytes) -> bytes:
-    size = chance.choice((0xFFFF, 0, 2, 40, 8, 6, 2))
-    if chance.random() < 0.01:
-        size = chance.choice((42, 7))
-    return struct.pack("<H", size) + (octets(chance, size) if size != 0xFFFF else b"")
+def encoded_short_length(rng: Random, _info: bytes) -> bytes:
+    size = rng.choice((0xFFFF, 0, 2, 40, 8, 6, 2))
+    if rng.random() < 0.01:
+        size = rng.choice((42, 7))
+    return struct.pack("<H", size) + (random_octets(rng, size) if size != 0xFFFF else b"")
 
 
-def encoded_text(chance: Random, _info: bytes) -> bytes:
-    if chance.random() < 0.1:
+def encoded_text(rng: Random, _info: bytes) -> bytes:
+    if rng.random() < 0.1:
         return b"\0"
-    data = octets(chance, chance.randrange(20))
+    data = random_octets(rng, rng.randrange(20))
     return b"\x10" + bytes(24) + struct.pack("<I", len(data)) + data
 
 
-def encoded_variant(chance: Random, _info: bytes) -> bytes:
-    data = octets(chance, chance.randrange(20))
+def encoded_variant(rng: Random, _info: bytes) -> bytes:
+    data = random_octets(rng, rng.randrange(20))
     return struct.pack("<I", len(data)) + data
 
 
-def encoded_time(chance: Random, info: bytes) -> bytes:
+def encoded_time(rng: Random, info: bytes) -> bytes:
     scale = info[1] if len(info) > 1 else 0
     time_size = 3 if scale <= 2 else 4 if scale <= 4 else 5
     size = {0x28: 3, 0x29: time_size, 0x2A: time_size + 3, 0x2B: time_size + 5}[info[0]]
-    data = bytearray(octets(chance, size))
-    if chance.random() < 0.9:
-        data[time_size - 1] = chance.randrange({0: 2, 3: 5, 7: 201}[scale])
-        data[size - 1] = chance.choice((0, 1, 255, 254) if info[0] == 0x2B else (0, 1, 0x20))
+    data = bytearray(random_octets(rng, size))
+    if rng.random() < 0.9:
+        data[time_size - 1] = rng.randrange({0: 2, 3: 5, 7: 201}[scale])
+        data[size - 1] = rng.choice((0, 1, 255, 254) if info[0] == 0x2B else (0, 1, 0x20))
     return bytes((size,)) + bytes(data)
 
 
-def encoded_byte_length(chance: Random, info: bytes) -> bytes:
-    size = chance.choice(LENGTHS.get(info[0], info[1:2]))
-    if chance.random() < 0.002:
+def encoded_byte_length(rng: Random, info: bytes) -> bytes:
+    size = rng.choice(DECIMAL_LENGTHS.get(info[0], info[1:2]))
+    if rng.random() < 0.002:
         size += 1
-    return bytes((size,)) + octets(chance, size)
+    return bytes((size,)) + random_octets(rng, size)
 
 
-def encoded_value(chance: Random, info: bytes) -> bytes:
-    """A value's octets, mostly well formed, for a type's TYPE_INFO."""
+def encoded_value(rng: Random, info: bytes) -> bytes:
+    """Returns an encoded value, usually valid, for a type's TYPE_INFO."""
     code = info[0]
     if code in FIXED_SIZES:
-        return octets(chance, FIXED_SIZES[code])
+        return random_octets(rng, FIXED_SIZES[code])
     if code == 0xF1 or info[1:3] == b"\xff\xff" and code > 0xA0:
-        return encoded_plp(chance, info)
+        return encoded_plp(rng, info)
     if code > 0xA0:
-        return encoded_short_length(chance, info)
+        return encoded_short_length(rng, info)
     if code in ENCODERS:
-        return ENCODERS[code](chance, info)
-    if chance.random() < 0.1:
+        return ENCODERS[code](rng, info)
+    if rng.random() < 0.1:
         return b"\0"
     encode = encoded_time if code in TIME_TYPES else encoded_byte_length
-    return encode(chance, info)
+    return encode(rng, info)
 
 
 ENCODERS = {0x22: encoded_text, 0x23: encoded_text, 0x63: encoded_text, 0x62: encoded_variant}
 
 
-def damaged(chance: Random, data: bytes) -> bytes:
-    """The data with a few octets changed, or cut."""
+def damaged(rng: Random, data: bytes) -> bytes:
+    """Returns the data with a few octets changed, in some cases also truncated."""
     changed = bytearray(data)
-    for _ in range(chance.randrange(1, 4)):
+    for _ in range(rng.randrange(1, 4)):
         if changed:
-            changed[chance.randrange(len(changed))] = chance.randrange(256)
-    return bytes(changed[: chance.randrange(len(changed) + 1)] if chance.random() < 0.3 else changed)
+            changed[rng.randrange(len(changed))] = rng.randrange(256)
+    return bytes(changed[: rng.randrange(len(changed) + 1)] if rng.random() < 0.3 else changed)
--- a/tests/tds/helpers.py
+++ b/tests/tds/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of TDS share: a dispatcher with a TDS listener, and clients."""
+"""Helpers for the TDS tests: a dispatcher with a TDS listener, and clients."""
 
 import copy
 import socket
@@ -18,7 +18,7 @@
 
 
 def engine_entries(engines: Sequence[TdsEngine | Engine]) -> list[dict]:
-    """Entries of the list: lines and TDS engines by their class, names by their place."""
+    """Returns endpoint list entries with names by position and engine types by class."""
     return [
         entry(f"e{n}", engine.address) | {"type": "mssql" if isinstance(engine, TdsEngine) else "old"}
         for n, engine in enumerate(engines)
@@ -26,46 +26,50 @@
 
 
 def tds_settings(**changes: dict) -> dict:
-    """The bench's settings with an engine type for TDS; changes: by name, values to set in it."""
-    made = copy.deepcopy(SETTINGS)
-    made["host_types"] = ["old", "mssql"]
-    made["family_info"] |= {"size_cores": [8, 8], "size_mb": [16384.0, 16384.0]}
-    made["classes"][0]["late_worth"] = 0.2
-    for name, value in changes.items():
-        made[name] = made.get(name, {}) | value
-    return made
+    """Returns the test settings with a TDS engine type; changes: by section name, values to set in it."""
+    settings = copy.deepcopy(SETTINGS)
+    settings["host_types"] = ["old", "mssql"]
+    settings["family_info"] |= {"size_cores": [8, 8], "size_mb": [16384.0, 16384.0]}
+    settings["classes"][0]["late_worth"] = 0.2
+    for section, value in changes.items():
+        settings[section] = settings.get(section, {}) | value
+    return settings
 
 
 class Dispatcher:
-    """The whole program's threads with a TDS listener; `found` as the clients of bench_free want it."""
+    """A dispatcher that runs in this process and has a TDS listener.
+
+    found: the configuration, under the name that the clients of bench_free read."""
 
     def __init__(
         self,
         *engines,
         coordinator=None,
-        body=RULE,
-        engine_body='user "w"',
-        more="",
+        rules=RULE,
+        engine_nodes='user "w"',
+        extra_nodes="",
         flows=None,
-        known_=None,
+        known_engines=None,
         **changes,
     ):
         self.port = free_port()
-        text = (
-            f'tds {{ listen "127.0.0.1:{self.port}"\n{body}\n{more}\nengines "mssql" {{ {engine_body} }} }}'
+        document = (
+            f'tds {{ listen "127.0.0.1:{self.port}"\n{rules}\n{extra_nodes}\n'
+            f'engines "mssql" {{ {engine_nodes} }} }}'
         )
-        self.parts = parts.read_text(text) | ({"flows": flows} if flows else {})
+        self.parts = parts.read_text(document) | ({"flows": flows} if flows else {})
         self.found = found([], coordinator or Events())
         self.found["settings"] = tds_settings(**changes)
-        entries = known_ if known_ is not None else engine_entries(engines)
+        entries = known_engines if known_engines is not None else engine_entries(engines)
         self.found["known"]["updates"] = [event(1, *entries, snapshot=True)]
         self.log = tempfile.TemporaryFile()
         STANDING.append(self.log)
         self.service = Service(self.found, self.log.fileno(), self.parts)
         self.service.start()
 
-    def connect(self, **how: object) -> pytds.Connection:
-        usual = dict(
+    def connect(self, **options: object) -> pytds.Connection:
+        """Connects a driver; options: by name, in place of the defaults."""
+        defaults = dict(
             port=self.port,
             user="u",
             password="p",
@@ -75,25 +79,27 @@
             timeout=15,
             login_timeout=15,
         )
-        return pytds.connect("127.0.0.1", **usual | how)
+        return pytds.connect("127.0.0.1", **defaults | options)
 
 
 def ask(connection: pytds.Connection, text: str, *values: object) -> list[tuple]:
-    """The rows of a query."""
+    """Runs a query; returns its rows."""
     with connection.cursor() as cursor:
         cursor.execute(text, values) if values else cursor.execute(text)
         return cursor.fetchall()
 
 
-def error_number(call: Callable, *words: object) -> int:
-    """The number of the error that a driver raises."""
-    with pytest.raises(pytds.Error) as wrong:
-        call(*words)
-    return getattr(wrong.value, "number", None) or wrong.value.__cause__.number
+def error_number(call: Callable, *arguments: object) -> int:
+    """Returns the number of the error that a driver raises in a call."""
+    with pytest.raises(pytds.Error) as raised:
+        call(*arguments)
+    return getattr(raised.value, "number", None) or raised.value.__cause__.number
 
 
 class RawClient:
-    """A TDS client by hand, behind its login."""
+    """A TDS client that encodes its own messages.
+
+    login: whether to log in; size: the packet size to request."""
 
     def __init__(self, port: int, login: bool = True, size: int = 4096) -> None:
         self.sock = socket.create_connection(("127.0.0.1", port), timeout=10)
@@ -109,31 +115,33 @@
             self.send(packets.LOGIN7, login7.encode_login7("u", "p", "Report", "bi", size))
             self.tokens()
 
-    def send(self, kind: int, body: bytes) -> None:
-        self.sock.sendall(packets.encode_packets(kind, body))
+    def send(self, message_type: int, body: bytes) -> None:
+        self.sock.sendall(packets.encode_packets(message_type, body))
 
     def batch(self, text: str) -> None:
         self.send(packets.SQL_BATCH, sql_batch.encode_sql_batch(text))
 
     def message(self) -> bytes | None:
-        while (found := self.assembler.next_message()) is None:
+        """Receives a message; returns its body, or None if the connection is closed."""
+        while (message := self.assembler.next_message()) is None:
             data = self.sock.recv(65_536)
             if not data:
                 return None
             self.assembler.feed(data)
-        return found.body
+        return message.body
 
     def tokens(self) -> list[tuple]:
-        return [(token, said) for token, _, said in tokens.TokenStreamReader().feed(self.message())]
+        """Receives a message; returns the types and contents of its tokens."""
+        return [(token, content) for token, _, content in tokens.TokenStreamReader().feed(self.message())]
 
 
 def long_answer(query: Query, count: int = 3000, size: int = 400, end: bool = True) -> None:
-    """Answers with `count` rows of some `size` octets; end: and a DONE."""
-    framer = packets.PacketWriter(packets.TABULAR_RESULT)
-    query.conn.send(framer.write(COLUMNS))
-    one = b"".join(row(n, "x" * (size // 4)) for n in range(10))
+    """Answers with `count` rows of about `size` octets each; end: whether a final DONE follows."""
+    writer = packets.PacketWriter(packets.TABULAR_RESULT)
+    query.conn.send(writer.write(COLUMNS))
+    rows = b"".join(row(n, "x" * (size // 4)) for n in range(10))
     for _ in range(count // 10):
-        if not query.conn.send_on(framer.write(one)):
+        if not query.conn.send_on(writer.write(rows)):
             return
     if end:
-        query.conn.send(framer.finish(token_encoding.encode_done(tokens.DONE_COUNT, count)))
+        query.conn.send(writer.finish(token_encoding.encode_done(tokens.DONE_COUNT, count)))
--- a/tests/tds/test_codec.py
+++ b/tests/tds/test_codec.py
@@ -1,4 +1,4 @@
-"""TDS on its own: packets, logins, calls, types and tokens, cut at any byte; arbitrary bytes never harm."""
+"""Tests of the TDS codec: packets, logins, RPC calls, types and tokens, split anywhere; arbitrary bytes."""
 
 import struct
 from datetime import date, datetime, time
@@ -31,18 +31,18 @@
 from wickvane.net.tds.cursor import Cursor, IncompleteDataError
 
 
-def messages(data, cuts=(), most=1 << 16):
-    assembler, found, at = (
-        packets.MessageAssembler(most, packets.CLIENT_TYPES | {packets.TABULAR_RESULT}),
+def messages(data, split_points=(), max_size=1 << 16):
+    assembler, received, position = (
+        packets.MessageAssembler(max_size, packets.CLIENT_TYPES | {packets.TABULAR_RESULT}),
         [],
         0,
     )
-    for cut in [*sorted(cuts), len(data)]:
-        assembler.feed(data[at:cut])
-        at = cut
+    for split_point in [*sorted(split_points), len(data)]:
+        assembler.feed(data[position:split_point])
+        position = split_point
         while (message := assembler.next_message()) is not None:
-            found.append(message)
-    return found
+            received.append(message)
+    return received
 
 
 @settings(max_examples=60, deadline=None)
@@ -53,25 +53,25 @@
     st.integers(512, 2000),
     st.integers(0, 1 << 32),
 )
-def test_messages_split_into_packets_and_cut_anywhere_come_back(sent, size, seed):
-    data = b"".join(packets.encode_packets(kind, body, size) for kind, body in sent)
-    chance = Random(seed)
-    cuts = [chance.randrange(len(data) + 1) for _ in range(6)] if data else []
-    assert [(kind, body) for kind, _, body in messages(data, cuts)] == sent
+def test_messages_are_reassembled_from_packets_split_anywhere(sent, size, seed):
+    data = b"".join(packets.encode_packets(message_type, body, size) for message_type, body in sent)
+    rng = Random(seed)
+    cuts = [rng.randrange(len(data) + 1) for _ in range(6)] if data else []
+    assert [(message_type, body) for message_type, _, body in messages(data, cuts)] == sent
 
 
-def test_a_framer_makes_the_same_message_of_any_pieces():
+def test_a_packet_writer_encodes_the_same_message_from_pieces_of_any_size():
     body = bytes(range(256)) * 40
     for step in (1, 100, 5000, 20_000):
-        framer = packets.PacketWriter(packets.TABULAR_RESULT, 512)
+        writer = packets.PacketWriter(packets.TABULAR_RESULT, 512)
         data = (
-            b"".join(framer.write(body[at : at + step]) for at in range(0, len(body), step)) + framer.finish()
+            b"".join(writer.write(body[at : at + step]) for at in range(0, len(body), step)) + writer.finish()
         )
         assert [found[2] for found in messages(data)] == [body]
 
 
 @pytest.mark.parametrize(
-    "data, why",
+    "data, reason",
     [
         (b"\x63\x01\x00\x08\0\0\0\0", "type"),
         (b"\x01\x01\x00\x07\0\0\0\0", "length"),
@@ -84,17 +84,17 @@
         (packets.encode_packets(1, bytes(70_000)), "too long"),
     ],
 )
-def test_packets_that_lie_are_refused(data, why):
-    with pytest.raises(ProtocolError, match=why):
+def test_invalid_packets_are_rejected(data, reason):
+    with pytest.raises(ProtocolError, match=reason):
         messages(data)
 
 
-def test_an_attention_gives_up_the_message_that_was_being_sent():
-    half = packets.HEADER.pack(1, 0, 12, 0, 1, 0) + b"half"
-    assert messages(half + packets.encode_packets(packets.ATTENTION, b"")) == [(packets.ATTENTION, 1, b"")]
+def test_an_attention_discards_an_incomplete_message():
+    start = packets.HEADER.pack(1, 0, 12, 0, 1, 0) + b"half"
+    assert messages(start + packets.encode_packets(packets.ATTENTION, b"")) == [(packets.ATTENTION, 1, b"")]
 
 
-def test_a_login_is_read_as_it_was_written_and_features_are_skipped():
+def test_an_encoded_login_is_decoded_with_the_ids_of_its_features():
     body = bytearray(login7.encode_login7("ann", "pä'ss", "Report Tool", "bi"))
     login = login7.read_login7(bytes(body))
     assert (login.user, login.password) == ("ann", "pä'ss")
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize("name", RAW)
-def test_values_of_each_type_are_read_and_skipped_to_the_same_end(name):
+def test_reading_and_skipping_a_value_consume_the_same_octets(name):
     raw_info, raw, value = RAW[name]
     info = type_info.read_type_info(Cursor(raw_info))
     assert info.raw == raw_info
@@ -159,7 +159,7 @@
             values.read_value(Cursor(raw[:cut]), info)
 
 
-def stream():
+def encoded_stream():
     named = [(name, raw_info) for name, (raw_info, _, _) in RAW.items() if name != "text"]
     body = (
         token_encoding.encode_colmetadata(named)
@@ -167,13 +167,13 @@
         + token_encoding.encode_envchange(tokens.ENV_DATABASE, "a", "b")
     )
     row = bytes((tokens.ROW,)) + b"".join(RAW[name][1] for name, _ in named)
-    bits = bytearray((len(named) + 7) // 8)
-    bits[0] |= 3
-    nbc = bytes((tokens.NBCROW,)) + bytes(bits) + b"".join(RAW[name][1] for name, _ in named[2:])
+    null_bitmap = bytearray((len(named) + 7) // 8)
+    null_bitmap[0] |= 3
+    nbcrow = bytes((tokens.NBCROW,)) + bytes(null_bitmap) + b"".join(RAW[name][1] for name, _ in named[2:])
     value = token_encoding.encode_return_value(0, "@x", encoding.INT_INFO, encoding.encode_int(7))
     body += (
         row * 3
-        + nbc
+        + nbcrow
         + token_encoding.encode_return_status(4)
         + value
         + token_encoding.encode_message(tokens.ERROR, 50000, 1, 16, "no")
@@ -181,15 +181,15 @@
     return body + token_encoding.encode_done(tokens.DONE_COUNT, 4), named
 
 
-def test_a_token_stream_cut_at_every_byte_reads_the_same():
-    data, named = stream()
-    whole = [(token, raw) for token, raw, _ in tokens.TokenStreamReader().feed(data)]
-    assert b"".join(raw for _, raw in whole) == data and whole[-1][0] == tokens.DONE
+def test_a_token_stream_split_at_any_octet_yields_the_same_tokens():
+    data, named = encoded_stream()
+    expected = [(token, raw) for token, raw, _ in tokens.TokenStreamReader().feed(data)]
+    assert b"".join(raw for _, raw in expected) == data and expected[-1][0] == tokens.DONE
     for cut in range(len(data) + 1):
         reader = tokens.TokenStreamReader()
-        assert [(a, b) for piece in (data[:cut], data[cut:]) for a, b, _ in reader.feed(piece)] == whole
+        assert [(a, b) for piece in (data[:cut], data[cut:]) for a, b, _ in reader.feed(piece)] == expected
     columns = next(
-        said for token, _, said in tokens.TokenStreamReader().feed(data) if token == tokens.COLMETADATA
+        content for token, _, content in tokens.TokenStreamReader().feed(data) if token == tokens.COLMETADATA
     )
     row = next(raw for token, raw, _ in tokens.TokenStreamReader().feed(data) if token == tokens.ROW)
     read = [
@@ -197,8 +197,8 @@
         for column, raw in zip(columns, tokens.row_values(row, columns))
     ]
     assert read == [RAW[name][2] for name, _ in named]
-    nbc = next(raw for token, raw, _ in tokens.TokenStreamReader().feed(data) if token == tokens.NBCROW)
-    assert tokens.row_values(nbc, columns)[:2] == [None, None]
+    nbcrow = next(raw for token, raw, _ in tokens.TokenStreamReader().feed(data) if token == tokens.NBCROW)
+    assert tokens.row_values(nbcrow, columns)[:2] == [None, None]
 
 
 def call(number, *parameters):
@@ -212,52 +212,52 @@
     return encoding.nvarchar_info(), encoding.encode_nvarchar(value)
 
 
-UNTOUCHED = "SELECT '@a', [@a], \"@a\" /* @a */ -- @a\n FROM s_1.t WHERE "
+UNCHANGED_TEXT = "SELECT '@a', [@a], \"@a\" /* @a */ -- @a\n FROM s_1.t WHERE "
 
 
 def test_a_call_with_parameters_becomes_one_statement_and_only_parameters_are_replaced():
-    asked = call(
+    request = call(
         rpc.ProcedureId.EXECUTESQL,
-        ("", *text(UNTOUCHED + "x=@a AND y=@B AND z=@ab AND @@rowcount=@c")),
+        ("", *text(UNCHANGED_TEXT + "x=@a AND y=@B AND z=@ab AND @@rowcount=@c")),
         ("", *text("@a nvarchar(10), @b int, @ab datetime, @c decimal(9,2)")),
         ("@a", *text("it's")),
         ("@b", encoding.INT_INFO, encoding.encode_int(-4)),
         ("", b"\x6f\x08", RAW["datetime"][1]),
         ("", RAW["decimal"][0], RAW["decimal"][1]),
     )
-    statement, told = rpc.statement_to_run(asked, rpc.PreparedStatements())
+    statement, answer_tokens = rpc.statement_to_run(request, rpc.PreparedStatements())
     assert statement == (
-        UNTOUCHED + "x=N'it''s' AND y=-4 AND z='1900-01-02T00:00:01.000' AND @@rowcount=-123.45"
+        UNCHANGED_TEXT + "x=N'it''s' AND y=-4 AND z='1900-01-02T00:00:01.000' AND @@rowcount=-123.45"
     )
-    assert told == b""
+    assert answer_tokens == b""
 
 
-def test_prepared_statements_are_held_and_bounded():
+def test_prepared_statements_are_stored_up_to_a_maximum():
     prepared = rpc.PreparedStatements()
-    asked = call(
+    request = call(
         rpc.ProcedureId.PREPEXEC,
         ("", encoding.INT_INFO, encoding.encode_int(None)),
         ("", *text("@p int")),
         ("", *text("SELECT @p")),
         ("@p", encoding.INT_INFO, encoding.encode_int(3)),
     )
-    statement, told = rpc.statement_to_run(asked, prepared)
-    assert statement == "SELECT 3" and told[0] == tokens.RETURNVALUE
-    again = call(
+    statement, answer_tokens = rpc.statement_to_run(request, prepared)
+    assert statement == "SELECT 3" and answer_tokens[0] == tokens.RETURNVALUE
+    execute_request = call(
         rpc.ProcedureId.EXECUTE,
         ("", encoding.INT_INFO, encoding.encode_int(1)),
         ("", encoding.INT_INFO, encoding.encode_int(9)),
     )
-    assert rpc.statement_to_run(again, prepared)[0] == "SELECT 9"
+    assert rpc.statement_to_run(execute_request, prepared)[0] == "SELECT 9"
     for _ in range(rpc.MAX_PREPARED_STATEMENTS):
         prepared.add("x", "")
     assert len(prepared.by_handle) == rpc.MAX_PREPARED_STATEMENTS
     with pytest.raises(ProtocolError, match="handle"):
-        rpc.statement_to_run(again, prepared)
+        rpc.statement_to_run(execute_request, prepared)
 
 
 @pytest.mark.parametrize(
-    "said, answered",
+    "statement, answered",
     [
         ("SET ANSI_NULLS ON", True),
         ("set textsize 100; SET NOCOUNT ON;", True),
@@ -276,11 +276,11 @@
         ("SELECT @@version, * FROM sales_1.t", False),
     ],
 )
-def test_only_set_up_statements_that_touch_nothing_are_answered_here(said, answered):
-    assert (session_setup.answer_setup_statement(said, "master") is not None) == answered
+def test_only_setup_statements_that_access_no_data_are_answered_by_the_dispatcher(statement, answered):
+    assert (session_setup.answer_setup_statement(statement, "master") is not None) == answered
 
 
-def test_pages_become_rows_of_either_width():
+def test_result_pages_are_encoded_as_nvarchar_or_nvarchar_max():
     for cell in ("x", "é" * 10, "y" * 5000):
         data, count = results.encode_pages([f"a\tb\t{cell}\n".encode(), b"1\t\t2\n"])
         read = list(tokens.TokenStreamReader().feed(data))
@@ -296,7 +296,7 @@
 
 
 SEEDS = [
-    stream()[0],
+    encoded_stream()[0],
     login7.encode_login7("u", "p"),
     prelogin.encode_prelogin({0: bytes(6), 1: b"\2"}),
     sql_batch.encode_sql_batch("SELECT 1"),
@@ -306,12 +306,12 @@
 
 @settings(max_examples=400, deadline=None)
 @given(inputs(SEEDS, 400, 3000))
-def test_arbitrary_bytes_raise_the_stated_error_or_nothing(data):
+def test_arbitrary_bytes_raise_no_error_except_protocol_error(data):
 
     def rows(data):
         reader, columns = tokens.TokenStreamReader(), None
-        for token, raw, said in reader.feed(data):
-            columns = said if token == tokens.COLMETADATA and said is not None else columns
+        for token, raw, content in reader.feed(data):
+            columns = content if token == tokens.COLMETADATA and content is not None else columns
             if token in (tokens.ROW, tokens.NBCROW):
                 described = tokens.Token(tokens.COLMETADATA, b"", columns)
                 results.PostgresRows().encode([described, tokens.Token(token, raw, None)])
--- a/tests/tds/test_generated_faults.py
+++ b/tests/tds/test_generated_faults.py
@@ -1,4 +1,4 @@
-"""A generated run of faults, the same on each protocol and on a mixed pool of engines."""
+"""Generated faults, the same for each protocol and for a mixed pool of engines."""
 
 import random
 import time
@@ -31,7 +31,7 @@
 
 
 class ScriptedQuery(NamedTuple):
-    """When a query is asked (seconds), its group and key, and what each attempt meets after `delay` s."""
+    """A query's start in seconds, its group and key, and the fault of each attempt after `delay` seconds."""
 
     at: float
     group: str
@@ -41,13 +41,13 @@
 
 
 def generated_script(seed: int) -> dict[int, ScriptedQuery]:
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     script = {}
     for n in range(1, QUERIES + 1):
-        faults = [chance.choices(FAULTS, FAULT_WEIGHTS)[0] for _ in range(6)]
-        group = chance.choices(("lookup", "load", "change"), (6, 2, 2))[0]
-        key = chance.randrange(2) if group == "load" else None
-        script[n] = ScriptedQuery(n * 0.03, group, key, faults, chance.uniform(0.0, 0.05))
+        faults = [rng.choices(FAULTS, FAULT_WEIGHTS)[0] for _ in range(6)]
+        group = rng.choices(("lookup", "load", "change"), (6, 2, 2))[0]
+        key = rng.randrange(2) if group == "load" else None
+        script[n] = ScriptedQuery(n * 0.03, group, key, faults, rng.uniform(0.0, 0.05))
     return script
 
 
@@ -57,7 +57,7 @@
 
 
 class LineEngine(Engine):
-    """An engine of the line protocol; fault: what an attempt meets, by engine name and query id."""
+    """An engine of the line protocol; fault: returns an attempt's fault, given engine name and query id."""
 
     def __init__(self, fault: Callable[[str, str], str]) -> None:
         self.fault = fault
@@ -68,31 +68,31 @@
             words = line.split()
             if words[0] == b"ASK":
                 lines.read(int(words[3]) + 2)
-                Thread(target=self.one, args=(conn, words[1]), daemon=True).start()
+                Thread(target=self.answer_query, args=(conn, words[1]), daemon=True).start()
 
-    def one(self, conn, txn: bytes) -> None:
-        what = self.fault(self.name, txn.decode())
+    def answer_query(self, conn, txn: bytes) -> None:
+        fault = self.fault(self.name, txn.decode())
         answers = {
             "answer": hit(txn),
             "turned-away": b"%b SHED - 0\r\n\r\n" % txn,
             "error": b"%b FAULT - 0\r\n\r\n" % txn,
         }
         try:
-            if what == "reset":
+            if fault == "reset":
                 reset(conn)
-            elif what != "silent":
-                conn.sendall(answers[what])
+            elif fault != "silent":
+                conn.sendall(answers[fault])
         except OSError:
             pass
 
 
 class FaultRun:
-    """One script of queries and faults, played on engines of these types by clients of these protocols."""
+    """Runs one script of queries and faults on engines of given types, by clients of given protocols."""
 
-    def __init__(self, seed: int, fronts: list[str], kinds: list[str]) -> None:
+    def __init__(self, seed: int, client_protocols: list[str], engine_types: list[str]) -> None:
         self.script = generated_script(seed)
-        self.fronts = fronts
-        self.kinds = kinds
+        self.client_protocols = client_protocols
+        self.engine_types = engine_types
         self.attempts: dict[int, int] = {}
         self.seen = Seen(
             Figures(
@@ -104,73 +104,75 @@
                 work=WORK,
             )
         )
-        self.engines = [self._engine(n, kind) for n, kind in enumerate(kinds)]
+        self.engines = [self._engine(n, engine_type) for n, engine_type in enumerate(engine_types)]
         self.coordinator = Events()
         self.entries = engine_entries(self.engines[:4])
-        for one, kind in zip(self.entries, kinds):
-            one["type"] = kind
+        for list_entry, engine_type in zip(self.entries, engine_types):
+            list_entry["type"] = engine_type
         self.dispatcher = Dispatcher(
             coordinator=self.coordinator,
-            known_=self.entries,
-            more="lines-take-tds #true",
-            engine_body='user "w"; takes-postgres #true',
+            known_engines=self.entries,
+            extra_nodes="lines-take-tds #true",
+            engine_nodes='user "w"; takes-postgres #true',
             obligations=OBLIGATIONS,
         )
         self.coordinator.next("connected")
-        self.began = 0.0
+        self.started_at = 0.0
 
-    def _engine(self, n: int, kind: str) -> Engine | TdsEngine:
+    def _engine(self, n: int, engine_type: str) -> Engine | TdsEngine:
         name = f"e{n}"
-        engine = LineEngine(self.fault) if kind == "old" else TdsEngine(self._tds_answers(name))
+        engine = LineEngine(self.fault) if engine_type == "old" else TdsEngine(self._tds_answers(name))
         engine.name = name
-        self.seen.listed(0.0, engine.name, "ready", kind)
+        self.seen.listed(0.0, engine.name, "ready", engine_type)
         return engine
 
     def fault(self, name: str, id: str) -> str:
-        """What an attempt on an engine meets, once its delay is over."""
+        """Returns the fault of an attempt on an engine after the delay of its query."""
         n = int(id, 16)
-        place = self.seen.submitted(time.time(), id, name)
+        attempt_index = self.seen.submitted(time.time(), id, name)
         self.attempts[n] = self.attempts.get(n, 0) + 1
         time.sleep(self.script[n].delay)
-        what = self.script[n].faults[min(self.attempts[n], 6) - 1]
-        if what != "silent":
-            self.seen.ended(time.time(), place, {"answer": "finished"}.get(what, what))
-        return what
+        fault = self.script[n].faults[min(self.attempts[n], 6) - 1]
+        if fault != "silent":
+            self.seen.ended(time.time(), attempt_index, {"answer": "finished"}.get(fault, fault))
+        return fault
 
     def _tds_answers(self, name: str) -> Callable[[Query], bytes | None]:
         def answer(query: Query) -> bytes | None:
-            what = self.fault(name, query.id)
-            if what == "reset":
+            fault = self.fault(name, query.id)
+            if fault == "reset":
                 reset(query.conn.sock)
-            elif what != "silent":
+            elif fault != "silent":
                 return {
                     "answer": result((1, "a")),
                     "turned-away": error_tokens(10929, "busy"),
                     "error": error_tokens(8134, "zero"),
-                }[what]
+                }[fault]
             return None
 
         return answer
 
-    def client(self, n: int) -> None:
-        """Asks one query of the script, and notes its answer."""
+    def run_client(self, n: int) -> None:
+        """Sends one query of the script and records its answer."""
         query = self.script[n]
-        front = self.fronts[n % len(self.fronts)]
-        more = {"unique": f"t{n}"} if query.group == "load" else {}
+        client_protocol = self.client_protocols[n % len(self.client_protocols)]
+        extra_fields = {"unique": f"t{n}"} if query.group == "load" else {}
         if query.key is not None:
-            more["item"] = f"k{query.key}"
-        text = statement(f"SELECT 1 FROM sales_{n % 5}.t", verb=query.group, n=n, limit=3000, **more)
+            extra_fields["item"] = f"k{query.key}"
+        text = statement(f"SELECT 1 FROM sales_{n % 5}.t", verb=query.group, n=n, limit=3000, **extra_fields)
         id = f"{n:016x}"
-        connection = self.dispatcher.connect() if front == "tds" else Client(self.dispatcher)
-        time.sleep(max(0.0, self.began + query.at - time.time()))
+        connection = self.dispatcher.connect() if client_protocol == "tds" else Client(self.dispatcher)
+        time.sleep(max(0.0, self.started_at + query.at - time.time()))
         self.seen.taken(time.time(), id, query.group, 3.0, query.key)
-        answer = tds_answer(connection, text) if front == "tds" else postgres_answer(connection, text)
+        answer = (
+            tds_answer(connection, text) if client_protocol == "tds" else postgres_answer(connection, text)
+        )
         self.seen.answered(time.time(), id, answer)
 
-    def play(self) -> tuple:
-        """The checker's breaches and what it checked."""
-        self.began = time.time() + 0.5
-        threads = [Thread(target=self.client, args=(n,), daemon=True) for n in self.script]
+    def run(self) -> tuple:
+        """Runs the script; returns the rule checker's breaches and the counts of what it checked."""
+        self.started_at = time.time() + 0.5
+        threads = [Thread(target=self.run_client, args=(n,), daemon=True) for n in self.script]
         for thread in threads:
             thread.start()
         self._change_engines()
@@ -180,21 +182,21 @@
         return self.seen.breaches()
 
     def _change_engines(self) -> None:
-        """A drain with queries running, an engine that vanishes silently, then a cold one comes."""
-        time.sleep(max(0.0, self.began + 0.6 - time.time()))
+        """Drains an engine with queries in flight, silences another one and adds a cold one."""
+        time.sleep(max(0.0, self.started_at + 0.6 - time.time()))
         self.coordinator.send.put(sse(2, event(2, self.entries[1] | {"status": "Terminating"})))
-        self.seen.listed(time.time(), "e1", "draining", self.kinds[1])
+        self.seen.listed(time.time(), "e1", "draining", self.engine_types[1])
         time.sleep(0.4)
         self._silence(self.engines[2])
         cold = engine_entries(self.engines)[4]
-        cold |= {"type": self.kinds[4], "since_ms": int(time.time() * 1000)}
+        cold |= {"type": self.engine_types[4], "since_ms": int(time.time() * 1000)}
         self.coordinator.send.put(sse(3, event(3, cold)))
-        self.seen.listed(time.time(), "e4", "ready", self.kinds[4], started=time.time())
+        self.seen.listed(time.time(), "e4", "ready", self.engine_types[4], started=time.time())
 
     def _silence(self, engine: Engine | TdsEngine) -> None:
         if isinstance(engine, LineEngine):
             engine.answers = lambda *words: None
-            engine.one = lambda conn, txn: self.seen.submitted(time.time(), txn.decode(), "e2")
+            engine.answer_query = lambda conn, txn: self.seen.submitted(time.time(), txn.decode(), "e2")
         else:
             engine.answers = lambda query: self.seen.submitted(time.time(), query.id, "e2") and None
 
@@ -221,8 +223,8 @@
 
 @pytest.mark.parametrize("pool", POOLS)
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_generated_run_of_faults_keeps_the_rules_on_each_protocol_and_on_a_mixed_pool(seed, pool):
-    found_, counts = FaultRun(seed, *POOLS[pool]).play()
-    assert not found_
-    # The same is looked at on each: every query's one answer and effect, whatever it came and went by.
+def test_a_generated_run_of_faults_breaks_no_rule_on_any_engine_pool(seed, pool):
+    breaches, counts = FaultRun(seed, *POOLS[pool]).run()
+    assert not breaches
+    # Each pool is checked for one answer and one effect of every query, whatever the protocols are.
     assert counts[1] == counts[2] == 60 and counts[3] == counts[6] >= 60
--- a/tests/tds/test_hostile_peers.py
+++ b/tests/tds/test_hostile_peers.py
@@ -1,4 +1,4 @@
-"""Clients and engines that send what is not of the protocol, and storms of clients."""
+"""Tests of clients and engines that violate the protocol, and of login storms."""
 
 import socket
 import struct
@@ -11,56 +11,58 @@
 from wickvane.net.tds import login7, packets, prelogin, tokens
 
 
-def test_hostile_clients_cost_their_own_connection_only(monkeypatch):
+def test_hostile_clients_lose_only_their_own_connections(monkeypatch):
     monkeypatch.setattr("wickvane.net.front.FIRST_S", 0.3)
-    dispatcher = Dispatcher(TdsEngine(), more="connections 40")
+    dispatcher = Dispatcher(TdsEngine(), extra_nodes="connections 40")
     good = dispatcher.connect()
-    login = packets.encode_packets(
+    prelogin_packets = packets.encode_packets(
         packets.PRELOGIN, prelogin.encode_prelogin({prelogin.VERSION: bytes(6), prelogin.ENCRYPTION: b"\2"})
     )
-    inside = login + packets.encode_packets(packets.LOGIN7, login7.encode_login7("u", "p"))
+    logged_in = prelogin_packets + packets.encode_packets(packets.LOGIN7, login7.encode_login7("u", "p"))
     sent = [
-        login[:11],
+        prelogin_packets[:11],
         b"GET / HTTP/1.1\r\n\r\n",
         bytes(64),
         packets.HEADER.pack(18, 1, 0xFFFF, 0, 1, 0) + bytes(9000),
         packets.encode_packets(packets.PRELOGIN, b"\x00\xff\xff\xff\xff"),
         packets.encode_packets(packets.SQL_BATCH, bytes(50)),
-        login + packets.encode_packets(packets.LOGIN7, bytes(200)),
-        login + packets.encode_packets(packets.LOGIN7, b"\xff" * 94),
-        inside + packets.encode_packets(packets.SQL_BATCH, b"\xff" * 30),
-        inside + packets.encode_packets(packets.BULK_LOAD, b"abc"),
-        inside + packets.encode_packets(packets.SQL_BATCH, b"\4\0\0\0abc"),
-        inside + packets.encode_packets(packets.RPC, b"\4\0\0\0abc"),
-        login + packets.HEADER.pack(18, 0, 8, 0, 1, 0) * 9000,
+        prelogin_packets + packets.encode_packets(packets.LOGIN7, bytes(200)),
+        prelogin_packets + packets.encode_packets(packets.LOGIN7, b"\xff" * 94),
+        logged_in + packets.encode_packets(packets.SQL_BATCH, b"\xff" * 30),
+        logged_in + packets.encode_packets(packets.BULK_LOAD, b"abc"),
+        logged_in + packets.encode_packets(packets.SQL_BATCH, b"\4\0\0\0abc"),
+        logged_in + packets.encode_packets(packets.RPC, b"\4\0\0\0abc"),
+        prelogin_packets + packets.HEADER.pack(18, 0, 8, 0, 1, 0) * 9000,
     ]
     for data in sent:
-        client, told = socket.create_connection(("127.0.0.1", dispatcher.port), timeout=1.5), b""
+        client, response = socket.create_connection(("127.0.0.1", dispatcher.port), timeout=1.5), b""
         try:
             client.sendall(data)
             while more := client.recv(65_536):
-                told += more
+                response += more
         except TimeoutError:
-            assert data in sent[-1:] or b"\xaa" in told, "neither a word nor a close"
+            assert data in sent[-1:] or b"\xaa" in response, "neither an error message nor a close"
         except ConnectionError:
             pass
         client.close()
     with socket.create_connection(("127.0.0.1", dispatcher.port), timeout=10) as client:
-        client.sendall(inside)
+        client.sendall(logged_in)
         try:
             for _ in range(60 * 16):
                 client.sendall(packets.HEADER.pack(1, 0, 32_767, 0, 1, 0) + bytes(32_759) + bytes(32_768))
-            raise AssertionError("60 MB were taken")
+            raise AssertionError("60 MB were accepted")
         except OSError:
             pass
     assert ask(good, "SELECT 1 FROM sales_1.t") == [(1, "a")]
     assert dispatcher.service.counters.shown().get("faults", 0) == 0
 
 
-def test_a_storm_of_logins_is_bounded_and_the_house_serves_on():
-    dispatcher = Dispatcher(TdsEngine(), more="connections 24")
+def test_a_login_storm_is_bounded_and_other_clients_are_served():
+    dispatcher = Dispatcher(TdsEngine(), extra_nodes="connections 24")
     good, storm = dispatcher.connect(), []
-    assert ask(good, "SELECT 1 FROM sales_1.t") == [(1, "a")]  # who asked nothing would go first
+    assert ask(good, "SELECT 1 FROM sales_1.t") == [
+        (1, "a")
+    ]  # a client without a query would be disconnected first
     for _ in range(500):
         try:
             storm.append(socket.create_connection(("127.0.0.1", dispatcher.port), timeout=5))
@@ -75,16 +77,16 @@
 
 
 @pytest.mark.parametrize("spoilt", ["endless", "token", "type", "nothing-asked", "lengths", "half"])
-def test_an_engine_that_answers_nonsense_costs_its_own_connection_only(spoilt):
+def test_an_engine_that_sends_invalid_answers_loses_only_its_own_connection(spoilt):
     def answer(query):
         if len(sent) >= 1:
             return result((1, "a"))
         sent.append(query)
         if spoilt == "endless":
-            framer = packets.PacketWriter(packets.TABULAR_RESULT)
+            writer = packets.PacketWriter(packets.TABULAR_RESULT)
             info = bytes((tokens.RETURNVALUE,)) + b"\0\0\xff" + bytes(510)
             try:
-                query.conn.send(framer.write(info + bytes(4 << 20)))
+                query.conn.send(writer.write(info + bytes(4 << 20)))
             except OSError:
                 pass
         elif spoilt == "token":
--- a/tests/tds/test_retries.py
+++ b/tests/tds/test_retries.py
@@ -1,4 +1,4 @@
-"""Which batches may be sent again: what an engine or a connection that fails proves."""
+"""Tests of which batches are retried: what the failure of an engine or a connection proves."""
 
 import copy
 import random
@@ -20,19 +20,19 @@
 
 
 @pytest.mark.parametrize(
-    "how, answer",
+    "failure, answer",
     [("reset", errors.KILLED), ("error", errors.KILLED), ("busy", None), ("half", errors.KILLED)],
 )
-def test_a_mutating_batch_is_sent_again_only_where_nothing_ran(how, answer):
+def test_a_mutating_batch_is_retried_only_if_nothing_ran(failure, answer):
     def first(query):
         if len(sent) == 1:
-            if how == "reset":
+            if failure == "reset":
                 reset(query.conn.sock)
-            elif how == "error":
+            elif failure == "error":
                 return token_encoding.encode_message(
                     tokens.ERROR, 547, 1, 16, "conflict"
                 ) + token_encoding.encode_done(tokens.DONE_ERROR)
-            elif how == "busy":
+            elif failure == "busy":
                 return token_encoding.encode_message(
                     tokens.ERROR, 10929, 1, 16, "busy"
                 ) + token_encoding.encode_done(tokens.DONE_ERROR)
@@ -53,8 +53,8 @@
     assert len(sent) == (1 if answer else 2)
 
 
-@pytest.mark.parametrize("window, sends", [(12000.0, 2), (1.0, 1)])
-def test_a_tokened_batch_is_sent_again_within_its_window_alone(window, sends):
+@pytest.mark.parametrize("window, expected_attempts", [(12000.0, 2), (1.0, 1)])
+def test_a_tokened_batch_is_retried_only_within_its_idempotency_window(window, expected_attempts):
     sent = []
 
     def first(query):
@@ -67,30 +67,30 @@
 
     classes = copy.deepcopy(SETTINGS["classes"])
     classes[1]["repeat_window_ms"] = window
-    made = tds_settings()
+    changed_settings = tds_settings()
     engines = [TdsEngine(first) for _ in range(2)]
-    made["classes"] = classes
+    changed_settings["classes"] = classes
     dispatcher = Dispatcher(*engines, family_info={})
     if window == 1.0:
         scheduler = dispatcher.service.decider.scheduler
         scheduler.groups[:] = [g._replace(idempotency_window=10) for g in scheduler.groups]
     with dispatcher.connect() as client:
         text = statement("INSERT INTO sales_3.t VALUES (1)", verb="load", n=9, unique="tok", item="k")
-        if sends == 2:
+        if expected_attempts == 2:
             assert ask(client, text)
         else:
             assert error_number(ask, client, text) in (errors.KILLED, errors.DEFERRED)
-    assert sent == ["tok"] * sends
+    assert sent == ["tok"] * expected_attempts
 
 
-@pytest.mark.parametrize("refusal", ["login", "route", "encrypted", "closed"])
-def test_an_engine_that_lets_nobody_in_proves_that_nothing_ran(refusal):
+@pytest.mark.parametrize("rejection", ["login", "route", "encrypted", "closed"])
+def test_a_failed_engine_login_proves_that_nothing_ran(rejection):
     bad, good = TdsEngine(), TdsEngine()
-    if refusal == "login":
+    if rejection == "login":
         bad.refuses = (18456, 1, 14, "Login failed")
-    elif refusal == "encrypted":
+    elif rejection == "encrypted":
         bad.encryption = prelogin.ENCRYPT_REQUIRED
-    elif refusal == "closed":
+    elif rejection == "closed":
         bad.end()
     else:
         bad.refuses = (40613, 1, 20, "moving")
@@ -99,7 +99,7 @@
         for n in range(1, 9):
             text = statement(f"UPDATE sales_{n}.t SET a=1", verb="change", n=n)
             assert ask(client, text) == [(1, "a")]
-    if refusal != "closed":
+    if rejection != "closed":
         counters = dispatcher.service.counters
         until(lambda: counters.shown().get("engine-connections-ended-login-refused"))
         until(lambda: counters.shown().get("ending-no-connection"))
@@ -112,15 +112,13 @@
         (lambda conn: time.sleep(1.5), "write-stalled"),
     ],
 )
-def test_a_batch_lost_before_its_last_byte_has_left_ran_nowhere_and_goes_to_another(
-    monkeypatch, broken, reason
-):
+def test_a_batch_lost_before_its_last_octet_is_sent_is_retried_on_another_engine(monkeypatch, broken, reason):
     def dial(self):
-        sock = dialled(self)
+        sock = original_dial(self)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4608)
         return sock
 
-    dialled = TdsConnection.dial
+    original_dial = TdsConnection.dial
     monkeypatch.setattr(TdsConnection, "dial", dial)
     monkeypatch.setattr(lines, "WRITE_TIME", 3_000)
     bad, good = TdsEngine(), TdsEngine()
@@ -136,25 +134,29 @@
     shown = dispatcher.service.counters.shown
     until(lambda: shown().get("ending-no-connection"))
     assert "ending-reset" not in shown()
-    assert any(shown().get(f"engine-connections-ended-{why}") for why in (reason, "peer-closed"))
+    assert any(
+        shown().get(f"engine-connections-ended-{ended_reason}") for ended_reason in (reason, "peer-closed")
+    )
 
 
-def out_on_a_pair(monkeypatch):
-    """A batch of 100 KB half written on a pair of sockets with small buffers."""
-    keeper, sub, inbox = line_of_one(monkeypatch)
-    place, (ours, theirs) = TdsConnection(keeper), socket.socketpair()
-    ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4608)
-    place.sock, place.up, keeper.connections[:] = ours, True, [place]
-    sub.pending.body = b"UPDATE sales_1.t SET a='" + b"x" * 50_000 + b"'"
-    assert place.put("ask", sub) and place.rest
-    Thread(target=keeper.links.run, daemon=True).start()
-    return place, theirs, sub, inbox
+def half_written_batch(monkeypatch):
+    """Writes half of a batch of 100 KB on a socket pair with small buffers.
 
+    Returns the connection, the engine's socket, the attempt and the inbox."""
+    link, attempt, inbox = line_of_one(monkeypatch)
+    connection, (local, engine_socket) = TdsConnection(link), socket.socketpair()
+    local.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4608)
+    connection.sock, connection.up, link.connections[:] = local, True, [connection]
+    attempt.pending.body = b"UPDATE sales_1.t SET a='" + b"x" * 50_000 + b"'"
+    assert connection.put("ask", attempt) and connection.rest
+    Thread(target=link.links.run, daemon=True).start()
+    return connection, engine_socket, attempt, inbox
 
-def only_ending(inbox, sub):
+
+def single_ending(inbox, attempt):
     until(partial(len, inbox.items))
     ((_, ended, ending, *_),) = inbox.take(0)
-    assert ended is sub
+    assert ended is attempt
     return ending
 
 
@@ -168,44 +170,45 @@
         ("engine-restarted", Ending.NOT_SENT),
     ],
 )
-def test_a_half_written_batch_is_proven_not_to_have_run_and_a_whole_one_is_not(monkeypatch, reason, proven):
-    for whole in (False, True):
-        place, theirs, sub, inbox = out_on_a_pair(monkeypatch)
+def test_only_an_incompletely_sent_batch_is_proven_not_to_have_run(monkeypatch, reason, proven):
+    for complete in (False, True):
+        connection, engine_socket, attempt, inbox = half_written_batch(monkeypatch)
         assembler = packets.MessageAssembler(1 << 20)
-        assembler.feed(theirs.recv(3000))
-        while whole and assembler.next_message() is None:
-            assembler.feed(theirs.recv(65_536))
-        place.fail(reason)
-        assert only_ending(inbox, sub) == (Ending.RESET if whole else proven)
-        theirs.close()
-        place.link.links.stop()
+        assembler.feed(engine_socket.recv(3000))
+        while complete and assembler.next_message() is None:
+            assembler.feed(engine_socket.recv(65_536))
+        connection.fail(reason)
+        assert single_ending(inbox, attempt) == (Ending.RESET if complete else proven)
+        engine_socket.close()
+        connection.link.links.stop()
 
 
-def test_an_end_that_crosses_the_last_write_never_proves_what_the_engine_has_whole(monkeypatch):
-    """Another thread ends the connection while the keeper writes on it."""
+def test_a_connection_end_during_the_last_write_proves_nothing_about_a_complete_batch(monkeypatch):
+    """Another thread ends the connection while the engine pool's I/O loop writes to it."""
 
-    def read(theirs, got):
+    def read(engine_socket, received):
         try:
-            while data := theirs.recv(chance.randrange(1, 20_000)):
-                got[0] += len(data)
+            while data := engine_socket.recv(rng.randrange(1, 20_000)):
+                received[0] += len(data)
         except OSError:
             pass
 
-    chance, seen = random.Random(11), set()
+    rng, seen = random.Random(11), set()
     for _ in range(120):
-        place, theirs, sub, inbox = out_on_a_pair(monkeypatch)
-        got = [0]
-        reader = Thread(target=read, args=(theirs, got))
+        connection, engine_socket, attempt, inbox = half_written_batch(monkeypatch)
+        received = [0]
+        reader = Thread(target=read, args=(engine_socket, received))
         reader.start()
-        mark = chance.choice((0, 60_000, 95_000, 100_000, 100_100))
-        while got[0] < mark and place.rest:
+        threshold = rng.choice((0, 60_000, 95_000, 100_000, 100_100))
+        while received[0] < threshold and connection.rest:
             time.sleep(0)
-        place.fail("peer-closed")
+        connection.fail("peer-closed")
         reader.join()
-        ending = only_ending(inbox, sub)
-        has_whole = got[0] >= 2 * len(sub.pending.body)  # two octets a character, and a head
-        assert ending == Ending.RESET or not has_whole
-        seen.add((ending, has_whole))
-        theirs.close()
-        place.link.links.stop()
+        ending = single_ending(inbox, attempt)
+        # Two octets per character, and headers.
+        has_complete_batch = received[0] >= 2 * len(attempt.pending.body)
+        assert ending == Ending.RESET or not has_complete_batch
+        seen.add((ending, has_complete_batch))
+        engine_socket.close()
+        connection.link.links.stop()
     assert {ending for ending, _ in seen} == {Ending.RESET, Ending.NO_CONNECTION}
--- a/tests/tds/test_streamed_results.py
+++ b/tests/tds/test_streamed_results.py
@@ -1,4 +1,4 @@
-"""Results that are too long to be gathered."""
+"""Tests of streamed results, which are too long to be gathered."""
 
 import socket
 import time
@@ -12,12 +12,12 @@
 from wickvane.net.tds import errors, packets
 
 
-def test_a_long_result_streams_to_both_fronts_in_bounded_memory():
+def test_a_long_result_is_streamed_to_tds_and_postgres_clients():
     def answer(query):
         Thread(target=long_answer, args=(query,), daemon=True).start()
 
     engine = TdsEngine(answer)
-    dispatcher = Dispatcher(engine, engine_body='user "w"; takes-postgres #true')
+    dispatcher = Dispatcher(engine, engine_nodes='user "w"; takes-postgres #true')
     with dispatcher.connect() as client:
         got = ask(client, "SELECT * FROM sales_1.t")
         assert len(got) == 3000 and got[-1] == (9, "x" * 100)
@@ -25,7 +25,7 @@
     assert len(rows(Client(dispatcher).ask(statement(n=1)))) == 3000
 
 
-def test_a_stream_is_given_up_midway_and_its_connection_used_again():
+def test_the_engine_connection_of_a_cancelled_stream_is_reused():
     def answer(query):
         if len(engine.connections) and queries.append(query) or len(queries) > 1:
             return result((5, "e"))
@@ -46,18 +46,18 @@
     assert len(engine.connections) == 1
 
 
-def test_a_client_that_does_not_read_holds_the_engine_back_not_the_memory():
+def test_a_client_that_does_not_read_causes_backpressure_on_the_engine():
     def answer(query):
-        Thread(target=guarded, args=(query,), daemon=True).start()
+        Thread(target=stream_endlessly, args=(query,), daemon=True).start()
 
-    def guarded(query):
+    def stream_endlessly(query):
         try:
             sent.append(0)
-            framer = packets.PacketWriter(packets.TABULAR_RESULT)
-            query.conn.send(framer.write(COLUMNS))
-            one = b"".join(row(n, "x" * 100) for n in range(100))
+            writer = packets.PacketWriter(packets.TABULAR_RESULT)
+            query.conn.send(writer.write(COLUMNS))
+            chunk = b"".join(row(n, "x" * 100) for n in range(100))
             while True:
-                data = framer.write(one)
+                data = writer.write(chunk)
                 query.conn.send(data)
                 sent[0] += len(data)
         except OSError:
@@ -65,25 +65,25 @@
 
     sent, engine = [], TdsEngine(answer)
     engine.acknowledges = False
-    dispatcher = Dispatcher(engine, more='attention-time "1s"')
+    dispatcher = Dispatcher(engine, extra_nodes='attention-time "1s"')
     client = RawClient(dispatcher.port)
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8192)
     client.batch("SELECT * FROM sales_1.t")
     until(lambda: sent and sent[0])
     time.sleep(1.0)
-    before = sent[0]
+    size_before = sent[0]
     time.sleep(0.5)
-    assert sent[0] == before < 100 << 20
+    assert sent[0] == size_before < 100 << 20
     until(lambda: dispatcher.service.counters.shown().get("left") == 1, 15)
     conn = engine.next("ATTENTION", 15)
-    # The engine goes on: nothing of it is read as tokens, and its time to acknowledge is bounded.
+    # The engine continues to send: its data is no longer decoded, and its time to acknowledge is bounded.
     counters = dispatcher.service.counters
     until(lambda: counters.shown().get("engine-connections-ended-attention-unanswered"), 15)
     conn.sock.close()
 
 
-@pytest.mark.parametrize("front", ["tds", "postgres"])
-def test_a_long_result_that_breaks_off_is_an_error_and_no_further_submission(front):
+@pytest.mark.parametrize("client_protocol", ["tds", "postgres"])
+def test_an_interrupted_long_result_is_an_error_without_a_further_attempt(client_protocol):
     def answer(query):
         sent.append(query)
         long_answer(query, 1000, end=False)
@@ -91,8 +91,8 @@
 
     sent = []
     engines = [TdsEngine(answer), TdsEngine(answer)]
-    dispatcher = Dispatcher(*engines, engine_body='user "w"; takes-postgres #true')
-    if front == "tds":
+    dispatcher = Dispatcher(*engines, engine_nodes='user "w"; takes-postgres #true')
+    if client_protocol == "tds":
         with dispatcher.connect() as client:
             assert error_number(ask, client, "SELECT * FROM sales_1.t") == errors.KILLED
     else:
--- a/tests/tds/test_wire_digest.py
+++ b/tests/tds/test_wire_digest.py
@@ -1,7 +1,7 @@
-"""Digests of what the TDS codec writes and reads over generated inputs, recorded with commit c5b2902.
+"""Compares digests of the TDS codec's output for generated inputs with those recorded with commit c5b2902.
 
-Every byte that is written, every value that is decoded and the text of every error is in a digest, so that
-a change of the codec's structure cannot change the protocol unnoticed.
+The digests include every encoded byte, every decoded value and the text of every error, so that a change of
+the codec's structure that changes the protocol is detected.
 """
 
 import struct
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tds.generated_values import TYPE_INFOS, damaged, encoded_value, octets, word
+from tds.generated_values import TYPE_INFOS, damaged, encoded_value, random_octets, random_text
 from wickvane.errors import ProtocolError
 from wickvane.net.tds import (
     conversion,
@@ -36,7 +36,7 @@
 
 
 def outcome(read: Callable[[], object]) -> str:
-    """What a reader returns, or the error's text."""
+    """Returns the repr of what a reader returns, or the error's text."""
     try:
         return repr(read())
     except ProtocolError as error:
@@ -69,7 +69,7 @@
 
 
 def token_content(content: object) -> object:
-    """What a token says, as plain tuples."""
+    """Converts a token's content to plain tuples."""
     if isinstance(content, list):
         return [(column.name, column.info.raw, column.flags) for column in content]
     if isinstance(content, tuple):
@@ -78,23 +78,23 @@
 
 
 def decoded_tokens(data: bytes, cut: int) -> list:
-    """Tokens of a stream that comes in two pieces; the error's text is the last item."""
+    """Decodes a stream fed in two pieces; an error's text and is_mid_token() are the last items."""
     reader = tokens.TokenStreamReader()
-    found: list = []
+    decoded: list = []
     columns = None
     try:
         for piece in (data[:cut], data[cut:]):
             for token, raw, content in reader.feed(piece):
-                found.append((token, raw, token_content(content)))
+                decoded.append((token, raw, token_content(content)))
                 if token == tokens.COLMETADATA and content is not None:
                     columns = content
                 if token in (tokens.ROW, tokens.NBCROW):
                     for column, value in zip(columns, tokens.row_values(raw, columns)):
-                        found.append(outcome(lambda c=column, v=value: conversion.to_python(c.info, v)))
+                        decoded.append(outcome(lambda c=column, v=value: conversion.to_python(c.info, v)))
     except ProtocolError as error:
-        found.append(str(error))
-    found.append(reader.is_mid_token())
-    return found
+        decoded.append(str(error))
+    decoded.append(reader.is_mid_token())
+    return decoded
 
 
 def rows_for_postgres(data: bytes) -> bytes:
@@ -102,55 +102,55 @@
     return rows.encode(list(tokens.TokenStreamReader().feed(data))) + rows.end(b"SELECT")
 
 
-def token_stream(chance: Random) -> bytes:
-    """A result with nulls, messages of the server, changes of the environment and each other token."""
-    infos = chance.sample(TYPE_INFOS, chance.randrange(1, 12))
+def token_stream(rng: Random) -> bytes:
+    """Encodes a result with NULLs, server messages, ENVCHANGE tokens and each other type of token."""
+    infos = rng.sample(TYPE_INFOS, rng.randrange(1, 12))
     parts = [
         token_encoding.encode_colmetadata(
-            [(word(chance), info) for info in infos if info[0] not in (0x22, 0x23, 0x63)]
+            [(random_text(rng), info) for info in infos if info[0] not in (0x22, 0x23, 0x63)]
         )
     ]
     infos = [info for info in infos if info[0] not in (0x22, 0x23, 0x63)]
-    for _ in range(chance.randrange(6)):
-        parts.append(b"\xd1" + b"".join(encoded_value(chance, info) for info in infos))
-        nulls = [chance.random() < 0.5 for _ in infos]
+    for _ in range(rng.randrange(6)):
+        parts.append(b"\xd1" + b"".join(encoded_value(rng, info) for info in infos))
+        nulls = [rng.random() < 0.5 for _ in infos]
         bitmap = bytearray((len(infos) + 7) // 8)
-        for place, null in enumerate(nulls):
-            bitmap[place >> 3] |= null << (place & 7)
+        for index, null in enumerate(nulls):
+            bitmap[index >> 3] |= null << (index & 7)
         parts.append(b"\xd2" + bytes(bitmap))
-        parts.extend(encoded_value(chance, info) for info, null in zip(infos, nulls) if not null)
-    code = chance.choice((0xAA, 0xAB))
-    parts.append(token_encoding.encode_message(code, chance.randrange(-9, 99_999), 1, 16, word(chance)))
-    parts.append(token_encoding.encode_envchange(chance.choice((1, 2, 4)), word(chance), word(chance)))
-    parts.append(token_encoding.encode_envchange(8, b"\x08" + octets(chance, 8), b"\0"))
+        parts.extend(encoded_value(rng, info) for info, null in zip(infos, nulls) if not null)
+    code = rng.choice((0xAA, 0xAB))
+    parts.append(token_encoding.encode_message(code, rng.randrange(-9, 99_999), 1, 16, random_text(rng)))
+    parts.append(token_encoding.encode_envchange(rng.choice((1, 2, 4)), random_text(rng), random_text(rng)))
+    parts.append(token_encoding.encode_envchange(8, b"\x08" + random_octets(rng, 8), b"\0"))
     parts.append(token_encoding.encode_loginack())
-    parts.append(token_encoding.encode_return_status(chance.randrange(-9, 9)))
+    parts.append(token_encoding.encode_return_status(rng.randrange(-9, 9)))
     parts.append(
         token_encoding.encode_return_value(
-            1, "@p", encoding.INT_INFO, encoding.encode_int(chance.choice((None, 7)))
+            1, "@p", encoding.INT_INFO, encoding.encode_int(rng.choice((None, 7)))
         )
     )
     parts.append(b"\xae\x01\x02\0\0\0ab\xff" + b"\xe4\x03\0\0\0abc" + b"\xa9\x02\0\x01\0" + b"\x78abcd")
     for code in (0xFF, 0xFE, 0xFD):
-        status = chance.choice((0, 1, 0x10, 0x11, 0x20, 2))
-        parts.append(token_encoding.encode_done(status, chance.randrange(99), code, chance.randrange(999)))
-    if chance.random() < 0.3:
-        chance.shuffle(parts)
+        status = rng.choice((0, 1, 0x10, 0x11, 0x20, 2))
+        parts.append(token_encoding.encode_done(status, rng.randrange(99), code, rng.randrange(999)))
+    if rng.random() < 0.3:
+        rng.shuffle(parts)
     return b"".join(parts)
 
 
-def type_cases(chance: Random) -> Iterator[str]:
+def type_cases(rng: Random) -> Iterator[str]:
     for info in TYPE_INFOS:
         for _ in range(VALUES_PER_TYPE):
-            data = encoded_value(chance, info)
-            cut = data[: chance.randrange(len(data) + 1)]
-            bad_info = damaged(chance, info)
+            data = encoded_value(rng, info)
+            cut = data[: rng.randrange(len(data) + 1)]
+            bad_info = damaged(rng, info)
             for used_info, used in ((info, data), (info, cut), (bad_info, data)):
                 yield outcome(lambda i=used_info, d=used: decoded_value(i, d))
                 yield outcome(lambda i=used_info, d=used: skipped_value(i, d))
     for _ in range(200):
-        text = word(chance)
-        number = chance.randrange(-(2**31), 2**31)
+        text = random_text(rng)
+        number = rng.randrange(-(2**31), 2**31)
         yield repr(
             (
                 encoding.encode_nvarchar(text),
@@ -169,60 +169,58 @@
     )
 
 
-def token_cases(chance: Random) -> Iterator[str]:
+def token_cases(rng: Random) -> Iterator[str]:
     for _ in range(300):
-        data = token_stream(chance)
-        for used in (data, damaged(chance, data), octets(chance, chance.randrange(40))):
-            yield repr(decoded_tokens(used, chance.randrange(len(used) + 1)))
+        data = token_stream(rng)
+        for used in (data, damaged(rng, data), random_octets(rng, rng.randrange(40))):
+            yield repr(decoded_tokens(used, rng.randrange(len(used) + 1)))
             yield outcome(lambda d=used: rows_for_postgres(d))
 
 
-def login_cases(chance: Random) -> Iterator[str]:
+def login_cases(rng: Random) -> Iterator[str]:
     def read_login(body: bytes) -> list:
-        found = login7.read_login7(body)
+        login = login7.read_login7(body)
         names = ("host", "user", "password", "application", "server", "extension", "library", "language")
-        more = ("database", "version", "packet_size", "integrated", "features")
-        return [getattr(found, name) for name in names + more]
+        other_names = ("database", "version", "packet_size", "integrated", "features")
+        return [getattr(login, name) for name in names + other_names]
 
     for _ in range(300):
-        words = [word(chance) for _ in range(6)]
-        size = chance.choice((0, 100, 512, 4096, 32_767, 99_999))
+        words = [random_text(rng) for _ in range(6)]
+        size = rng.choice((0, 100, 512, 4096, 32_767, 99_999))
         body = login7.encode_login7(words[0], words[1], words[2], words[3], size, words[4], words[5])
-        options = {
-            n: octets(chance, chance.randrange(7)) for n in chance.sample(range(8), chance.randrange(8))
-        }
-        asked = prelogin.encode_prelogin(options)
-        yield repr((body, asked))
-        for used in (body, damaged(chance, body)):
+        options = {n: random_octets(rng, rng.randrange(7)) for n in rng.sample(range(8), rng.randrange(8))}
+        encoded_prelogin = prelogin.encode_prelogin(options)
+        yield repr((body, encoded_prelogin))
+        for used in (body, damaged(rng, body)):
             yield outcome(lambda d=used: read_login(d))
-        for used in (asked, damaged(chance, asked)):
+        for used in (encoded_prelogin, damaged(rng, encoded_prelogin)):
             yield outcome(lambda d=used: prelogin.read_prelogin(d))
             yield outcome(lambda d=used: prelogin.read_encryption(prelogin.read_prelogin(d)))
 
 
-def encoded_parameters(chance: Random, number: int) -> bytes:
-    """The parameters of a procedure call, mostly as its number has them."""
+def encoded_parameters(rng: Random, number: int) -> bytes:
+    """Encodes parameters of a procedure call, usually those that its ProcID requires."""
     encoded = b""
-    given = [
-        (encoding.INT_INFO, encoding.encode_int(chance.choice((None, 1, 2)))),
+    parameters = [
+        (encoding.INT_INFO, encoding.encode_int(rng.choice((None, 1, 2)))),
         (encoding.nvarchar_info(), encoding.encode_nvarchar("@a int, @b nvarchar(9)")),
-        (encoding.nvarchar_info(), encoding.encode_nvarchar(f"SELECT @a, '@a', @b {word(chance)}")),
+        (encoding.nvarchar_info(), encoding.encode_nvarchar(f"SELECT @a, '@a', @b {random_text(rng)}")),
     ]
-    if number == 10 or chance.random() < 0.2:
-        given = given[:0:-1]
+    if number == 10 or rng.random() < 0.2:
+        parameters = parameters[:0:-1]
     elif number in (12, 15):
-        given = given[:1]
-    for _ in range(chance.randrange(4)):
-        info = chance.choice(TYPE_INFOS)
-        given.append((info, encoded_value(chance, info)))
-    for info, value in given:
-        parameter = chance.choice(("", "", "@a", "@b"))
-        flags = chance.choice((0, 0, 0, 0, 1, 2))
-        encoded += token_encoding.encode_b_varchar(parameter) + bytes((flags,)) + info + value
+        parameters = parameters[:1]
+    for _ in range(rng.randrange(4)):
+        info = rng.choice(TYPE_INFOS)
+        parameters.append((info, encoded_value(rng, info)))
+    for info, value in parameters:
+        name = rng.choice(("", "", "@a", "@b"))
+        flags = rng.choice((0, 0, 0, 0, 1, 2))
+        encoded += token_encoding.encode_b_varchar(name) + bytes((flags,)) + info + value
     return encoded
 
 
-def request_cases(chance: Random) -> Iterator[str]:
+def request_cases(rng: Random) -> Iterator[str]:
     prepared = rpc.PreparedStatements()
 
     def call(body: bytes) -> tuple:
@@ -233,22 +231,22 @@
         return int(request.type), request.begins_another
 
     for _ in range(600):
-        number = chance.choice((10, 11, 12, 13, 15, 2, 0))
-        name = chance.choice(("sp_executesql", "dbo.report", "sp_prepare"))
+        number = rng.choice((10, 11, 12, 13, 15, 2, 0))
+        name = rng.choice(("sp_executesql", "dbo.report", "sp_prepare"))
         procedure = (
             struct.pack("<HH", 0xFFFF, number)
             if number
             else struct.pack("<H", len(name)) + name.encode("utf-16-le")
         )
         body = struct.pack("<I", 4) + procedure + b"\0\0"
-        body += encoded_parameters(chance, number)
-        for used in (body, damaged(chance, body)):
+        body += encoded_parameters(rng, number)
+        for used in (body, damaged(rng, body)):
             yield outcome(lambda d=used: call(d))
-        text = word(chance)
-        batch = sql_batch.encode_sql_batch(text, octets(chance, 8))
-        transaction = struct.pack("<IH", 4, chance.randrange(4, 11)) + octets(chance, 3)
+        text = random_text(rng)
+        batch = sql_batch.encode_sql_batch(text, random_octets(rng, 8))
+        transaction = struct.pack("<IH", 4, rng.randrange(4, 11)) + random_octets(rng, 3)
         yield repr(batch)
-        for used in (batch, damaged(chance, batch)):
+        for used in (batch, damaged(rng, batch)):
             yield outcome(lambda d=used: sql_batch.read_sql_batch(d))
         yield outcome(lambda d=transaction: transaction_request(d))
     for text in (
@@ -264,35 +262,35 @@
         yield repr(found and (found.tokens, found.database, found.transaction, found.rows))
 
 
-def packet_cases(chance: Random) -> Iterator[str]:
+def packet_cases(rng: Random) -> Iterator[str]:
     def messages(data: bytes) -> list:
         assembler = packets.MessageAssembler(1400)
-        found = []
+        decoded = []
         assembler.feed(data)
         while (message := assembler.next_message()) is not None:
-            found.append(tuple(message))
-        return [found, assembler.is_mid_message()]
+            decoded.append(tuple(message))
+        return [decoded, assembler.is_mid_message()]
 
-    kinds = (packets.SQL_BATCH, packets.RPC, packets.ATTENTION, packets.LOGIN7)
+    message_types = (packets.SQL_BATCH, packets.RPC, packets.ATTENTION, packets.LOGIN7)
     for _ in range(400):
         data = b""
-        for _ in range(chance.randrange(4)):
-            body = octets(chance, chance.randrange(1500))
-            size = chance.randrange(512, 1000)
+        for _ in range(rng.randrange(4)):
+            body = random_octets(rng, rng.randrange(1500))
+            size = rng.randrange(512, 1000)
             data += packets.encode_packets(
-                chance.choice(kinds), body, size, chance.randrange(99), chance.choice((0, 8))
+                rng.choice(message_types), body, size, rng.randrange(99), rng.choice((0, 8))
             )
-            framer = packets.PacketWriter(packets.SQL_BATCH, size, 51)
-            data += framer.write(body) + framer.finish(body[:9])
+            writer = packets.PacketWriter(packets.SQL_BATCH, size, 51)
+            data += writer.write(body) + writer.finish(body[:9])
         yield repr(data)
-        for used in (data, damaged(chance, data)):
+        for used in (data, damaged(rng, data)):
             yield outcome(lambda d=used: messages(d))
 
 
-def page_cases(chance: Random) -> Iterator[str]:
+def page_cases(rng: Random) -> Iterator[str]:
     for _ in range(100):
-        cells = [word(chance).replace("\t", "") for _ in range(3 * chance.randrange(5))]
-        if chance.random() < 0.2:
+        cells = [random_text(rng).replace("\t", "") for _ in range(3 * rng.randrange(5))]
+        if rng.random() < 0.2:
             cells = [cell * 900 for cell in cells]
         lines = ["\t".join(cells[at : at + 3]) + "\n" for at in range(0, len(cells), 3)]
         yield repr(results.encode_pages(["".join(lines).encode()]))
@@ -309,7 +307,7 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_the_codec_writes_and_reads_as_commit_c5b2902_did(name: str) -> None:
+def test_the_codec_s_output_matches_the_digests_of_commit_c5b2902(name: str) -> None:
     cases, expected = CASES[name]
     digest = sha256()
     for case in cases(Random(SEED)):
