--- a/tests/tds/test_codec.py
+++ b/tests/tds/test_codec.py
@@ -56,8 +56,8 @@
 def test_messages_are_reassembled_from_packets_split_anywhere(sent, size, seed):
     data = b"".join(packets.encode_packets(message_type, body, size) for message_type, body in sent)
     rng = Random(seed)
-    cuts = [rng.randrange(len(data) + 1) for _ in range(6)] if data else []
-    assert [(message_type, body) for message_type, _, body in messages(data, cuts)] == sent
+    split_points = [rng.randrange(len(data) + 1) for _ in range(6)] if data else []
+    assert [(message_type, body) for message_type, _, body in messages(data, split_points)] == sent
 
 
 def test_a_packet_writer_encodes_the_same_message_from_pieces_of_any_size():
@@ -154,9 +154,9 @@
     cursor = Cursor(raw)
     values.skip_value(cursor, info)
     assert cursor.position == len(raw)
-    for cut in range(len(raw)):
+    for split_point in range(len(raw)):
         with pytest.raises(IncompleteDataError):
-            values.read_value(Cursor(raw[:cut]), info)
+            values.read_value(Cursor(raw[:split_point]), info)
 
 
 def encoded_stream():
@@ -185,9 +185,11 @@
     data, named = encoded_stream()
     expected = [(token, raw) for token, raw, _ in tokens.TokenStreamReader().feed(data)]
     assert b"".join(raw for _, raw in expected) == data and expected[-1][0] == tokens.DONE
-    for cut in range(len(data) + 1):
+    for split_point in range(len(data) + 1):
         reader = tokens.TokenStreamReader()
-        assert [(a, b) for piece in (data[:cut], data[cut:]) for a, b, _ in reader.feed(piece)] == expected
+        assert [
+            (a, b) for piece in (data[:split_point], data[split_point:]) for a, b, _ in reader.feed(piece)
+        ] == expected
     columns = next(
         content for token, _, content in tokens.TokenStreamReader().feed(data) if token == tokens.COLMETADATA
     )
--- a/tests/tds/test_hostile_peers.py
+++ b/tests/tds/test_hostile_peers.py
@@ -60,9 +60,8 @@
 def test_a_login_storm_is_bounded_and_other_clients_are_served():
     dispatcher = Dispatcher(TdsEngine(), extra_nodes="connections 24")
     good, storm = dispatcher.connect(), []
-    assert ask(good, "SELECT 1 FROM sales_1.t") == [
-        (1, "a")
-    ]  # a client without a query would be disconnected first
+    # A client that has sent no query would be disconnected first.
+    assert ask(good, "SELECT 1 FROM sales_1.t") == [(1, "a")]
     for _ in range(500):
         try:
             storm.append(socket.create_connection(("127.0.0.1", dispatcher.port), timeout=5))
--- a/tests/tds/test_wire_digest.py
+++ b/tests/tds/test_wire_digest.py
@@ -77,13 +77,13 @@
     return content
 
 
-def decoded_tokens(data: bytes, cut: int) -> list:
+def decoded_tokens(data: bytes, split_point: int) -> list:
     """Decodes a stream fed in two pieces; an error's text and is_mid_token() are the last items."""
     reader = tokens.TokenStreamReader()
     decoded: list = []
     columns = None
     try:
-        for piece in (data[:cut], data[cut:]):
+        for piece in (data[:split_point], data[split_point:]):
             for token, raw, content in reader.feed(piece):
                 decoded.append((token, raw, token_content(content)))
                 if token == tokens.COLMETADATA and content is not None:
@@ -143,9 +143,9 @@
     for info in TYPE_INFOS:
         for _ in range(VALUES_PER_TYPE):
             data = encoded_value(rng, info)
-            cut = data[: rng.randrange(len(data) + 1)]
+            truncated = data[: rng.randrange(len(data) + 1)]
             bad_info = damaged(rng, info)
-            for used_info, used in ((info, data), (info, cut), (bad_info, data)):
+            for used_info, used in ((info, data), (info, truncated), (bad_info, data)):
                 yield outcome(lambda i=used_info, d=used: decoded_value(i, d))
                 yield outcome(lambda i=used_info, d=used: skipped_value(i, d))
     for _ in range(200):
--- a/wickvane/net/tds/authentication.py
+++ b/wickvane/net/tds/authentication.py
@@ -1,7 +1,7 @@
 """Authentication of clients by a password file of users and argon2 hashes, with a bound on concurrent checks.
 
 A check is expensive by design, and clients that reconnect cause many checks. Therefore one check runs at a
-time, at most MAX_WAITING_CHECKS logins are in check at once, and a password that was recently accepted is
+time, at most MAX_WAITING_CHECKS logins wait or are checked at once, and a recently accepted password is
 recognised by a keyed digest whose key exists only in this process.
 """
 
--- a/wickvane/net/tds/connection.py
+++ b/wickvane/net/tds/connection.py
@@ -1,7 +1,7 @@
 """One connection to an engine that speaks TDS: a login, then one batch at a time, cancelled by ATTENTION.
 
-It has the interface of a line protocol connection: the engine pool's I/O loop sends what is put on it. A
-thread of its own connects, logs in and reads, since reading may wait for the client of a streamed result, and
+It has the interface of a line protocol connection: the engine pool's I/O loop sends its messages. A thread
+of its own connects, logs in and reads, since reading may wait for the client of a streamed result, and
 the I/O loop must not wait for a client. Each attempt gets exactly one ending. The last column says whether
 that ending proves that nothing ran:
 
@@ -97,7 +97,7 @@
             unused = not self.open and self.state is BatchState.IDLE
             return usable and unused and now - self.used < self.link.idle_time
 
-    # Orders
+    # Messages to the engine
 
     def ask(self, attempt) -> bytes | None:
         """Returns the packets of an attempt's batch, or None if the attempt must not be sent any more."""
@@ -165,7 +165,7 @@
         """See lines.Connection; checks more often during a login and while an ATTENTION is pending."""
         return now + lines.LOOK if self.attention_sent or not self.up else super().due(now)
 
-    # Dialling and login
+    # Connecting and login
 
     def start(self) -> None:
         """Starts the thread that connects, logs in and reads."""
--- a/wickvane/net/tds/extension.py
+++ b/wickvane/net/tds/extension.py
@@ -1,6 +1,7 @@
 """The node `tds` of the extensions document: a listener for TDS clients, and the engine types that speak TDS.
 
-Fields listed in NEEDS_RESTART are compared by name, and the names appear in error messages.
+The node names and field names here belong to the document's format. The fields listed in NEEDS_RESTART are
+compared by name, and these names appear in error messages.
 """
 
 import ipaddress
--- a/wickvane/net/tds/session.py
+++ b/wickvane/net/tds/session.py
@@ -293,7 +293,7 @@
     # Answers
 
     def answered(self, pending, kind: str) -> tuple[str, bytes, int]:
-        """See Front; raises no error: an unreadable result is answered as a failed query."""
+        """See Front; a query whose result cannot be encoded is answered as failed."""
         effect = self.exchange.resource_groups[pending.resource_group].effect
         if effect != Effect.READ_ONLY and kind in (ex.FINISHED, ex.FAILED):
             self.transaction.has_effects = True
--- a/wickvane/net/tds/tokens.py
+++ b/wickvane/net/tds/tokens.py
@@ -1,4 +1,4 @@
-"""The token stream of TDS 7.4 (MS-TDS 2.2.7), read incrementally. No I/O."""
+"""Token decoder: reads the token stream of TDS 7.4 (MS-TDS 2.2.7) incrementally. No I/O."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -119,9 +119,9 @@
 
 
 class TokenStreamReader:
-    """Bytes of a message in, tokens out.
+    """Decodes tokens from the octets of a message.
 
-    Holds one incomplete token at most, of MAX_TOKEN_SIZE octets. Raises ProtocolError and nothing else."""
+    Buffers at most one incomplete token of MAX_TOKEN_SIZE octets. Raises no error except ProtocolError."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
