--- a/tests/scheduling/test_retry_after.py
+++ b/tests/scheduling/test_retry_after.py
@@ -137,7 +137,7 @@
     assert "stay-away=" in message
     retry_after_ms = int(message.partition("stay-away=")[2].partition("ms")[0])
     assert 2000 <= retry_after_ms <= 4000
-    assert [errors.state_of(ms) for ms in (0, 1, 100, 101, 25_300, 10**6)] == [1, 3, 3, 4, 255, 255]
+    assert [errors.error_state(ms) for ms in (0, 1, 100, 101, 25_300, 10**6)] == [1, 3, 3, 4, 255, 255]
 
 
 @pytest.mark.parametrize("heeds", ["true", "false"])
--- a/tests/scheduling/test_storm_damping.py
+++ b/tests/scheduling/test_storm_damping.py
@@ -75,7 +75,7 @@
         [
             fields
             for token, _, fields in tokens.TokenStreamReader().feed(body)
-            if token == tokens.INFO and fields[0] == errors.STORM
+            if token == tokens.INFO and fields[0] == errors.RETRY_STORM
         ]
         for body in responses[-2:]
     ]
