--- a/wickvane/net/tds/session.py
+++ b/wickvane/net/tds/session.py
@@ -320,7 +320,7 @@
         return kind, self._answer_packets(data), 2
 
     def _result_answer(self, pending) -> tuple[str, bytes, int]:
-        """Returns the answer with a result, as encode_answer() does; raises ValueError if it cannot be read."""
+        """Returns the answer with a result, as encode_answer(); raises ValueError if it cannot be read."""
         if isinstance(pending.result, results.GatheredTokens):
             data = b"".join(token.raw for token in pending.result)
             rows = pending.result.rows
