--- a/tests/tds/test_retries.py
+++ b/tests/tds/test_retries.py
@@ -122,7 +122,7 @@
 
     dialled = TdsConnection.dial
     monkeypatch.setattr(TdsConnection, "dial", dial)
-    monkeypatch.setattr(lines, "WRITE_TIME", 3_000)
+    monkeypatch.setattr(lines, "WRITE_TIMEOUT", 3_000)
     bad, good = TdsEngine(), TdsEngine()
     bad.half = broken
     bad.listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4608)
@@ -146,8 +146,8 @@
     ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4608)
     place.sock, place.up, keeper.connections[:] = ours, True, [place]
     sub.pending.body = b"UPDATE sales_1.t SET a='" + b"x" * 50_000 + b"'"
-    assert place.put("ask", sub) and place.rest
-    Thread(target=keeper.links.run, daemon=True).start()
+    assert place.put("ask", sub) and place.send_buffer
+    Thread(target=keeper.io_loop.run, daemon=True).start()
     return place, theirs, sub, inbox
 
 
@@ -178,7 +178,7 @@
         place.fail(reason)
         assert only_ending(inbox, sub) == (Ending.RESET if whole else proven)
         theirs.close()
-        place.link.links.stop()
+        place.pool.io_loop.stop()
 
 
 def test_an_end_that_crosses_the_last_write_never_proves_what_the_engine_has_whole(monkeypatch):
@@ -198,7 +198,7 @@
         reader = Thread(target=read, args=(theirs, got))
         reader.start()
         mark = chance.choice((0, 60_000, 95_000, 100_000, 100_100))
-        while got[0] < mark and place.rest:
+        while got[0] < mark and place.send_buffer:
             time.sleep(0)
         place.fail("peer-closed")
         reader.join()
@@ -207,5 +207,5 @@
         assert ending == Ending.RESET or not has_whole
         seen.add((ending, has_whole))
         theirs.close()
-        place.link.links.stop()
+        place.pool.io_loop.stop()
     assert {ending for ending, _ in seen} == {Ending.RESET, Ending.NO_CONNECTION}
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -36,7 +36,7 @@
 )
 
 from wickvane.net.lines import connection as engine_connection
-from wickvane.net.lines.links import Link
+from wickvane.net.lines.links import ConnectionPool
 from wickvane.net.listener import Listener
 
 NEVER_S = 1000.0
@@ -185,7 +185,7 @@
 
 
 def test_nothing_begins_for_a_client_that_left_while_its_connection_was_opened(no_looks, monkeypatch):
-    gate = Gate(monkeypatch, engine_connection.Connection, "come_up")
+    gate = Gate(monkeypatch, engine_connection.Connection, "mark_up")
     engine = Engine()
     dispatcher = Dispatcher(engine)
     leaver, witness = Client(dispatcher), Client(dispatcher)
@@ -212,7 +212,9 @@
 
 
 def test_nothing_begins_for_a_client_that_left_between_decision_and_write(no_looks, monkeypatch):
-    gate = Gate(monkeypatch, Link, "candidates", lambda link, sub, now: sub.pending.id == b"%016x" % 1)
+    gate = Gate(
+        monkeypatch, ConnectionPool, "candidates", lambda link, sub, now: sub.pending.id == b"%016x" % 1
+    )
     engine = Engine()
     dispatcher = Dispatcher(engine)
     witness, leaver = Client(dispatcher), Client(dispatcher)
@@ -377,9 +379,9 @@
 
 def test_a_connection_closed_by_its_engine_while_idle_carries_no_non_idempotent_query(monkeypatch):
     deaf = []
-    ready = engine_connection.Connection.ready
+    ready = engine_connection.Connection.handle_ready
     monkeypatch.setattr(
-        engine_connection.Connection, "ready", lambda self: None if self in deaf else ready(self)
+        engine_connection.Connection, "handle_ready", lambda self: None if self in deaf else ready(self)
     )
     engine = Engine()
     dispatcher = Dispatcher(engine)
@@ -423,8 +425,8 @@
     gate = Gate(
         monkeypatch,
         engine_connection.Connection,
-        "come_up",
-        lambda connection, sock: held and connection.link.queue.name != held[0],
+        "mark_up",
+        lambda connection, sock: held and connection.pool.queue.name != held[0],
     )
     brief = settings(dial_timeout_ms=20_000.0)
     brief["classes"][1]["repeat_window_ms"] = 400.0
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -121,7 +121,7 @@
         for n, (work, wrong) in enumerate(
             (
                 (lambda text=text: (is_empty(text), READER.read(text)), RequestRejected),
-                (lambda answer=answer: lines.parse(answer), ProtocolError),
+                (lambda answer=answer: lines.parse_answer(answer), ProtocolError),
                 (lambda news=news: follow([news]), ProtocolError),
             )
         ):
@@ -172,9 +172,9 @@
         assert follow([stream[:at], stream[at:]]) == whole
     answer = hit(b"ab", b"a\tb\tc\n" * 3)
     for at in range(len(answer)):
-        assert lines.parse(bytearray(answer[:at])) is None
+        assert lines.parse_answer(bytearray(answer[:at])) is None
     buffer = bytearray(answer * 2)
-    assert lines.parse(buffer) == lines.parse(buffer) and not buffer
+    assert lines.parse_answer(buffer) == lines.parse_answer(buffer) and not buffer
 
 
 def test_rows_are_what_a_plain_reading_of_the_pages_gives():
@@ -247,11 +247,11 @@
     clock, exchange = Clock(), Exchange(Clock(), Counts())
     threads = Threads(clock, Counts())
     limits = root_section(SETTINGS).section("limits")
-    links = link.Links(exchange, limits, 8, clock, clock, Counts(), threads=threads)
-    keeper = link.Link(EngineQueue("e", ("127.0.0.1", 0), 0), links)
+    links = link.IoLoop(exchange, limits, 8, clock, clock, Counts(), threads=threads)
+    keeper = link.ConnectionPool(EngineQueue("e", ("127.0.0.1", 0), 0), links)
     ticket = PendingQuery(clock.now(), **READER.read(statement().encode()))
     submission = Attempt(ticket, 0, 0, keeper.queue, clock.now(), ticket.deadline)
-    keeper.ask(submission)
+    keeper.start_attempt(submission)
     return keeper, submission, exchange.inbox
 
 
@@ -264,21 +264,21 @@
 def test_a_cancelled_submission_has_not_ended_before_its_quit_is_written(monkeypatch):
     keeper, submission, inbox = line_of_one(monkeypatch)
     submission.written = True
-    keeper.quit(submission)
+    keeper.cancel_attempt(submission)
     assert not inbox.take(0) and keeper.connections[0].outbox[-1][0] == "quit"
-    keeper.connections[0].drop(submission, Ending.CANCELLED)
+    keeper.connections[0].end_attempt(submission, Ending.CANCELLED)
     assert [item[2] for item in inbox.take(0)] == [Ending.CANCELLED]
 
 
 def test_a_connection_closes_before_the_engine_would_close_it_as_idle(monkeypatch):
     keeper, submission, inbox = line_of_one(monkeypatch)
     keeper.connections[0].up = True
-    keeper.connections[0].drop(submission, Ending.FINISHED)
+    keeper.connections[0].end_attempt(submission, Ending.FINISHED)
     idle = SETTINGS["limits"]["conn_idle_ms"] * 10
-    keeper.links.round([])
-    keeper.links.look(int(submission.started_at + idle * 0.5))
+    keeper.io_loop.run_once([])
+    keeper.io_loop.run_timers(int(submission.started_at + idle * 0.5))
     assert keeper.connections
-    keeper.links.look(int(submission.started_at + idle * 0.9))
+    keeper.io_loop.run_timers(int(submission.started_at + idle * 0.9))
     assert not keeper.connections and keeper.log.last[1]["reason"] == "idle"
 
 
@@ -294,13 +294,13 @@
     place, theirs = on_a_pair(keeper)
     texts = [b"%d" % n * 30_000 for n in range(8)]
     for line in texts:
-        assert place.put("line", line, submission.pending)
-    assert place.rest and submission.written
-    Thread(target=keeper.links.run, daemon=True).start()
+        assert place.put("bytes", line, submission.pending)
+    assert place.send_buffer and submission.written
+    Thread(target=keeper.io_loop.run, daemon=True).start()
     got = theirs.recv(65_536)
     while len(got) < 240_000 + got.find(b"0000"):
         got += theirs.recv(65_536)
-    keeper.links.stop()
+    keeper.io_loop.stop()
     assert got.startswith(b"ASK ") and got.endswith(b"\r\n" + b"".join(texts))
 
 
@@ -312,7 +312,7 @@
     other = Attempt(ticket, 0, 0, keeper.queue, submission.started_at, ticket.deadline)
     assert not place.put("ask", other) and not other.has_ended
     assert [item[:3] for item in inbox.take(0)] == [("ended", submission, Ending.NOT_SENT)]
-    keeper.ask(other)
+    keeper.start_attempt(other)
     assert keeper.connections[0] is not place and not other.has_ended
 
 
@@ -322,10 +322,10 @@
         ended = Attempt(
             submission.pending, 0, 0, keeper.queue, submission.started_at, submission.deadline + 1
         )
-        keeper.links.later(ended.deadline, ended)
+        keeper.io_loop.add_timer(ended.deadline, ended)
         ended.has_ended = True
-        keeper.links.look(submission.started_at)
-    assert len(keeper.links.waits) < 1000 and keeper.links.waits[0][2] is submission
+        keeper.io_loop.run_timers(submission.started_at)
+    assert len(keeper.io_loop.timers) < 1000 and keeper.io_loop.timers[0][2] is submission
 
 
 def test_an_event_that_the_module_cannot_bear_takes_no_other_with_it():
--- a/wickvane/net/lines/__init__.py
+++ b/wickvane/net/lines/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's line protocol, as its engines speak it."""
+"""The line protocol, in which the platform's engines take requests."""
--- a/wickvane/net/lines/connection.py
+++ b/wickvane/net/lines/connection.py
@@ -1,7 +1,7 @@
-"""A connection to an engine: the requests on it, and each attempt's one ending.
+"""A connection to an engine by the line protocol, and the one ending of each attempt on it.
 
-The keeper (links.py) hands in orders and tells when there is something to read, or room for what the engine
-did not take at once; nothing it calls here waits.
+The I/O loop (links.py) passes in orders, and calls when the socket is readable or can be written to after a
+partial write; nothing that it calls here waits.
 """
 
 import errno
@@ -15,135 +15,147 @@
 from wickvane.errors import ProtocolError
 from wickvane.events import Ending
 from wickvane.net.counters import FIRST, FORWARD, FURTHER, NOBODY, REVERSE
-from wickvane.net.lines.pages import PAGES_MOST, RESULT_MOST, is_page
-
-LINE_MOST, BODY_MOST, PAST_MOST = 512, 6_000, 128
-WRITE_TIME = 10_000  # an engine that takes nothing for so long
-# An engine writes an answer at once and has a further page at hand: one that stops midway, or a page that
-# does not come, leaves a connection that nothing more is to be had from, however long it stays open.
-STALL_TIME, PAGE_TIME, LOOK = 5_000, 10_000, 500
-RECV = 16_384
-WRITES = select.EPOLLOUT
-# What this program or its machine ended is no engine's fault; where nothing was sent, nothing ran.
-OUR_DOING = frozenset(("stop", "engine-restarted", "engine-gone", "no-thread", "no-descriptor", "made-room"))
-OURS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
-
-NUMBER = re.compile(rb"\d{1,15}(\.\d{0,15})?\Z")
-
-
-def figure(value, most):
-    """A number from 0 to `most`; ProtocolError."""
-    if not NUMBER.match(value) or float(value) > most:
-        raise ProtocolError("a figure is no number, or out of range")
+from wickvane.net.lines.pages import MAX_PAGES, MAX_RESULT_SIZE, is_page
+
+MAX_LINE_SIZE, MAX_BODY_SIZE, MAX_ENDED_IDS = 512, 6_000, 128  # sizes in octets
+WRITE_TIMEOUT = 10_000  # ticks within which an engine must take more of what is to be sent
+# An engine writes each answer at once and has the further pages ready. After a partial answer, or a page that
+# is not sent, nothing more can be expected from the connection, however long it stays open. In ticks.
+PARTIAL_ANSWER_TIMEOUT, PAGE_TIMEOUT, CHECK_PERIOD = 5_000, 10_000, 500
+RECEIVE_SIZE = 16_384  # octets
+WRITE_EVENTS = select.EPOLLOUT
+# Reasons and OS errors that come from this dispatcher or its machine: they are no fault of the engine, and a
+# query of which nothing was sent did not run.
+LOCAL_REASONS = frozenset(
+    ("stop", "engine-restarted", "engine-gone", "no-thread", "no-descriptor", "made-room")
+)
+LOCAL_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
+
+NUMBER_PATTERN = re.compile(rb"\d{1,15}(\.\d{0,15})?\Z")
+
+
+def parse_number(value, maximum):
+    """A number from 0 to `maximum`; raises ProtocolError."""
+    if not NUMBER_PATTERN.match(value) or float(value) > maximum:
+        raise ProtocolError("a field is not a number, or is out of range")
     return float(value)
 
 
-def page_number(value):
-    """A page's number; ProtocolError."""
-    if not value.isdigit() or len(value) > 3 or int(value) > PAGES_MOST:
-        raise ProtocolError("a page's number cannot be, or is out of range")
+def parse_page_number(value):
+    """A number or count of pages; raises ProtocolError."""
+    if not value.isdigit() or len(value) > 3 or int(value) > MAX_PAGES:
+        raise ProtocolError("a page number is invalid or out of range")
     return int(value)
 
 
-def parse(buffer):
-    """One answer off the front of the buffer: (id, word, fields, body), or None while it is not whole."""
-    end = buffer.find(b"\r\n", 0, LINE_MOST + 2)
-    if end < 0:
-        if len(buffer) > LINE_MOST:
+def parse_answer(buffer):
+    """Removes one answer from the front of the buffer and returns it as (id, word, fields, body).
+
+    Returns None while the answer is incomplete; raises ProtocolError."""
+    line_end = buffer.find(b"\r\n", 0, MAX_LINE_SIZE + 2)
+    if line_end < 0:
+        if len(buffer) > MAX_LINE_SIZE:
             raise ProtocolError("a line is too long")
         return None
-    words = bytes(buffer[:end]).split(b" ")
+    words = bytes(buffer[:line_end]).split(b" ")
     if len(words) != 4 or not all(words) or not words[3].isdigit() or len(words[3]) > 5:
-        raise ProtocolError("a line has not the form of an answer")
+        raise ProtocolError("a line does not have the form of an answer")
     length = int(words[3])
-    if length > BODY_MOST:
+    if length > MAX_BODY_SIZE:
         raise ProtocolError("a page is too long")
-    whole = end + 2 + length + 2
-    if len(buffer) < whole:
+    size = line_end + 2 + length + 2
+    if len(buffer) < size:
         return None
-    if buffer[whole - 2 : whole] != b"\r\n":
-        raise ProtocolError("a length is wrong")
+    if buffer[size - 2 : size] != b"\r\n":
+        raise ProtocolError("the length of a body is wrong")
     fields = {}
     if words[2] != b"-":
-        for part in words[2].split(b","):
-            name, equals, value = part.partition(b"=")
+        for field in words[2].split(b","):
+            name, equals, value = field.partition(b"=")
             if not equals:
-                raise ProtocolError("fields cannot be read")
+                raise ProtocolError("a field of an answer has no value")
             fields[name] = value
-    body = bytes(buffer[end + 2 : whole - 2])
-    del buffer[:whole]
+    body = bytes(buffer[line_end + 2 : size - 2])
+    del buffer[:size]
     return words[0], words[1], fields, body
 
 
-def is_number(family, host):
-    """Whether a host is an address, and no name to look up."""
+def is_ip_address(family, host):
+    """Whether a host is an IP address, not a name that has to be resolved."""
     try:
         return bool(socket.inet_pton(family, host))
     except OSError:
         return False
 
 
-REFUSALS = {b"SHED": Ending.REJECTED, b"LATE": Ending.NOT_SENT}  # answers that prove that nothing ran
+REJECTIONS = {b"SHED": Ending.REJECTED, b"LATE": Ending.NOT_SENT}  # answers that prove that nothing ran
 
 
 class Connection:
-    """One connection to an engine by the line protocol, and the attempts that are open on it."""
+    """One connection to an engine by the line protocol, and the attempts that are open on it.
+
+    All writing is under the lock. Times are ticks."""
 
-    # Whether what is asked runs only once the last byte of it has come: a peer may act on a line's beginning.
-    RUNS_WHOLE = False
-    READS = select.EPOLLIN  # what the keeper watches it for, once it is up
+    # Whether a request runs only after its last byte was received; else an engine may act on a part of it.
+    RUNS_ONLY_COMPLETE_REQUESTS = False
+    READ_EVENTS = select.EPOLLIN  # events that the I/O loop watches once the connection is up
 
-    def __init__(self, link):
-        self.link, self.lock = link, Lock()
-        self.open, self.past, self.outbox, self.rest = {}, {}, deque(), None
+    def __init__(self, pool):
+        self.pool, self.lock = pool, Lock()
+        # Attempts by query id; ids of queries whose attempt ended here; orders; the unsent rest of an order.
+        self.open_attempts, self.ended_ids, self.outbox, self.send_buffer = {}, {}, deque(), None
         self.sock, self.dead, self.up, self.retired = None, False, False, False
-        self.found = None  # an engine's address, where the list has its name
-        self.stalled, self.links_stop, self.started = 0, False, False
-        self.made = self.used = link.clock.now()
-        self.asked, self.buffer, self.midway = 0, bytearray(), 0
-        # When the keeper looks at it next, and whether it is called to.
-        self.look_at, self.called = None, False
-        # Octets that came, those of them whose query is known by now, and those that went.
-        self.accounts, self.account = link.links.accounts, None
-        self.received = self.claimed = self.sent = 0
+        self.resolved_address = None  # of getaddrinfo(), if the endpoint list has a host name
+        self.write_progress_at, self.ended_by_stop, self.started = 0, False, False
+        self.created_at = self.last_used_at = pool.clock.now()
+        # partial_since: when the first octet of an incomplete answer was received, 0 if there is none.
+        self.sent_queries, self.receive_buffer, self.partial_since = 0, bytearray(), 0
+        # The time of the connection's timer in the I/O loop, and whether a check was requested.
+        self.next_check_at, self.check_requested = None, False
+        self.accounts, self.account = pool.io_loop.accounts, None
+        # Octets received; those of them already counted for a query; octets sent.
+        self.received = self.received_counted = self.sent = 0
 
     def start(self):
-        """From the keeper's thread: begins to connect; its end is an event of the descriptor."""
-        self.guard(self.dial)
+        """In the I/O loop's thread: begins to connect. The result is an event of the descriptor."""
+        self.run_guarded(self.dial)
 
     def release(self):
-        """From the keeper's thread, which reads it: it has failed, or the program ends."""
-        self.let_go()
+        """In the I/O loop's thread, which reads the socket: closes it after a failure or at the stop."""
+        self.close_socket()
 
-    def let_go(self):
-        """Who reads it has done so for the last time, and closes it: nobody else may, or a descriptor given
-        anew would be read from for the one before. All writing is under the lock."""
+    def close_socket(self):
+        """Closes the socket. Only the thread that reads it may call this, after its last read.
+
+        If another thread closed it, the reader could read from a new connection with the same descriptor."""
         with self.lock:
             sock, self.sock = self.sock, None
         if sock is None:
             return
-        self.link.links.unwatch(self, sock.fileno())
+        self.pool.io_loop.unwatch(self, sock.fileno())
         sock.close()
         if self.account is not None:
-            self.claim(NOBODY, self.received - self.claimed)
-            self.accounts.closed(self.account, self.link.clock.now(), self.links_stop)
+            self.count_received(NOBODY, self.received - self.received_counted)
+            self.accounts.closed(self.account, self.pool.clock.now(), self.ended_by_stop)
         if self.received or self.sent:
-            self.link.counters.add_octets("engine", self.received, self.sent)
+            self.pool.counters.add_octets("engine", self.received, self.sent)
 
-    def count_sent(self, key, octets, messages, what=0):
-        """Counts octets that went out, for whom they were."""
+    def count_sent(self, key, octets, messages, attempt_kind=0):
+        """Counts octets sent for a key of resource group and tenant; attempt_kind: FIRST, FURTHER or 0."""
         self.sent += octets
         if self.account is not None:
-            self.accounts.count(self.account, key, self.link.clock.now(), FORWARD, octets, messages, what)
+            self.accounts.count(
+                self.account, key, self.pool.clock.now(), FORWARD, octets, messages, attempt_kind
+            )
 
-    def claim(self, key, octets):
-        """Counts octets that came in, for whom they were."""
-        self.claimed += octets
+    def count_received(self, key, octets):
+        """Counts octets received for a key of resource group and tenant."""
+        self.received_counted += octets
         if octets and self.account is not None:
-            self.accounts.count(self.account, key, self.link.clock.now(), REVERSE, octets, 1)
+            self.accounts.count(self.account, key, self.pool.clock.now(), REVERSE, octets, 1)
 
-    def guard(self, work):
-        """Does some work; whatever it raises ends this connection alone."""
+    def run_guarded(self, work):
+        """Calls a function; an exception that it raises ends this connection only."""
         try:
             work()
         except ProtocolError as error:
@@ -157,39 +169,41 @@
                 else "connect-refused",
                 error.strerror,
             )
-        except Exception as error:  # a fault of ours must not leave its submissions without an ending
+        except Exception as error:  # a fault of the dispatcher must not leave attempts without an ending
             self.fail("fault", f"{type(error).__name__}: {error}")
 
-    def takes(self, attempt, now):
-        """Whether an attempt may go out here."""
+    def accepts(self, attempt, now):
+        """Whether an attempt may be sent on this connection."""
         with self.lock:
             return (
                 not self.dead
                 and not self.retired
-                and len(self.open) < self.link.streams
-                and attempt.pending.id not in self.open
-                and attempt.pending.id not in self.past
+                and len(self.open_attempts) < self.pool.max_open_attempts
+                and attempt.pending.id not in self.open_attempts
+                and attempt.pending.id not in self.ended_ids
                 and self not in attempt.pending.tried_connections
-                and (self.open or now - self.used < self.link.idle_time)
+                and (self.open_attempts or now - self.last_used_at < self.pool.idle_timeout)
             )
 
     def put(self, *order):
-        """From any thread: written at once where the engine takes it, else by a thread that may wait. False
-        for a query of which not a byte has gone out, since the connection is dead."""
+        """From any thread: queues an order and sends what the engine takes at once.
+
+        The I/O loop sends the rest. Returns False for a query of which no byte was sent, because the
+        connection is dead."""
         with self.lock:
             if self.dead:
                 return False
             if order[0] == "ask":
-                self.open[order[1].pending.id] = order[1]
+                self.open_attempts[order[1].pending.id] = order[1]
                 order[1].pending.tried_connections.append(self)
-                self.used = self.link.clock.now()
+                self.last_used_at = self.pool.clock.now()
             self.outbox.append(order)
-            failure, dropped = self.flush() if self.up and not self.rest else (None, ())
+            failure, ended = self.flush() if self.up and not self.send_buffer else (None, ())
             unsent = failure and order[0] == "ask" and not order[1].written
             if unsent:
-                del self.open[order[1].pending.id]
-        for attempt, ending in dropped:
-            self.drop(attempt, ending)
+                del self.open_attempts[order[1].pending.id]
+        for attempt, ending in ended:
+            self.end_attempt(attempt, ending)
         if failure:
             self.fail("reset", failure.strerror)
         return not unsent
@@ -197,64 +211,68 @@
     # Writing
 
     def flush(self):
-        """Under the lock: (failure, submissions that are over with it). What the engine does not take at once
-        is left to the keeper, and all that follows waits behind it."""
-        dropped = []
+        """Under the lock: sends the queued orders; returns (failure, list of (attempt, ending)).
+
+        The list has the attempts that end with this call. What the engine does not take at once goes to the
+        send buffer. The I/O loop sends it, and all later orders wait for that."""
+        ended = []
         while self.outbox:
-            kind, *more = self.outbox.popleft()
-            if kind == "ask" and not self.link.exchange.may_start(more[0]):
-                dropped.append((more[0], Ending.NOT_SENT))
+            kind, *arguments = self.outbox.popleft()
+            if kind == "ask" and not self.pool.exchange.may_start(arguments[0]):
+                ended.append((arguments[0], Ending.NOT_SENT))
                 continue
             try:
-                data = self.FORMS[kind](self, *more)
+                data = self.ENCODERS[kind](self, *arguments)
                 if not data:
                     continue
                 sent = self.send(data)
             except OSError as failure:
-                return failure, dropped
-            pending, what = more[-1] if kind == "line" else more[0].pending, 0
+                return failure, ended
+            pending, attempt_kind = arguments[-1] if kind == "bytes" else arguments[0].pending, 0
             if kind == "ask":
-                more[0].written = True
-                self.asked += 1
-                what = FURTHER if more[0].number else FIRST
+                arguments[0].written = True
+                self.sent_queries += 1
+                attempt_kind = FURTHER if arguments[0].number else FIRST
             key = pending.resource_group, pending.tenant
-            self.count_sent(key, sent, 1, what)
-            # Not before a QUIT is written: the module may submit anew as soon as it hears of the end.
-            over = tuple(more) if kind == "quit" else None
+            self.count_sent(key, sent, 1, attempt_kind)
+            # The attempt ends only after its QUIT has been written: the scheduler may start another attempt
+            # as soon as the ending is reported.
+            ends_when_sent = tuple(arguments) if kind == "quit" else None
             if sent < len(data):
-                self.rest = (data[sent:], over, key, more[0] if kind == "ask" else None)
-                self.stalled = self.link.clock.now()
-                self.link.links.call(self)
+                self.send_buffer = (data[sent:], ends_when_sent, key, arguments[0] if kind == "ask" else None)
+                self.write_progress_at = self.pool.clock.now()
+                self.pool.io_loop.request_check(self)
                 break
-            if over:
-                dropped.append(over)
-        return None, dropped
+            if ends_when_sent:
+                ended.append(ends_when_sent)
+        return None, ended
 
-    def write_rest(self):
-        """From the keeper's thread: the engine may take more of what it did not take at once."""
+    def flush_send_buffer(self):
+        """In the I/O loop's thread: sends more of the send buffer; raises OSError."""
         with self.lock:
-            if self.dead or not self.rest:
+            if self.dead or not self.send_buffer:
                 return
-            data, over, key, asked = self.rest
+            data, ends_when_sent, key, asked = self.send_buffer
             sent = self.send(data)
             self.count_sent(key, sent, 0)
             if sent:
-                self.stalled = self.link.clock.now()
-            self.rest = (data[sent:], over, key, asked) if sent < len(data) else None
-            failure, dropped = (None, []) if self.rest else self.flush()
-        if over and sent == len(data):
-            self.drop(*over)
-        for attempt, ending in dropped:
-            self.drop(attempt, ending)
+                self.write_progress_at = self.pool.clock.now()
+            self.send_buffer = (data[sent:], ends_when_sent, key, asked) if sent < len(data) else None
+            failure, ended = (None, []) if self.send_buffer else self.flush()
+        if ends_when_sent and sent == len(data):
+            self.end_attempt(*ends_when_sent)
+        for attempt, ending in ended:
+            self.end_attempt(attempt, ending)
         if failure:
             raise failure
-        if not self.rest:
-            self.link.links.watch(self, self.READS)
+        if not self.send_buffer:
+            self.pool.io_loop.watch(self, self.READ_EVENTS)
 
     def check_idle_close(self):
-        """Raises where the engine has closed the connection while nothing was open on it: what is written
-        after that is lost without proof that it never ran."""
-        if len(self.open) > 1 or not self.asked:
+        """Raises ConnectionResetError if the engine has closed the connection while it was idle.
+
+        What is written after that is lost, without a proof that it did not run."""
+        if len(self.open_attempts) > 1 or not self.sent_queries:
             return
         try:
             closed = self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
@@ -264,18 +282,17 @@
             raise ConnectionResetError(errno.ECONNRESET, "closed by the engine while idle")
 
     def send(self, data):
-        """How many bytes the engine took at once."""
+        """Sends without waiting; returns how many bytes the engine took."""
         try:
             return self.sock.send(data, socket.MSG_DONTWAIT)
         except BlockingIOError:
             return 0
 
-    def fields(self, attempt):
-        """What an engine is told of a query beside its id and statement, as it leaves; None for one that does
-        not any more."""
-        if attempt.has_ended or self.open.get(attempt.pending.id) is not attempt:
+    def request_fields(self, attempt):
+        """The fields of a query's request besides id and statement; None if it is not sent any more."""
+        if attempt.has_ended or self.open_attempts.get(attempt.pending.id) is not attempt:
             return None
-        pending, now = attempt.pending, self.link.clock.now()
+        pending, now = attempt.pending, self.pool.clock.now()
         pending.stage_times.setdefault("asked", now)
         token = b",uniq=" + pending.token if pending.token else b""
         urgency = b",urgency=%d" % pending.priority if pending.priority >= 0 else b""
@@ -286,93 +303,100 @@
             urgency,
         )
 
-    def ask(self, attempt):
-        """The bytes of an attempt; None where it does not leave any more."""
+    def encode_ask(self, attempt):
+        """The bytes of an attempt; None if it is not sent any more."""
         self.check_idle_close()
-        fields, pending = self.fields(attempt), attempt.pending
+        fields, pending = self.request_fields(attempt), attempt.pending
         return fields and b"ASK %b %b %d\r\n%b\r\n" % (pending.id, fields, len(pending.body), pending.body)
 
-    def quit(self, attempt, ending):
-        """The bytes that give an attempt up."""
-        if attempt.has_ended or self.open.get(attempt.pending.id) is not attempt:
+    def encode_quit(self, attempt, ending):
+        """The bytes that cancel an attempt; None if it has ended."""
+        if attempt.has_ended or self.open_attempts.get(attempt.pending.id) is not attempt:
             return None
         return (b"FREE %b\r\n" if attempt.pages else b"QUIT %b\r\n") % attempt.pending.id
 
-    def terms(self, attempt):
-        """The bytes of a new priority."""
-        if attempt.has_ended or not attempt.written or self.open.get(attempt.pending.id) is not attempt:
+    def encode_priority(self, attempt):
+        """The bytes of a new priority; None if the attempt has not been sent or has ended."""
+        if (
+            attempt.has_ended
+            or not attempt.written
+            or self.open_attempts.get(attempt.pending.id) is not attempt
+        ):
             return None
         return b"PRIO %b %d\r\n" % (attempt.pending.id, attempt.pending.priority)
 
-    def line(self, data, pending):
-        """Bytes that are ready as they are."""
+    def encoded_bytes(self, data, pending):
+        """Bytes that are encoded already."""
         return data
 
-    FORMS = {"ask": ask, "quit": quit, "terms": terms, "line": line}
+    ENCODERS = {"ask": encode_ask, "quit": encode_quit, "terms": encode_priority, "bytes": encoded_bytes}
 
-    def give_up(self, attempt, ending, at_once):
-        """What is not written yet is taken back, which proves that it never ran."""
+    def cancel_attempt(self, attempt, ending, at_once):
+        """Cancels an attempt. One that is not written yet is withdrawn, which proves that it never ran."""
         with self.lock:
-            if self.dead or self.open.get(attempt.pending.id) is not attempt:
+            if self.dead or self.open_attempts.get(attempt.pending.id) is not attempt:
                 return
             unwritten = not attempt.written
             if unwritten:
-                del self.open[attempt.pending.id]
+                del self.open_attempts[attempt.pending.id]
         if unwritten:
-            self.link.exchange.end_attempt(attempt, Ending.NOT_SENT)
+            self.pool.exchange.end_attempt(attempt, Ending.NOT_SENT)
         else:
-            self.call_off(attempt, ending, at_once)
+            self.cancel_written(attempt, ending, at_once)
 
-    def call_off(self, attempt, ending, at_once):
-        """What is out is given up, by the protocol's own words."""
+    def cancel_written(self, attempt, ending, at_once):
+        """Cancels an attempt that has been written, by a request of the protocol.
+
+        at_once: the attempt ends now, not when the request has been sent."""
         if at_once:
             data = (b"FREE %b\r\n" if attempt.pages else b"QUIT %b\r\n") % attempt.pending.id
-            self.drop(attempt, ending)
-            self.put("line", data, attempt.pending)
+            self.end_attempt(attempt, ending)
+            self.put("bytes", data, attempt.pending)
         else:
             self.put("quit", attempt, ending)
 
-    def drop(self, attempt, ending, pages=None):
-        """The one end of an attempt on this connection."""
+    def end_attempt(self, attempt, ending, pages=None):
+        """Ends an attempt that is open on this connection, once."""
         with self.lock:
-            if self.open.get(attempt.pending.id) is not attempt:
+            if self.open_attempts.get(attempt.pending.id) is not attempt:
                 return
-            del self.open[attempt.pending.id]
-            self.past[attempt.pending.id] = True
-            # Whatever is still to come of it, or never will, is no concern of the next one.
+            del self.open_attempts[attempt.pending.id]
+            self.ended_ids[attempt.pending.id] = True
+            # The unread answer of an abandoned attempt may still come or never come. A retired connection
+            # takes no further attempt, so that none is affected by it.
             self.retired = self.retired or ending in (Ending.NO_ANSWER, Ending.CANCELLED)
-            if len(self.past) > PAST_MOST:
-                del self.past[next(iter(self.past))]
-            self.used, idles = self.link.clock.now(), not self.open
+            if len(self.ended_ids) > MAX_ENDED_IDS:
+                del self.ended_ids[next(iter(self.ended_ids))]
+            self.last_used_at, is_idle = self.pool.clock.now(), not self.open_attempts
         elapsed = attempt.answered_at - attempt.started_at if attempt.answered_at else None
-        self.link.exchange.end_attempt(attempt, ending, elapsed, pages)
-        if idles:
-            self.link.links.call(self)
+        self.pool.exchange.end_attempt(attempt, ending, elapsed, pages)
+        if is_idle:
+            self.pool.io_loop.request_check(self)
 
-    # Reading
+    # Connecting
 
     def dial(self):
-        """Begins to connect; a name is looked up by a thread of its own."""
-        host = self.link.address[0]
+        """Begins to connect; a host name is resolved in a thread of its own."""
+        host = self.pool.address[0]
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        if not is_number(family, host):
-            # A look-up waits on a name server, which the keeper does for nobody.
-            if not self.link.links.threads.spare(self.look_up, "engine-name"):
+        if not is_ip_address(family, host):
+            # Resolving a name waits for a name server, which the I/O loop must not do.
+            if not self.pool.io_loop.threads.spare(self.resolve_address, "engine-name"):
                 self.fail("no-thread")
             return
-        self.connect(family, self.link.address)
+        self.connect(family, self.pool.address)
 
-    def look_up(self):
-        """That thread: finds the address, and calls."""
+    def resolve_address(self):
+        """In a thread of its own: resolves the host name and requests a check, which connects."""
         try:
-            host, port = self.link.address
-            self.found = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM)[0]
+            host, port = self.pool.address
+            self.resolved_address = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM)[0]
         except OSError as error:
             self.fail("connect-refused", error.strerror)
-        self.link.links.call(self)
+        self.pool.io_loop.request_check(self)
 
     def connect(self, family, address):
-        """Begins to connect to an address, without waiting."""
+        """Begins to connect to an address, without waiting; raises OSError."""
         try:
             sock = socket.socket(family, socket.SOCK_STREAM)
         except OSError as error:
@@ -385,219 +409,238 @@
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         code = sock.connect_ex(address)
-        if code in OURS:
+        if code in LOCAL_ERRNOS:
             return self.fail("no-descriptor", os.strerror(code))
         if code not in (0, errno.EINPROGRESS):
             raise OSError(code, os.strerror(code))
-        self.link.links.watch(self, WRITES)
-        self.link.links.look_at(self)
+        self.pool.io_loop.watch(self, WRITE_EVENTS)
+        self.pool.io_loop.check_connection(self)
         return None
 
-    def come_up(self, sock):
-        """Queries may go out on it: what waited does."""
+    def mark_up(self, sock):
+        """Marks the connection as up and sends the orders that waited; returns False if it is dead already.
+
+        Raises OSError."""
         sock.settimeout(None)
         with self.lock:
             self.sock, self.up, dead = sock, True, self.dead
-            failure, dropped = (None, ()) if dead else self.flush()
-        for attempt, ending in dropped:
-            self.drop(attempt, ending)
+            failure, ended = (None, ()) if dead else self.flush()
+        for attempt, ending in ended:
+            self.end_attempt(attempt, ending)
         if failure:
             raise failure
         return not dead
 
     # Reading
 
-    def ready(self):
-        """From the keeper's thread: the descriptor has something."""
+    def handle_ready(self):
+        """In the I/O loop's thread: handles an event of the descriptor that is not for sending."""
         if self.dead:
             return
         if not self.up:
-            self.connected()
+            self.finish_connecting()
             return
         try:
-            data = self.sock.recv(RECV, socket.MSG_DONTWAIT)
+            data = self.sock.recv(RECEIVE_SIZE, socket.MSG_DONTWAIT)
         except BlockingIOError:
             return
         if not data:
             self.fail("peer-closed")
             return
-        self.buffer += data
+        self.receive_buffer += data
         self.received += len(data)
         self.read_answers()
 
-    def connected(self):
-        """The connection came up, or failed to."""
+    def finish_connecting(self):
+        """Handles the result of connecting; raises OSError if it failed."""
         code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
             raise OSError(code, os.strerror(code))
         if self.accounts is not None:
-            self.account = self.accounts.engine(self.sock, self.link.queue.name)
-        if self.come_up(self.sock):
-            self.link.links.watch(self, self.READS)
+            self.account = self.accounts.engine(self.sock, self.pool.queue.name)
+        if self.mark_up(self.sock):
+            self.pool.io_loop.watch(self, self.READ_EVENTS)
 
     def read_answers(self):
-        """Takes all whole answers off the buffer, and notes since when one is not whole."""
-        before = len(self.buffer)
-        whole = False
-        while not self.dead and (answer := parse(self.buffer)):
-            size, before = before - len(self.buffer), len(self.buffer)
-            self.answer(*answer, size)
-            whole = True
-        # Counted from the first octet of an answer that is not whole: else one octet now and then would
-        # keep it from ever standing still.
-        if not self.buffer:
-            self.midway = 0
-        elif whole or not self.midway:
-            first, self.midway = not self.midway, self.link.clock.now()
-            if first:
-                self.link.links.call(self)
-
-    def answer(self, txn, word, fields, body, size):
-        """One whole answer of the engine."""
+        """Takes all complete answers from the buffer, and notes since when the buffer has a partial one."""
+        size_before = len(self.receive_buffer)
+        has_complete_answer = False
+        while not self.dead and (answer := parse_answer(self.receive_buffer)):
+            size, size_before = size_before - len(self.receive_buffer), len(self.receive_buffer)
+            self.process_answer(*answer, size)
+            has_complete_answer = True
+        # The time runs from the first octet of a partial answer: if each octet restarted it, an engine that
+        # sends one octet now and then would never time out.
+        if not self.receive_buffer:
+            self.partial_since = 0
+        elif has_complete_answer or not self.partial_since:
+            is_first, self.partial_since = not self.partial_since, self.pool.clock.now()
+            if is_first:
+                self.pool.io_loop.request_check(self)
+
+    def process_answer(self, query_id, word, fields, body, size):
+        """Processes one complete answer of the engine; size: of all of it, in octets."""
         with self.lock:
-            attempt = self.open.get(txn)
-        self.claim((attempt.pending.resource_group, attempt.pending.tenant) if attempt else NOBODY, size)
+            attempt = self.open_attempts.get(query_id)
+        self.count_received(
+            (attempt.pending.resource_group, attempt.pending.tenant) if attempt else NOBODY, size
+        )
         if attempt is None or not attempt.written or attempt.pages and word == b"HIT":
-            # A second copy, what crossed our giving up, or what was never asked here: it can be told from all
-            # else, so it costs nobody anything.
-            self.link.counters.add("answers-surplus")
+            # A duplicate, an answer that crossed a cancellation, or one to a query that was never sent here.
+            # It cannot be mistaken for another answer, so it is only counted.
+            self.pool.counters.add("answers-surplus")
             return
         if word == b"HIT":
-            self.first_page(attempt, txn, fields, body)
+            self.process_first_page(attempt, query_id, fields, body)
         elif word == b"PART" and attempt.pages is not None:
-            self.further_page(attempt, txn, fields, body)
+            self.process_further_page(attempt, query_id, fields, body)
         elif word == b"FAULT":
-            self.drop(attempt, Ending.ERROR)
-        elif word in REFUSALS and attempt.pages is None:
-            self.drop(attempt, REFUSALS[word])
+            self.end_attempt(attempt, Ending.ERROR)
+        elif word in REJECTIONS and attempt.pages is None:
+            self.end_attempt(attempt, REJECTIONS[word])
         else:
-            raise ProtocolError("an answer that does not fit what was asked")
-
-    def first_page(self, attempt, txn, fields, body):
-        """A result begins; its further pages are asked for."""
-        sheets = page_number(fields.get(b"sheets", b"1"))
-        if not sheets or not is_page(body):
-            raise ProtocolError("a result has no page that can be read")
-        attempt.answered_at = self.link.clock.now()
-        attempt.work = int(figure(fields.get(b"toil", b"0"), 1e9) * 10)
-        attempt.memory = figure(fields.get(b"room", b"0"), 1e9)
-        attempt.pages = [body] + [None] * (sheets - 1)
+            raise ProtocolError("an answer does not fit the request")
+
+    def process_first_page(self, attempt, query_id, fields, body):
+        """Stores the first page of a result and requests the further ones; raises ProtocolError."""
+        page_count = parse_page_number(fields.get(b"sheets", b"1"))
+        if not page_count or not is_page(body):
+            raise ProtocolError("the first page of a result is invalid")
+        attempt.answered_at = self.pool.clock.now()
+        attempt.work = int(parse_number(fields.get(b"toil", b"0"), 1e9) * 10)
+        attempt.memory = parse_number(fields.get(b"room", b"0"), 1e9)
+        attempt.pages = [body] + [None] * (page_count - 1)
         attempt.pending.stage_times["hit"] = attempt.answered_at
-        if sheets > 1:
+        if page_count > 1:
             self.put(
-                "line", b"".join(b"NEXT %b %d\r\n" % (txn, n) for n in range(1, sheets)), attempt.pending
+                "bytes",
+                b"".join(b"NEXT %b %d\r\n" % (query_id, number) for number in range(1, page_count)),
+                attempt.pending,
             )
-            self.link.links.call(self)
+            self.pool.io_loop.request_check(self)
         else:
-            self.drop(attempt, Ending.FINISHED, attempt.pages)
-
-    def further_page(self, attempt, txn, fields, body):
-        """A page that was asked for; with the last one the result is whole."""
-        n = page_number(fields.get(b"sheet", b""))
-        if not 0 < n < len(attempt.pages) or not is_page(body):
-            raise ProtocolError("a page is out of range or cannot be read")
-        if attempt.pages[n] is not None:
-            self.link.counters.add("answers-surplus")
+            self.end_attempt(attempt, Ending.FINISHED, attempt.pages)
+
+    def process_further_page(self, attempt, query_id, fields, body):
+        """Stores a requested page; the last missing one completes the result. Raises ProtocolError."""
+        number = parse_page_number(fields.get(b"sheet", b""))
+        if not 0 < number < len(attempt.pages) or not is_page(body):
+            raise ProtocolError("a page is out of range or invalid")
+        if attempt.pages[number] is not None:
+            self.pool.counters.add("answers-surplus")
             return
-        attempt.pages[n] = body
+        attempt.pages[number] = body
         if None in attempt.pages:
             return
-        if sum(map(len, attempt.pages)) > RESULT_MOST:
+        if sum(map(len, attempt.pages)) > MAX_RESULT_SIZE:
             raise ProtocolError("a result is too long")
-        self.drop(attempt, Ending.FINISHED, attempt.pages)
-        self.put("line", b"FREE %b\r\n" % txn, attempt.pending)
-
-    # The end
-
-    def look(self, now):
-        """From the keeper's thread: ends what had its time. When to look again; None for a dead one."""
-        if self.sock is None and self.found and not self.dead:
-            family, *_, address = self.found
-            self.found = None
-            self.guard(lambda: self.connect(family, address))
-        if not self.dead and (why := self.overdue(now)):
-            self.fail(*why)
-        if self.idles() and (self.link.closing or self.retired or now - self.used >= self.link.idle_time):
-            self.fail("engine-gone" if self.link.closing else "retired" if self.retired else "idle")
+        self.end_attempt(attempt, Ending.FINISHED, attempt.pages)
+        self.put("bytes", b"FREE %b\r\n" % query_id, attempt.pending)
+
+    # Timers and the end
+
+    def check_timers(self, now):
+        """In the I/O loop's thread: ends the connection if a time limit has passed.
+
+        Returns when to check next; None if the connection is dead."""
+        if self.sock is None and self.resolved_address and not self.dead:
+            family, *_, address = self.resolved_address
+            self.resolved_address = None
+            self.run_guarded(lambda: self.connect(family, address))
+        if not self.dead and (timeout := self.expired_timeout(now)):
+            self.fail(*timeout)
+        if self.is_idle() and (
+            self.pool.closing or self.retired or now - self.last_used_at >= self.pool.idle_timeout
+        ):
+            self.fail("engine-gone" if self.pool.closing else "retired" if self.retired else "idle")
         if self.dead:
             return None
-        if self.idles():
-            return self.used + self.link.idle_time
-        return self.due(now)
+        if self.is_idle():
+            return self.last_used_at + self.pool.idle_timeout
+        return self.next_check_time(now)
 
-    def idles(self):
-        """Whether it lives with nothing open."""
-        return not self.dead and not self.open
+    def is_idle(self):
+        """Whether the connection is not dead and no attempt is open on it."""
+        return not self.dead and not self.open_attempts
 
-    def overdue(self, now):
-        """Why the connection has had its time, as (reason code, detail), or None."""
-        if self.rest and now - self.stalled > WRITE_TIME:
+    def expired_timeout(self, now):
+        """The time limit that has passed, as (reason code, detail), or None."""
+        if self.send_buffer and now - self.write_progress_at > WRITE_TIMEOUT:
             return "write-stalled", None
-        if not self.up and now >= self.made + self.link.connect_s * 10_000:
+        if not self.up and now >= self.created_at + self.pool.connect_timeout_s * 10_000:
             return "connect-timeout", "timed out"
-        if self.midway and now - self.midway > STALL_TIME:
+        if self.partial_since and now - self.partial_since > PARTIAL_ANSWER_TIMEOUT:
             return "malformed", "an answer stopped midway"
         if any(
-            attempt.answered_at and now - attempt.answered_at > PAGE_TIME
-            for attempt in list(self.open.values())
+            attempt.answered_at and now - attempt.answered_at > PAGE_TIMEOUT
+            for attempt in list(self.open_attempts.values())
         ):
             return "page-missing", None
         return None
 
-    def due(self, now):
-        """When something of it has to be looked at next."""
+    def next_check_time(self, now):
+        """When to check the timers of a connection in use next."""
         if not self.up:
-            return self.made + int(self.link.connect_s * 10_000)
-        if self.rest:
-            # TDS has a thread that reads; both have the keeper write.
-            self.link.links.watch(self, self.READS | WRITES)
-            return now + LOOK
-        if self.midway or any(attempt.answered_at for attempt in list(self.open.values())):
-            return now + LOOK
-        return now + self.link.idle_time
+            return self.created_at + int(self.pool.connect_timeout_s * 10_000)
+        if self.send_buffer:
+            # The I/O loop also writes for TDS connections, whose own threads read.
+            self.pool.io_loop.watch(self, self.READ_EVENTS | WRITE_EVENTS)
+            return now + CHECK_PERIOD
+        if self.partial_since or any(attempt.answered_at for attempt in list(self.open_attempts.values())):
+            return now + CHECK_PERIOD
+        return now + self.pool.idle_timeout
 
     def fail(self, reason, detail=None):
-        """Ends the connection, and each attempt on it with what is proven."""
+        """From any thread: ends the connection, and each attempt on it with the ending that is proven."""
         with self.lock:
             if self.dead:
                 return
-            self.dead, self.links_stop = True, reason == "stop"
-            subs, self.open = list(self.open.values()), {}
-            count = len(subs)
+            self.dead, self.ended_by_stop = True, reason == "stop"
+            attempts, self.open_attempts = list(self.open_attempts.values()), {}
+            count = len(attempts)
             self.outbox.clear()
-            # A query whose last bytes never left us cannot have begun where only whole ones do. What the peer
-            # broke counts against it like a connection that cannot be had.
-            lost = Ending.NOT_SENT if reason in OUR_DOING else Ending.NO_CONNECTION
-            half = self.rest[3] if self.RUNS_WHOLE and self.rest else None
+            # If engines run complete requests only, a query whose last bytes were not sent cannot have begun.
+            # A connection that the engine broke counts against it like one that could not be opened.
+            partly_sent_ending = Ending.NOT_SENT if reason in LOCAL_REASONS else Ending.NO_CONNECTION
+            partly_sent = (
+                self.send_buffer[3] if self.RUNS_ONLY_COMPLETE_REQUESTS and self.send_buffer else None
+            )
             if self.sock:
                 try:
                     self.sock.shutdown(socket.SHUT_RDWR)
                 except OSError:
                     pass
-        link, unwritten = (
-            self.link,
-            Ending.NOT_SENT if self.up or reason in OUR_DOING else Ending.NO_CONNECTION,
+        pool, unwritten_ending = (
+            self.pool,
+            Ending.NOT_SENT if self.up or reason in LOCAL_REASONS else Ending.NO_CONNECTION,
         )
-        for attempt in subs:
-            link.exchange.end_attempt(
-                attempt, lost if attempt is half else Ending.RESET if attempt.written else unwritten
+        for attempt in attempts:
+            pool.exchange.end_attempt(
+                attempt,
+                partly_sent_ending
+                if attempt is partly_sent
+                else Ending.RESET
+                if attempt.written
+                else unwritten_ending,
             )
-        link.ended(self)
-        link.counters.add(f"engine-connections-ended-{reason}")
-        link.log.line(
+        pool.remove(self)
+        pool.counters.add(f"engine-connections-ended-{reason}")
+        pool.log.line(
             "engine-connection-ended",
-            engine=link.queue.name,
+            engine=pool.queue.name,
             reason=reason,
             detail=detail,
-            asked=self.asked,
+            asked=self.sent_queries,
             open=count,
-            lived=(link.clock.now() - self.made) / 10_000,
+            lived=(pool.clock.now() - self.created_at) / 10_000,
         )
-        link.links.call(self)
+        pool.io_loop.request_check(self)
+
+    def close_if_idle(self, reason):
+        """In the I/O loop's thread, the only one that adds queries: ends the connection if it is idle.
 
-    def end_idle(self, reason):
-        """From the keeper's thread, which alone hands in queries: whether it idled, and is ended."""
-        idles = self.idles()
-        if idles:
+        Returns whether it was idle."""
+        is_idle = self.is_idle()
+        if is_idle:
             self.fail(reason)
-        return idles
+        return is_idle
--- a/wickvane/net/lines/links.py
+++ b/wickvane/net/lines/links.py
@@ -1,10 +1,13 @@
-"""The keeper: one thread for all engines. It takes orders from the queues, watches the connections, keeps the
-waits, and ends what ran out of time or idles.
+"""The connection pools of all engines, and the I/O loop: one thread for all engine connections.
 
-Threads that mostly sleep cost a machine its process ids long before they cost memory: with one an engine and
-one a connection, dispatchers that share a machine ran it out of them. So nothing here grows with the list of
-engines: one poll over the descriptors, one heap of times, one line of those that call. Nothing in it waits on
-a peer, so that none holds up another's answers.
+The I/O loop takes orders from the engines' queues, watches the connections' descriptors, and ends attempts
+and connections whose time is over.
+
+A machine runs out of process ids long before it runs out of memory, even if most threads sleep. Dispatchers
+that share a machine used up its process ids with one thread per engine and one per connection. So the number
+of threads does not depend on the number of engines: there is one poll over the descriptors, one heap of
+timers, and one queue of engines with orders and connections to check. The I/O loop never waits for a peer, so
+that no peer delays another's answers.
 """
 
 import select
@@ -14,326 +17,351 @@
 
 from wickvane.events import FOREVER, Ending
 from wickvane.net.exchange import Attempt
-from wickvane.net.lines.connection import WRITES, Connection
+from wickvane.net.lines.connection import WRITE_EVENTS, Connection
 from wickvane.net.queues import EngineQueue
 from wickvane.settings import idle_connection_timeout
 
-WAITS_HELD = 256
-LONGEST_S = 1.0  # a round without a call or a time that is due
-IDLE_SHARE = 2  # one in so many of the descriptors that engines may hold is kept open for what may come
-STREAMS = 100  # requests on a connection, where the settings name no bound
-FULL = select.EPOLLERR | select.EPOLLHUP
-
-
-class Link:
-    """One engine process: its queue and its connections."""
-
-    def __init__(self, queue, links):
-        self.queue, self.links, queue.link = queue, links, self
-        self.exchange, self.clock, self.log = links.exchange, links.clock, links.log
-        self.counters, self.streams, self.connect_s = links.counters, links.streams, links.connect_s
-        self.idle_time, self.address = links.idle_time, queue.address
+MIN_COMPACTION_THRESHOLD = 256  # timers
+MAX_POLL_S = 1.0  # maximum wait if no timer is due earlier
+IDLE_DIVISOR = 2  # the maximum of idle connections is the engines' descriptors divided by this
+DEFAULT_OPEN_ATTEMPTS = 100  # maximum on one connection if the settings have no bound
+HANGUP_EVENTS = select.EPOLLERR | select.EPOLLHUP
+
+
+class ConnectionPool:
+    """The connections to one engine process, and its queue of orders."""
+
+    def __init__(self, queue, io_loop):
+        self.queue, self.io_loop, queue.link = queue, io_loop, self
+        self.exchange, self.clock, self.log = io_loop.exchange, io_loop.clock, io_loop.log
+        self.counters, self.max_open_attempts, self.connect_timeout_s = (
+            io_loop.counters,
+            io_loop.max_open_attempts,
+            io_loop.connect_timeout_s,
+        )
+        self.idle_timeout, self.address = io_loop.idle_timeout, queue.address
         self.lock, self.connections, self.closing = Lock(), [], False
 
-    def ask(self, attempt):
-        """Sends an attempt over the best connection that takes it."""
+    def start_attempt(self, attempt):
+        """Sends an attempt on the best connection that accepts it; it ends as not sent if there is none."""
         now = self.clock.now()
         if attempt.has_ended:
             return
-        # Decided before a standstill, what it counted on may be another's by now: links.stale.
+        # After a standstill of the process, other dispatchers may have used what the decision counted on:
+        # see IoLoop.stale.
         if (
             now >= attempt.deadline
             or attempt.pending.answer is not None
-            or now - attempt.started_at >= self.links.stale
+            or now - attempt.started_at >= self.io_loop.stale
         ):
             self.exchange.end_attempt(attempt, Ending.NOT_SENT)
             return
-        # One that died meanwhile proves that nothing ran.
-        place = next((c for c in self.candidates(attempt, now) if c.put("ask", attempt)), None)
-        if place is None:
+        # A connection that died before a byte was sent proves that nothing ran, so the next one is used.
+        connection = next((c for c in self.candidates(attempt, now) if c.put("ask", attempt)), None)
+        if connection is None:
             self.exchange.end_attempt(attempt, Ending.NOT_SENT)
             return
-        self.links.in_use(place)
-        if not place.started:
-            place.started = True
-            # Not before the order is in: one refused at once would end it as never sent, and the module would
-            # not hear that the engine is down.
-            place.start()
-        self.links.later(attempt.deadline, attempt)
+        self.io_loop.mark_in_use(connection)
+        if not connection.started:
+            connection.started = True
+            # Only after the order is queued: if the connection were refused at once, the attempt would end as
+            # not sent, and the scheduler would not learn that the engine is down.
+            connection.start()
+        self.io_loop.add_timer(attempt.deadline, attempt)
 
     def candidates(self, attempt, now):
-        """The connections that may carry an attempt, best first. What one that is spoilt or reset takes along
-        is kept small: one query on each while there are descriptors for it, then where fewest are."""
+        """Yields the connections that may carry an attempt, the best first.
+
+        A malformed answer or a reset affects all attempts on the connection. So each connection carries one
+        attempt while there are descriptors left; after that, those with the fewest attempts come first."""
         with self.lock:
             connections = list(self.connections)
         for connection in connections:
-            if not connection.open and connection.takes(attempt, now):
+            if not connection.open_attempts and connection.accepts(attempt, now):
                 yield connection
-        if self.links.may_open():
+        if self.io_loop.may_open():
             yield self.open_connection()
             return
-        yield from sorted((c for c in connections if c.takes(attempt, now)), key=lambda c: len(c.open))
+        yield from sorted(
+            (c for c in connections if c.accepts(attempt, now)), key=lambda c: len(c.open_attempts)
+        )
 
     def open_connection(self):
-        """A connection that is not dialled yet."""
+        """Returns a new connection that has not begun to connect."""
         connection = self.queue.speaks.connection(self) if self.queue.speaks else Connection(self)
         with self.lock:
             self.connections.append(connection)
-        self.links.opened(connection)
+        self.io_loop.add_connection(connection)
         self.counters.add("engine-connections")
         return connection
 
-    def find(self, attempt):
-        """The connection that an attempt is open on."""
+    def find_connection(self, attempt):
+        """The connection that an attempt is open on, or None."""
         with self.lock:
             connections = list(self.connections)
-        return next((c for c in connections if c.open.get(attempt.pending.id) is attempt), None)
+        return next((c for c in connections if c.open_attempts.get(attempt.pending.id) is attempt), None)
 
-    def quit(self, attempt, ending=Ending.CANCELLED, at_once=False):
-        """Gives an attempt up."""
-        place = self.find(attempt)
-        if place:
-            place.give_up(attempt, ending, at_once)
+    def cancel_attempt(self, attempt, ending=Ending.CANCELLED, at_once=False):
+        """Cancels an attempt; at_once: it ends now, not when the engine has been sent the cancellation."""
+        connection = self.find_connection(attempt)
+        if connection:
+            connection.cancel_attempt(attempt, ending, at_once)
 
-    def terms(self, attempt):
-        """Tells the engine an attempt's new priority."""
-        place = self.find(attempt)
-        if place:
-            place.put("terms", attempt)
+    def send_priority(self, attempt):
+        """Sends an attempt's new priority to the engine."""
+        connection = self.find_connection(attempt)
+        if connection:
+            connection.put("terms", attempt)
 
     def drain(self):
-        """What is still in line would go out after the engine's grace if a write stalls: it is taken back."""
+        """Withdraws the attempts that are not written.
+
+        If a write stalls, they would be sent after the draining engine's grace period."""
         with self.lock:
             connections = list(self.connections)
-        for place in connections:
-            for attempt in list(place.open.values()):
+        for connection in connections:
+            for attempt in list(connection.open_attempts.values()):
                 if not attempt.written:
-                    place.give_up(attempt, Ending.NOT_SENT, True)
+                    connection.cancel_attempt(attempt, Ending.NOT_SENT, True)
 
-    def restarted(self, started):
-        """Another process is there since: older connections lead nowhere."""
-        # What was connected before the engine's start leads to a process that is no more.
+    def close_older_connections(self, started):
+        """Ends the connections opened before the engine process started, which lead to an earlier process."""
         with self.lock:
-            connections = [c for c in self.connections if c.made < started]
-        for place in connections:
-            place.fail("engine-restarted")
+            connections = [c for c in self.connections if c.created_at < started]
+        for connection in connections:
+            connection.fail("engine-restarted")
 
     def close(self):
-        """The engine has gone; connections end once nothing is open on them."""
+        """Closes the pool of an engine that has gone: each connection ends once no attempt is open on it."""
         self.closing = True
         with self.lock:
             connections = list(self.connections)
-        for place in connections:
-            self.links.look_at(place)
+        for connection in connections:
+            self.io_loop.check_connection(connection)
 
     ORDERS = {
-        "ask": ask,
-        "quit": quit,
-        "terms": terms,
+        "ask": start_attempt,
+        "quit": cancel_attempt,
+        "terms": send_priority,
         "drain": drain,
-        "restarted": restarted,
+        "restarted": close_older_connections,
         "close": close,
     }
 
-    def ended(self, place):
-        """A connection has closed."""
+    def remove(self, connection):
+        """Removes a connection that has ended."""
         with self.lock:
-            if place in self.connections:
-                self.connections.remove(place)
-        self.links.closed(place)
+            if connection in self.connections:
+                self.connections.remove(connection)
+        self.io_loop.remove_connection(connection)
 
 
-class Links:
-    """All links, and the thread that keeps them, within the descriptors that engines may hold.
+class IoLoop:
+    """The I/O loop, with the connections of all pools and the bound of their descriptors.
 
-    limits: that section of the settings. most: descriptors. threads: starts those that one peer needs.
+    limits: that section of the settings. max_descriptors: for engine connections. threads: starts the threads
+    that a single connection needs.
     """
 
-    def __init__(self, exchange, limits, most, clock, log, counters, accounts=None, threads=None):
+    def __init__(self, exchange, limits, max_descriptors, clock, log, counters, accounts=None, threads=None):
         self.exchange, self.clock, self.log, self.counters = exchange, clock, log, counters
         self.accounts, self.attention_time, self.threads = accounts, 50_000, threads
-        self.streams = limits.count("streams_per_conn", STREAMS)
-        self.connect_s = max(0.01, limits.milliseconds("dial_timeout_ms", 250) / 1000)
-        self.idle_time = idle_connection_timeout(limits)
-        self.lock, self.all, self.most, self.stopping, self.ended = Lock(), {}, most, False, Event()
-        self.stale = FOREVER  # after which what was decided does not leave any more: a part sets it
-        self.waits, self.count, self.most_waits = [], 0, WAITS_HELD
-        # The connections that a descriptor's events are for; those that nothing is open on, longest first.
+        self.max_open_attempts = limits.count("streams_per_conn", DEFAULT_OPEN_ATTEMPTS)
+        self.connect_timeout_s = max(0.01, limits.milliseconds("dial_timeout_ms", 250) / 1000)
+        self.idle_timeout = idle_connection_timeout(limits)
+        self.lock, self.all, self.max_descriptors, self.stopping, self.finished = (
+            Lock(),
+            {},
+            max_descriptors,
+            False,
+            Event(),
+        )
+        self.stale = (
+            FOREVER  # ticks after a decision from which its attempt is not sent; an extension sets it
+        )
+        # Timers are (time, number, attempt or connection); the number keeps equal times in order.
+        self.timers, self.timer_count, self.compaction_threshold = [], 0, MIN_COMPACTION_THRESHOLD
+        # The connections by descriptor; the idle connections, those that have been idle longest first.
         self.watched, self.idle = {}, OrderedDict()
-        self.calls, self.bell = exchange.ready_queue, exchange.ready_queue.bell
-        self.poll = select.epoll()
-        self.poll.register(self.bell.heard, select.EPOLLIN)
+        self.ready_queue, self.wakeup_pipe = exchange.ready_queue, exchange.ready_queue.bell
+        self.epoll = select.epoll()
+        self.epoll.register(self.wakeup_pipe.heard, select.EPOLLIN)
 
     # The thread
 
     def run(self):
-        """The thread, until it is stopped."""
+        """The thread: runs until stop() is called."""
         while not self.stopping:
-            self.round(self.events())
-        for place in list(self.watched.values()):
-            place.release()
-        self.ended.set()
-
-    def events(self):
-        """What the poll found, waited for until something is due."""
-        wait = LONGEST_S
-        if self.waits:
-            wait = min(wait, max(0, self.waits[0][0] - self.clock.now()) / 10_000)
-        self.bell.asleep = True
+            self.run_once(self.poll_events())
+        for connection in list(self.watched.values()):
+            connection.release()
+        self.finished.set()
+
+    def poll_events(self):
+        """Waits for events until the first timer is due; returns pairs of (descriptor, events)."""
+        wait = MAX_POLL_S
+        if self.timers:
+            wait = min(wait, max(0, self.timers[0][0] - self.clock.now()) / 10_000)
+        self.wakeup_pipe.asleep = True
         try:
-            return self.poll.poll(0 if self.calls.items or self.stopping else wait)
+            return self.epoll.poll(0 if self.ready_queue.items or self.stopping else wait)
         finally:
-            self.bell.asleep = False
-
-    def round(self, events):
-        """Sees to descriptors, to orders, and to what is due."""
-        for descriptor, what in events:
-            if descriptor == self.bell.heard:
-                self.bell.hear()
-            elif place := self.watched.get(descriptor):
-                if what & WRITES and place.up:
-                    place.guard(place.write_rest)
-                if what & ~WRITES or not place.up:
-                    place.guard(place.ready)
-                if what & FULL and not place.dead:
-                    # Read to its end, it has failed by now; what has not would ring here for ever.
-                    place.fail("reset" if place.up else "connect-refused")
-        for _ in range(len(self.calls.items)):
-            caller = self.calls.items.popleft()
-            if isinstance(caller, EngineQueue):
-                self.take_orders(caller)
+            self.wakeup_pipe.asleep = False
+
+    def run_once(self, events):
+        """Handles descriptor events, the ready queue, and the timers that are due."""
+        for descriptor, flags in events:
+            if descriptor == self.wakeup_pipe.heard:
+                self.wakeup_pipe.hear()
+            elif connection := self.watched.get(descriptor):
+                if flags & WRITE_EVENTS and connection.up:
+                    connection.run_guarded(connection.flush_send_buffer)
+                if flags & ~WRITE_EVENTS or not connection.up:
+                    connection.run_guarded(connection.handle_ready)
+                if flags & HANGUP_EVENTS and not connection.dead:
+                    # A connection read to its end has failed by now. If it has not, the poll would return
+                    # this event again and again.
+                    connection.fail("reset" if connection.up else "connect-refused")
+        for _ in range(len(self.ready_queue.items)):
+            item = self.ready_queue.items.popleft()
+            if isinstance(item, EngineQueue):
+                self.process_orders(item)
             else:
-                caller.called = False
-                self.look_at(caller)
-        self.look(self.clock.now())
-
-    def take_orders(self, queue):
-        """All orders that wait for one engine."""
-        link = queue.link or Link(queue, self)
-        for kind, *rest in queue.take(0):
+                item.check_requested = False
+                self.check_connection(item)
+        self.run_timers(self.clock.now())
+
+    def process_orders(self, queue):
+        """Processes all orders that wait for one engine."""
+        pool = queue.link or ConnectionPool(queue, self)
+        for kind, *arguments in queue.take(0):
             try:
-                link.ORDERS[kind](link, *rest)
-            except Exception as error:  # one order's fault ends no other's
+                pool.ORDERS[kind](pool, *arguments)
+            except Exception as error:  # a fault in one order must not affect the others
                 self.log.line("fault", error=f"{type(error).__name__}: {error}", where=f"link {kind}")
                 self.counters.add("faults")
                 if kind == "ask":
-                    self.exchange.end_attempt(rest[0], Ending.RESET if rest[0].written else Ending.NOT_SENT)
-
-    # Times
-
-    def later(self, at, what):
-        """what: an attempt whose wait ends then, or a connection to look at."""
-        self.count += 1
-        heappush(self.waits, (at, self.count, what))
-
-    def look(self, now):
-        """Ends what ran out of time, and looks at the connections whose time it is."""
-        while self.waits and (self.waits[0][0] <= now or over(self.waits[0][2])):
-            what = heappop(self.waits)[2]
-            if not isinstance(what, Attempt):
-                what.look_at = None
-                self.look_at(what, now)
-            elif not what.has_ended:
-                # At the client's own limit nothing can follow, and the answer is due now.
-                what.queue.link.quit(what, Ending.NO_ANSWER, what.deadline >= what.pending.deadline)
-        if len(self.waits) > self.most_waits:
-            # Long limits of queries that ended long ago would pile up behind one that is still out.
-            self.waits = [wait for wait in self.waits if not over(wait[2])]
-            heapify(self.waits)
-            self.most_waits = max(WAITS_HELD, 2 * len(self.waits))
-
-    def look_at(self, place, now=None):
-        """Ends a connection that had its time; else it is looked at again when something of it is due."""
+                    self.exchange.end_attempt(
+                        arguments[0], Ending.RESET if arguments[0].written else Ending.NOT_SENT
+                    )
+
+    # Timers
+
+    def add_timer(self, at, item):
+        """item: an attempt that is abandoned at that time, or a connection whose timers are checked then."""
+        self.timer_count += 1
+        heappush(self.timers, (at, self.timer_count, item))
+
+    def run_timers(self, now):
+        """Abandons the attempts whose deadline has passed, and checks the connections that are due."""
+        while self.timers and (self.timers[0][0] <= now or has_ended(self.timers[0][2])):
+            item = heappop(self.timers)[2]
+            if not isinstance(item, Attempt):
+                item.next_check_at = None
+                self.check_connection(item, now)
+            elif not item.has_ended:
+                # At the client's own time limit no further attempt is possible, and the answer is due now.
+                item.queue.link.cancel_attempt(item, Ending.NO_ANSWER, item.deadline >= item.pending.deadline)
+        if len(self.timers) > self.compaction_threshold:
+            # Late deadlines of queries that ended long ago would pile up behind one that is still in flight.
+            self.timers = [timer for timer in self.timers if not has_ended(timer[2])]
+            heapify(self.timers)
+            self.compaction_threshold = max(MIN_COMPACTION_THRESHOLD, 2 * len(self.timers))
+
+    def check_connection(self, connection, now=None):
+        """Checks the timers of a connection; an exception ends this connection only."""
         try:
-            self.see_to(place, now or self.clock.now())
-        except Exception as error:  # one connection's fault ends no other's
-            place.fail("fault", f"{type(error).__name__}: {error}")
+            self.update_timer(connection, now or self.clock.now())
+        except Exception as error:  # a fault in one connection must not affect the others
+            connection.fail("fault", f"{type(error).__name__}: {error}")
             self.counters.add("faults")
 
-    def see_to(self, place, now):
-        """Lets a connection look at its times, and notes when to look again."""
-        at = place.look(now)
-        if place.dead:
-            self.idle.pop(place, None)
-            place.release()
-        elif at is not None and (place.look_at is None or at < place.look_at):
-            place.look_at = at
-            self.later(max(at, now + 1), place)
-        if place.idles():
-            self.now_idle(place)
-
-    def call(self, place):
-        """From any thread: the keeper is to look at this connection."""
-        if not place.called:
-            place.called = True
-            self.calls.put(place)
+    def update_timer(self, connection, now):
+        """Lets a connection check its timers, and sets the timer of its next check."""
+        at = connection.check_timers(now)
+        if connection.dead:
+            self.idle.pop(connection, None)
+            connection.release()
+        elif at is not None and (connection.next_check_at is None or at < connection.next_check_at):
+            connection.next_check_at = at
+            self.add_timer(max(at, now + 1), connection)
+        if connection.is_idle():
+            self.mark_idle(connection)
+
+    def request_check(self, connection):
+        """From any thread: lets the I/O loop check a connection soon."""
+        if not connection.check_requested:
+            connection.check_requested = True
+            self.ready_queue.put(connection)
 
     # Descriptors
 
-    def watch(self, place, what):
-        """From here on the poll tells of these events of a connection."""
-        descriptor = place.sock.fileno()
-        if self.watched.get(descriptor) is place:
-            self.poll.modify(descriptor, what)
+    def watch(self, connection, events):
+        """Watches a connection's descriptor for these events only."""
+        descriptor = connection.sock.fileno()
+        if self.watched.get(descriptor) is connection:
+            self.epoll.modify(descriptor, events)
         else:
-            self.watched[descriptor] = place
-            self.poll.register(descriptor, what)
+            self.watched[descriptor] = connection
+            self.epoll.register(descriptor, events)
 
-    def unwatch(self, place, descriptor):
-        """From here on it tells of none."""
-        if self.watched.get(descriptor) is place:
+    def unwatch(self, connection, descriptor):
+        """Stops watching a connection's descriptor."""
+        if self.watched.get(descriptor) is connection:
             del self.watched[descriptor]
             try:
-                self.poll.unregister(descriptor)
+                self.epoll.unregister(descriptor)
             except OSError:
-                pass  # closed, which took it out
+                pass  # closing the descriptor has removed it
 
-    def in_use(self, place):
-        """Something is open on a connection that idled."""
-        self.idle.pop(place, None)
+    def mark_in_use(self, connection):
+        """Notes that an attempt is open on a connection."""
+        self.idle.pop(connection, None)
 
-    def now_idle(self, place):
-        """A connection idles; past the bound the one that idled longest is ended."""
-        if place in self.idle:
+    def mark_idle(self, connection):
+        """Notes that a connection is idle; above the maximum, those idle longest are closed."""
+        if connection in self.idle:
             return
-        self.idle[place] = None
-        while len(self.idle) > max(1, self.most // IDLE_SHARE):
-            self.make_room()
+        self.idle[connection] = None
+        while len(self.idle) > max(1, self.max_descriptors // IDLE_DIVISOR):
+            self.close_longest_idle()
 
-    def make_room(self):
-        """Ends the connection that has idled longest; False where none idles."""
+    def close_longest_idle(self):
+        """Closes the connection that has been idle longest; returns False if none is idle."""
         while self.idle:
-            place, _ = self.idle.popitem(last=False)
-            if place.end_idle("made-room"):
+            connection, _ = self.idle.popitem(last=False)
+            if connection.close_if_idle("made-room"):
                 return True
         return False
 
     def may_open(self):
-        """Whether a descriptor is left for another connection, made room for if need be."""
-        # Connections kept for what may come to some engines must not keep others from being reached.
-        return len(self.all) < self.most or self.make_room()
+        """Whether there is a descriptor for another connection; closes an idle connection if necessary."""
+        # Idle connections to some engines must not prevent connections to others.
+        return len(self.all) < self.max_descriptors or self.close_longest_idle()
 
-    def opened(self, place):
-        """A connection holds a descriptor."""
+    def add_connection(self, connection):
+        """Counts a connection among those that hold a descriptor."""
         with self.lock:
-            self.all[place] = None
+            self.all[connection] = None
 
-    def closed(self, place):
-        """A connection holds none any more."""
+    def remove_connection(self, connection):
+        """Removes a connection that holds no descriptor any more."""
         with self.lock:
-            self.all.pop(place, None)
+            self.all.pop(connection, None)
 
     def stop(self, seconds=1.0):
-        """From another thread: ends what is open, then the keeper, whose last counts are in when it has."""
+        """From another thread: ends all connections and the I/O loop, and waits for the loop's end.
+
+        After that its last counts are added. seconds: the maximum wait."""
         with self.lock:
-            places = list(self.all)
-        for place in places:
-            place.fail("stop")
+            connections = list(self.all)
+        for connection in connections:
+            connection.fail("stop")
         self.stopping = True
-        self.bell.ring()
-        self.ended.wait(seconds)
+        self.wakeup_pipe.ring()
+        self.finished.wait(seconds)
 
 
-def over(what):
+def has_ended(item):
     """Whether an attempt has ended, or a connection is dead."""
-    return what.has_ended if isinstance(what, Attempt) else what.dead
+    return item.has_ended if isinstance(item, Attempt) else item.dead
--- a/wickvane/net/lines/pages.py
+++ b/wickvane/net/lines/pages.py
@@ -1,12 +1,15 @@
-"""An engine's pages: text of whole rows, a tab between columns."""
+"""The pages of an engine's result: text of complete rows, with a tab between columns."""
 
-PAGE_MOST, RESULT_MOST, PAGES_MOST, COLUMNS = 6_000, 48_000, 64, 3
+# Sizes in octets.
+MAX_PAGE_SIZE, MAX_RESULT_SIZE, MAX_PAGES, COLUMNS = 6_000, 48_000, 64, 3
 
 
 def is_page(body):
-    """Whole rows of three columns, by count; row by row it is seen when the rows are made."""
+    """Whether a body has complete rows of three columns, by the number of tabs and line ends.
+
+    Each row's own columns are checked when the rows are encoded for the client."""
     return (
-        len(body) <= PAGE_MOST
+        len(body) <= MAX_PAGE_SIZE
         and (not body or body.endswith(b"\n"))
         and body.count(b"\t") == (COLUMNS - 1) * body.count(b"\n")
     )
--- a/wickvane/net/postgres/rows.py
+++ b/wickvane/net/postgres/rows.py
@@ -2,9 +2,10 @@
 
 from struct import pack
 
-from wickvane.net.lines.pages import COLUMNS, PAGE_MOST
+from wickvane.net.lines.pages import COLUMNS, MAX_PAGE_SIZE
 
-LENGTHS = [pack("!I", n) for n in range(PAGE_MOST + 17)]  # packing them anew is a third of a result's cost
+# Packing them anew is a third of a result's cost.
+LENGTHS = [pack("!I", n) for n in range(MAX_PAGE_SIZE + 17)]
 
 NAMES = (b"column1", b"column2", b"column3")
 TEXT = 25
--- a/wickvane/net/service.py
+++ b/wickvane/net/service.py
@@ -21,7 +21,7 @@
 from wickvane.net.counters import Counters
 from wickvane.net.decider import Decider
 from wickvane.net.exchange import Exchange
-from wickvane.net.lines.links import Links
+from wickvane.net.lines.links import IoLoop
 from wickvane.net.listener import SPARE, Listener
 from wickvane.net.log import Log
 from wickvane.net.postgres.session import Session
@@ -176,7 +176,7 @@
         )
         # One third for engines; what is left, less a few for the rest, for clients, who are promised one.
         for_engines = config.sockets // 3
-        self.links = Links(
+        self.links = IoLoop(
             self.exchange,
             config.engine_limits,
             max(8, for_engines),
--- a/wickvane/net/tds/connection.py
+++ b/wickvane/net/tds/connection.py
@@ -57,12 +57,13 @@
 class Connection(lines.Connection):
     """One connection to an engine by TDS, with a thread of its own."""
 
-    READS = 0  # its own thread reads, not the I/O loop
-    RUNS_WHOLE = True  # MS-TDS 2.2.1.3: a batch is complete with the packet that has the EOM bit
+    READ_EVENTS = 0  # its own thread reads, not the I/O loop
+    # MS-TDS 2.2.1.3: a batch is complete with the packet that has the EOM bit
+    RUNS_ONLY_COMPLETE_REQUESTS = True
 
-    def __init__(self, link) -> None:
-        super().__init__(link)
-        self.engines = link.queue.speaks
+    def __init__(self, pool) -> None:
+        super().__init__(pool)
+        self.engines = pool.queue.speaks
         self.packet_size = packets.DEFAULT_PACKET_SIZE
         self.assembler = packets.MessageAssembler(UNBOUNDED, ENGINE_MESSAGE_TYPES)
         self.state = BatchState.IDLE
@@ -89,18 +90,18 @@
         """Whether the acknowledgement of an attention is awaited."""
         return self.state is BatchState.ATTENTION_SENT
 
-    def takes(self, attempt, now: int) -> bool:
+    def accepts(self, attempt, now: int) -> bool:
         """As lines.Connection: one batch at a time."""
         with self.lock:
             usable = not self.dead and not self.retired
-            unused = not self.open and self.state is BatchState.IDLE
-            return usable and unused and now - self.used < self.link.idle_time
+            unused = not self.open_attempts and self.state is BatchState.IDLE
+            return usable and unused and now - self.last_used_at < self.pool.idle_timeout
 
     # Orders
 
-    def ask(self, attempt) -> bytes | None:
+    def encode_ask(self, attempt) -> bytes | None:
         """The packets of an attempt's batch; None where it is not sent any more."""
-        fields = self.fields(attempt)
+        fields = self.request_fields(attempt)
         if not fields:
             return None
         pending = attempt.pending
@@ -110,25 +111,25 @@
         self.stream = None
         self._change_state(BatchEvent.BATCH_ENCODED)
         # Temporary tables and options that the last query left in the engine's session must not be seen.
-        status = packets.STATUS_RESET_CONNECTION if self.asked else 0
+        status = packets.STATUS_RESET_CONNECTION if self.sent_queries else 0
         return packets.encode_packets(packets.SQL_BATCH, encode_sql_batch(text), self.packet_size, 0, status)
 
-    def attention(self, attempt, ending: Ending) -> bytes | None:
+    def encode_attention(self, attempt, ending: Ending) -> bytes | None:
         """The ATTENTION that cancels an attempt; None where it is not running or is cancelled already."""
         if self.attempt is not attempt or self.state in (BatchState.IDLE, BatchState.ATTENTION_SENT):
             return None
         self._change_state(BatchEvent.ATTENTION_ENCODED)
-        self.attention_deadline = self.link.clock.now() + self.link.links.attention_time
-        self.link.links.call(self)
+        self.attention_deadline = self.pool.clock.now() + self.pool.io_loop.attention_time
+        self.pool.io_loop.request_check(self)
         return packets.encode_packets(packets.ATTENTION, b"")
 
-    def terms(self, attempt) -> None:
+    def encode_priority(self, attempt) -> None:
         """Nothing: TDS cannot change the priority of a batch that is out."""
         return None
 
-    FORMS = {"ask": ask, "attention": attention, "terms": terms}
+    ENCODERS = {"ask": encode_ask, "attention": encode_attention, "terms": encode_priority}
 
-    def call_off(self, attempt, ending: Ending, at_once: bool) -> None:
+    def cancel_written(self, attempt, ending: Ending, at_once: bool) -> None:
         """Cancels a batch by ATTENTION; a streamed result is left to its client.
 
         The attempt ends with the acknowledgement or the connection, since until then the engine works on it;
@@ -137,53 +138,55 @@
             return
         self.put("attention", attempt, ending)
         if at_once:
-            self.drop(attempt, ending)
+            self.end_attempt(attempt, ending)
 
-    def drop(self, attempt, ending: Ending, pages=None) -> None:
+    def end_attempt(self, attempt, ending: Ending, pages=None) -> None:
         """The one end of an attempt on this connection."""
         with self.lock:
-            if self.open.get(attempt.pending.id) is not attempt:
+            if self.open_attempts.get(attempt.pending.id) is not attempt:
                 return
-            del self.open[attempt.pending.id]
-            self.used = self.link.clock.now()
+            del self.open_attempts[attempt.pending.id]
+            self.last_used_at = self.pool.clock.now()
         elapsed = attempt.answered_at - attempt.started_at if attempt.answered_at else None
-        self.link.exchange.end_attempt(attempt, ending, elapsed, pages)
-        self.link.links.call(self)
+        self.pool.exchange.end_attempt(attempt, ending, elapsed, pages)
+        self.pool.io_loop.request_check(self)
 
-    def idles(self) -> bool:
+    def is_idle(self) -> bool:
         """As lines.Connection."""
-        return super().idles() and self.state is BatchState.IDLE
+        return super().is_idle() and self.state is BatchState.IDLE
 
-    def overdue(self, now: int) -> tuple[str, str | None] | None:
+    def expired_timeout(self, now: int) -> tuple[str, str | None] | None:
         """As lines.Connection; an attention has a time within which it must be acknowledged."""
         if self.attention_sent and now > self.attention_deadline:
             return "attention-unanswered", None
-        return super().overdue(now) if self.up else None
+        return super().expired_timeout(now) if self.up else None
 
-    def due(self, now: int) -> int:
+    def next_check_time(self, now: int) -> int:
         """As lines.Connection."""
-        return now + lines.LOOK if self.attention_sent or not self.up else super().due(now)
+        return (
+            now + lines.CHECK_PERIOD if self.attention_sent or not self.up else super().next_check_time(now)
+        )
 
     # Dialling and login
 
     def start(self) -> None:
         """Starts the thread that dials, logs in and reads."""
-        if not self.link.links.threads.spare(self._run, "engine-reader"):
+        if not self.pool.io_loop.threads.spare(self._run, "engine-reader"):
             self.fail("no-thread")
 
     def release(self) -> None:
         """Nothing: its own thread closes the socket."""
 
     def _run(self) -> None:
-        self.guard(self._connect_and_read)
-        self.let_go()
+        self.run_guarded(self._connect_and_read)
+        self.close_socket()
 
     def dial(self) -> socket.socket:
         """Connects to the engine; raises OSError."""
-        sock = socket.create_connection(self.link.address, timeout=self.link.connect_s)
+        sock = socket.create_connection(self.pool.address, timeout=self.pool.connect_timeout_s)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self.accounts is not None:
-            self.account = self.accounts.engine(sock, self.link.queue.name)
+            self.account = self.accounts.engine(sock, self.pool.queue.name)
         return sock
 
     def _connect_and_read(self) -> None:
@@ -195,7 +198,7 @@
         rejection = self._log_in(sock)
         if rejection is not None:
             self.fail("login-refused", rejection)
-        elif self.come_up(sock):
+        elif self.mark_up(sock):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, struct.pack("ll", READ_TIMEOUT_S, 0))
             self._read()
 
@@ -249,7 +252,7 @@
         self.received += len(data)
         attempt = self.attempt
         key = (attempt.pending.resource_group, attempt.pending.tenant) if attempt else lines.NOBODY
-        self.claim(key, len(data))
+        self.count_received(key, len(data))
         self.assembler.feed(data)
         while not self.dead and (packet := self.assembler.next_packet()) is not None:
             self._process_packet(packet)
@@ -293,8 +296,8 @@
         stream.put(list(answer.result), 0)
         answer.result = GatheredTokens()
         with self.lock:
-            is_open = self.open.get(attempt.pending.id) is attempt
-            begins = is_open and self.link.exchange.start_streaming(attempt, stream)
+            is_open = self.open_attempts.get(attempt.pending.id) is attempt
+            begins = is_open and self.pool.exchange.start_streaming(attempt, stream)
             if begins:
                 self.stream = stream
                 self._change_state(BatchEvent.STREAM_BEGUN)
@@ -310,7 +313,7 @@
         # An attention that crossed the end of the answer is still to be acknowledged.
         awaits_acknowledgement = self.attention_sent and not acknowledged
         ending = self._ending(attempt, answer, acknowledged)
-        attempt.answered_at = self.link.clock.now()
+        attempt.answered_at = self.pool.clock.now()
         result = answer.result
         with self.lock:
             if awaits_acknowledgement:
@@ -324,7 +327,7 @@
             stream.end(awaits_acknowledgement or ending != Ending.FINISHED)
             ending = Ending.CANCELLED if awaits_acknowledgement else ending
         is_gathered = ending == Ending.FINISHED and stream is None
-        self.drop(attempt, ending, result if is_gathered else None)
+        self.end_attempt(attempt, ending, result if is_gathered else None)
         if answer.error is not None and answer.error.severity >= errors.FATAL:
             self.fail("engine-error", attempt.pending.error_text)
 
