--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -388,7 +388,7 @@
     client = Client(dispatcher)
     assert rows(client.ask(statement(n=1, verb="change")))
     *_, conn = engine.next("ASK")
-    deaf.extend(dispatcher.service.links.all)  # the end of this connection is not noticed in time
+    deaf.extend(dispatcher.service.links.connections)  # the end of this connection is not noticed in time
     assert len(deaf) == 1
     conn.shutdown(socket.SHUT_RDWR)
     assert rows(client.ask(statement(n=2, verb="change")))
--- a/tests/test_threads.py
+++ b/tests/test_threads.py
@@ -111,7 +111,7 @@
     for n in range(200):
         assert rows(client.ask(statement(f"SELECT 1 FROM sales_{n}.t", n=n)))
     links = dispatcher.service.links
-    assert len(links.idle) <= 8 and len(links.all) <= 16
+    assert len(links.idle_connections) <= 8 and len(links.connections) <= 16
     assert dispatcher.service.counters.shown()["engine-connections-ended-made-room"] > 0
     assert len({engine.address for engine in engines if not engine.came.empty()}) > 8
 
--- a/wickvane/net/lines/links.py
+++ b/wickvane/net/lines/links.py
@@ -165,11 +165,11 @@
 
     def __init__(self, exchange, limits, max_descriptors, clock, log, counters, accounts=None, threads=None):
         self.exchange, self.clock, self.log, self.counters = exchange, clock, log, counters
-        self.accounts, self.attention_time, self.threads = accounts, 50_000, threads
+        self.accounts, self.attention_timeout, self.threads = accounts, 50_000, threads
         self.max_open_attempts = limits.count("streams_per_conn", DEFAULT_OPEN_ATTEMPTS)
         self.connect_timeout_s = max(0.01, limits.milliseconds("dial_timeout_ms", 250) / 1000)
         self.idle_timeout = idle_connection_timeout(limits)
-        self.lock, self.all, self.max_descriptors, self.stopping, self.finished = (
+        self.lock, self.connections, self.max_descriptors, self.stopping, self.finished = (
             Lock(),
             {},
             max_descriptors,
@@ -182,7 +182,7 @@
         # Timers are (time, number, attempt or connection); the number keeps equal times in order.
         self.timers, self.timer_count, self.compaction_threshold = [], 0, MIN_COMPACTION_THRESHOLD
         # The connections by descriptor; the idle connections, those that have been idle longest first.
-        self.watched, self.idle = {}, OrderedDict()
+        self.watched, self.idle_connections = {}, OrderedDict()
         self.ready_queue, self.wakeup_pipe = exchange.ready_queue, exchange.ready_queue.bell
         self.epoll = select.epoll()
         self.epoll.register(self.wakeup_pipe.heard, select.EPOLLIN)
@@ -280,7 +280,7 @@
         """Lets a connection check its timers, and sets the timer of its next check."""
         at = connection.check_timers(now)
         if connection.dead:
-            self.idle.pop(connection, None)
+            self.idle_connections.pop(connection, None)
             connection.release()
         elif at is not None and (connection.next_check_at is None or at < connection.next_check_at):
             connection.next_check_at = at
@@ -316,20 +316,20 @@
 
     def mark_in_use(self, connection):
         """Notes that an attempt is open on a connection."""
-        self.idle.pop(connection, None)
+        self.idle_connections.pop(connection, None)
 
     def mark_idle(self, connection):
         """Notes that a connection is idle; above the maximum, those idle longest are closed."""
-        if connection in self.idle:
+        if connection in self.idle_connections:
             return
-        self.idle[connection] = None
-        while len(self.idle) > max(1, self.max_descriptors // IDLE_DIVISOR):
+        self.idle_connections[connection] = None
+        while len(self.idle_connections) > max(1, self.max_descriptors // IDLE_DIVISOR):
             self.close_longest_idle()
 
     def close_longest_idle(self):
         """Closes the connection that has been idle longest; returns False if none is idle."""
-        while self.idle:
-            connection, _ = self.idle.popitem(last=False)
+        while self.idle_connections:
+            connection, _ = self.idle_connections.popitem(last=False)
             if connection.close_if_idle("made-room"):
                 return True
         return False
@@ -337,24 +337,24 @@
     def may_open(self):
         """Whether there is a descriptor for another connection; closes an idle connection if necessary."""
         # Idle connections to some engines must not prevent connections to others.
-        return len(self.all) < self.max_descriptors or self.close_longest_idle()
+        return len(self.connections) < self.max_descriptors or self.close_longest_idle()
 
     def add_connection(self, connection):
         """Counts a connection among those that hold a descriptor."""
         with self.lock:
-            self.all[connection] = None
+            self.connections[connection] = None
 
     def remove_connection(self, connection):
         """Removes a connection that holds no descriptor any more."""
         with self.lock:
-            self.all.pop(connection, None)
+            self.connections.pop(connection, None)
 
     def stop(self, seconds=1.0):
         """From another thread: ends all connections and the I/O loop, and waits for the loop's end.
 
         After that its last counts are added. seconds: the maximum wait."""
         with self.lock:
-            connections = list(self.all)
+            connections = list(self.connections)
         for connection in connections:
             connection.fail("stop")
         self.stopping = True
--- a/wickvane/net/tds/connection.py
+++ b/wickvane/net/tds/connection.py
@@ -119,7 +119,7 @@
         if self.attempt is not attempt or self.state in (BatchState.IDLE, BatchState.ATTENTION_SENT):
             return None
         self._change_state(BatchEvent.ATTENTION_ENCODED)
-        self.attention_deadline = self.pool.clock.now() + self.pool.io_loop.attention_time
+        self.attention_deadline = self.pool.clock.now() + self.pool.io_loop.attention_timeout
         self.pool.io_loop.request_check(self)
         return packets.encode_packets(packets.ATTENTION, b"")
 
--- a/wickvane/net/tds/extension.py
+++ b/wickvane/net/tds/extension.py
@@ -177,7 +177,7 @@
             self.listener = ListenerConfig(self.terms)
         except (OSError, ValueError) as error:
             raise document_error(f"certificate: its files cannot be used: {error}") from None
-        service.links.attention_time = self.terms.acknowledge
+        service.links.attention_timeout = self.terms.acknowledge
         if self.terms.listen:
             # TDS clients take their descriptors from those that clients may hold.
             reserved = self.terms.connections + SPARE
--- a/wickvane/wirehost/__init__.py
+++ b/wickvane/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the simulator's wire and wickvane.scheduling. Nothing is decided here."""
+"""The adapter between the simulator's wire and wickvane.scheduling. It makes no decisions."""
--- a/wickvane/wirehost/__main__.py
+++ b/wickvane/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m wickvane.wirehost`: the adapter as a program, on standard input and output."""
+"""Runs the adapter on standard input and output: `python -m wickvane.wirehost`."""
 
 import sys
 
