--- a/wickvane/net/lines/connection.py
+++ b/wickvane/net/lines/connection.py
@@ -94,7 +94,7 @@
 class Connection:
     """One connection to an engine by the line protocol, and the attempts that are open on it.
 
-    All writing is under the lock. Times are ticks."""
+    Times are ticks."""
 
     # Whether a request runs only after its last byte was received; else an engine may act on a part of it.
     RUNS_ONLY_COMPLETE_REQUESTS = False
@@ -127,7 +127,8 @@
     def close_socket(self):
         """Closes the socket. Only the thread that reads it may call this, after its last read.
 
-        If another thread closed it, the reader could read from a new connection with the same descriptor."""
+        If another thread closed it, the reader could read from a new connection with the same descriptor.
+        Writers need no such rule, as all writing is under the lock."""
         with self.lock:
             sock, self.sock = self.sock, None
         if sock is None:
--- a/wickvane/net/lines/links.py
+++ b/wickvane/net/lines/links.py
@@ -47,8 +47,8 @@
         now = self.clock.now()
         if attempt.has_ended:
             return
-        # After a standstill of the process, other dispatchers may have used what the decision counted on:
-        # see IoLoop.stale.
+        # After a standstill of the process, other dispatchers may have used the capacity that the decision
+        # counted on: see IoLoop.stale.
         if (
             now >= attempt.deadline
             or attempt.pending.answer is not None
@@ -176,9 +176,7 @@
             False,
             Event(),
         )
-        self.stale = (
-            FOREVER  # ticks after a decision from which its attempt is not sent; an extension sets it
-        )
+        self.stale = FOREVER  # an attempt of this age in ticks is not sent; an extension sets it
         # Timers are (time, number, attempt or connection); the number keeps equal times in order.
         self.timers, self.timer_count, self.compaction_threshold = [], 0, MIN_COMPACTION_THRESHOLD
         # The connections by descriptor; the idle connections, those that have been idle longest first.
