--- a/tests/tds/test_retries.py
+++ b/tests/tds/test_retries.py
@@ -120,7 +120,7 @@
 
     original_dial = TdsConnection.dial
     monkeypatch.setattr(TdsConnection, "dial", dial)
-    monkeypatch.setattr(lines, "WRITE_TIME", 3_000)
+    monkeypatch.setattr(lines, "WRITE_TIMEOUT", 3_000)
     bad, good = TdsEngine(), TdsEngine()
     bad.half = broken
     bad.listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4608)
@@ -148,8 +148,8 @@
     local.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4608)
     connection.sock, connection.up, link.connections[:] = local, True, [connection]
     attempt.pending.body = b"UPDATE sales_1.t SET a='" + b"x" * 50_000 + b"'"
-    assert connection.put("ask", attempt) and connection.rest
-    Thread(target=link.links.run, daemon=True).start()
+    assert connection.put("ask", attempt) and connection.send_buffer
+    Thread(target=link.io_loop.run, daemon=True).start()
     return connection, engine_socket, attempt, inbox
 
 
@@ -180,7 +180,7 @@
         connection.fail(reason)
         assert single_ending(inbox, attempt) == (Ending.RESET if complete else proven)
         engine_socket.close()
-        connection.link.links.stop()
+        connection.pool.io_loop.stop()
 
 
 def test_a_connection_end_during_the_last_write_proves_nothing_about_a_complete_batch(monkeypatch):
@@ -200,7 +200,7 @@
         reader = Thread(target=read, args=(engine_socket, received))
         reader.start()
         threshold = rng.choice((0, 60_000, 95_000, 100_000, 100_100))
-        while received[0] < threshold and connection.rest:
+        while received[0] < threshold and connection.send_buffer:
             time.sleep(0)
         connection.fail("peer-closed")
         reader.join()
@@ -210,5 +210,5 @@
         assert ending == Ending.RESET or not has_complete_batch
         seen.add((ending, has_complete_batch))
         engine_socket.close()
-        connection.link.links.stop()
+        connection.pool.io_loop.stop()
     assert {ending for ending, _ in seen} == {Ending.RESET, Ending.NO_CONNECTION}
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -124,7 +124,7 @@
         for n, (parse, error) in enumerate(
             (
                 (lambda text=text: (is_empty(text), READER.read(text)), RequestRejected),
-                (lambda answer=answer: line_protocol.parse(answer), ProtocolError),
+                (lambda answer=answer: line_protocol.parse_answer(answer), ProtocolError),
                 (lambda body=body: read_stream([body]), ProtocolError),
             )
         ):
@@ -177,9 +177,9 @@
         assert read_stream([stream[:at], stream[at:]]) == expected
     answer = hit(b"ab", b"a\tb\tc\n" * 3)
     for at in range(len(answer)):
-        assert line_protocol.parse(bytearray(answer[:at])) is None
+        assert line_protocol.parse_answer(bytearray(answer[:at])) is None
     buffer = bytearray(answer * 2)
-    assert line_protocol.parse(buffer) == line_protocol.parse(buffer) and not buffer
+    assert line_protocol.parse_answer(buffer) == line_protocol.parse_answer(buffer) and not buffer
 
 
 def test_rows_are_what_a_plain_reading_of_the_pages_gives():
@@ -252,11 +252,11 @@
     clock, exchange = StoppedClock(), Exchange(StoppedClock(), NullCounters())
     threads = Threads(clock, NullCounters())
     limits = root_section(SETTINGS).section("limits")
-    links = engine_links.Links(exchange, limits, 8, clock, clock, NullCounters(), threads=threads)
-    link = engine_links.Link(EngineQueue("e", ("127.0.0.1", 0), 0), links)
+    links = engine_links.IoLoop(exchange, limits, 8, clock, clock, NullCounters(), threads=threads)
+    link = engine_links.ConnectionPool(EngineQueue("e", ("127.0.0.1", 0), 0), links)
     pending = PendingQuery(clock.now(), **READER.read(statement().encode()))
     attempt = Attempt(pending, 0, 0, link.queue, clock.now(), pending.deadline)
-    link.ask(attempt)
+    link.start_attempt(attempt)
     return link, attempt, exchange.inbox
 
 
@@ -269,21 +269,21 @@
 def test_a_cancelled_attempt_does_not_end_before_its_quit_is_written(monkeypatch):
     link, attempt, inbox = link_with_one_attempt(monkeypatch)
     attempt.written = True
-    link.quit(attempt)
+    link.cancel_attempt(attempt)
     assert not inbox.take(0) and link.connections[0].outbox[-1][0] == "quit"
-    link.connections[0].drop(attempt, Ending.CANCELLED)
+    link.connections[0].end_attempt(attempt, Ending.CANCELLED)
     assert [item[2] for item in inbox.take(0)] == [Ending.CANCELLED]
 
 
 def test_a_connection_closes_before_the_engine_would_close_it_as_idle(monkeypatch):
     link, attempt, inbox = link_with_one_attempt(monkeypatch)
     link.connections[0].up = True
-    link.connections[0].drop(attempt, Ending.FINISHED)
+    link.connections[0].end_attempt(attempt, Ending.FINISHED)
     idle = SETTINGS["limits"]["conn_idle_ms"] * 10
-    link.links.round([])
-    link.links.look(int(attempt.started_at + idle * 0.5))
+    link.io_loop.run_once([])
+    link.io_loop.run_timers(int(attempt.started_at + idle * 0.5))
     assert link.connections
-    link.links.look(int(attempt.started_at + idle * 0.9))
+    link.io_loop.run_timers(int(attempt.started_at + idle * 0.9))
     assert not link.connections and link.log.last[1]["reason"] == "idle"
 
 
@@ -300,13 +300,13 @@
     connection, peer_sock = connect_to_socketpair(link)
     texts = [b"%d" % n * 30_000 for n in range(8)]
     for line in texts:
-        assert connection.put("line", line, attempt.pending)
-    assert connection.rest and attempt.written
-    Thread(target=link.links.run, daemon=True).start()
+        assert connection.put("bytes", line, attempt.pending)
+    assert connection.send_buffer and attempt.written
+    Thread(target=link.io_loop.run, daemon=True).start()
     received = peer_sock.recv(65_536)
     while len(received) < 240_000 + received.find(b"0000"):
         received += peer_sock.recv(65_536)
-    link.links.stop()
+    link.io_loop.stop()
     assert received.startswith(b"ASK ") and received.endswith(b"\r\n" + b"".join(texts))
 
 
@@ -318,7 +318,7 @@
     other = Attempt(pending, 0, 0, link.queue, attempt.started_at, pending.deadline)
     assert not connection.put("ask", other) and not other.has_ended
     assert [item[:3] for item in inbox.take(0)] == [("ended", attempt, Ending.NOT_SENT)]
-    link.ask(other)
+    link.start_attempt(other)
     assert link.connections[0] is not connection and not other.has_ended
 
 
@@ -326,10 +326,10 @@
     link, attempt, _ = link_with_one_attempt(monkeypatch)
     for _ in range(5000):
         ended = Attempt(attempt.pending, 0, 0, link.queue, attempt.started_at, attempt.deadline + 1)
-        link.links.later(ended.deadline, ended)
+        link.io_loop.add_timer(ended.deadline, ended)
         ended.has_ended = True
-        link.links.look(attempt.started_at)
-    assert len(link.links.waits) < 1000 and link.links.waits[0][2] is attempt
+        link.io_loop.run_timers(attempt.started_at)
+    assert len(link.io_loop.timers) < 1000 and link.io_loop.timers[0][2] is attempt
 
 
 def test_an_event_that_raises_an_exception_does_not_affect_other_queries():
--- a/wickvane/net/postgres/rows.py
+++ b/wickvane/net/postgres/rows.py
@@ -2,10 +2,10 @@
 
 from struct import pack
 
-from wickvane.net.lines.pages import COLUMNS, PAGE_MOST
+from wickvane.net.lines.pages import COLUMNS, MAX_PAGE_SIZE
 
 # Length fields by value: packing them for each row would be a third of the cost of encoding a result.
-LENGTHS = [pack("!I", n) for n in range(PAGE_MOST + 17)]
+LENGTHS = [pack("!I", n) for n in range(MAX_PAGE_SIZE + 17)]
 
 COLUMN_NAMES = (b"column1", b"column2", b"column3")
 TEXT_OID = 25  # of the type text
--- a/wickvane/net/queues.py
+++ b/wickvane/net/queues.py
@@ -75,8 +75,8 @@
     """The orders for one engine process, and its address.
 
     No thread waits for this queue: it puts itself into ready_queue when it becomes non-empty. protocol: makes
-    the engine's connections; None for the line protocol. link: the Link that serves the queue, once there
-    is one.
+    the engine's connections; None for the line protocol. link: the ConnectionPool that serves the queue, once
+    there is one.
     """
 
     def __init__(self, name, address, started, protocol=None, ready_queue=None):
--- a/wickvane/net/tds/connection.py
+++ b/wickvane/net/tds/connection.py
@@ -58,12 +58,13 @@
 class Connection(lines.Connection):
     """One TDS connection to an engine, with a thread of its own."""
 
-    READS = 0  # the I/O loop does not read; the connection's own thread does
-    RUNS_WHOLE = True  # MS-TDS 2.2.1.3: an engine runs a batch only after the packet with the EOM bit
+    READ_EVENTS = 0  # the I/O loop does not read; the connection's own thread does
+    # MS-TDS 2.2.1.3: an engine runs a batch only after the packet with the EOM bit
+    RUNS_ONLY_COMPLETE_REQUESTS = True
 
-    def __init__(self, link) -> None:
-        super().__init__(link)
-        self.engines = link.queue.protocol
+    def __init__(self, pool) -> None:
+        super().__init__(pool)
+        self.engines = pool.queue.protocol
         self.packet_size = packets.DEFAULT_PACKET_SIZE
         self.assembler = packets.MessageAssembler(NO_SIZE_LIMIT, ENGINE_MESSAGE_TYPES)
         self.state = BatchState.IDLE
@@ -90,18 +91,18 @@
         """Whether an ATTENTION was sent and is not acknowledged yet."""
         return self.state is BatchState.ATTENTION_SENT
 
-    def takes(self, attempt, now: int) -> bool:
+    def accepts(self, attempt, now: int) -> bool:
         """See lines.Connection; accepts one batch at a time."""
         with self.lock:
             usable = not self.dead and not self.retired
-            unused = not self.open and self.state is BatchState.IDLE
-            return usable and unused and now - self.used < self.link.idle_time
+            unused = not self.open_attempts and self.state is BatchState.IDLE
+            return usable and unused and now - self.last_used_at < self.pool.idle_timeout
 
     # Messages to the engine
 
-    def ask(self, attempt) -> bytes | None:
+    def encode_ask(self, attempt) -> bytes | None:
         """Returns the packets of an attempt's batch, or None if the attempt must not be sent any more."""
-        fields = self.fields(attempt)
+        fields = self.request_fields(attempt)
         if not fields:
             return None
         pending = attempt.pending
@@ -111,25 +112,25 @@
         self.stream = None
         self._change_state(BatchEvent.BATCH_ENCODED)
         # Resets the engine's session, so that a query sees no temporary tables or options of earlier ones.
-        status = packets.STATUS_RESET_CONNECTION if self.asked else 0
+        status = packets.STATUS_RESET_CONNECTION if self.sent_queries else 0
         return packets.encode_packets(packets.SQL_BATCH, encode_sql_batch(text), self.packet_size, 0, status)
 
-    def attention(self, attempt, ending: Ending) -> bytes | None:
+    def encode_attention(self, attempt, ending: Ending) -> bytes | None:
         """Returns the ATTENTION that cancels an attempt; None if it is not running or already cancelled."""
         if self.attempt is not attempt or self.state in (BatchState.IDLE, BatchState.ATTENTION_SENT):
             return None
         self._change_state(BatchEvent.ATTENTION_ENCODED)
-        self.attention_deadline = self.link.clock.now() + self.link.links.attention_time
-        self.link.links.call(self)
+        self.attention_deadline = self.pool.clock.now() + self.pool.io_loop.attention_timeout
+        self.pool.io_loop.request_check(self)
         return packets.encode_packets(packets.ATTENTION, b"")
 
-    def terms(self, attempt) -> None:
+    def encode_priority(self, attempt) -> None:
         """Sends nothing: TDS cannot change the priority of a batch that is in flight."""
         return None
 
-    FORMS = {"ask": ask, "attention": attention, "terms": terms}
+    ENCODERS = {"ask": encode_ask, "attention": encode_attention, "terms": encode_priority}
 
-    def call_off(self, attempt, ending: Ending, at_once: bool) -> None:
+    def cancel_written(self, attempt, ending: Ending, at_once: bool) -> None:
         """Cancels a batch by ATTENTION, unless its result is streamed, which only its client cancels.
 
         The attempt ends with the acknowledgement or with the connection, since the engine works on it until
@@ -138,53 +139,55 @@
             return
         self.put("attention", attempt, ending)
         if at_once:
-            self.drop(attempt, ending)
+            self.end_attempt(attempt, ending)
 
-    def drop(self, attempt, ending: Ending, pages=None) -> None:
+    def end_attempt(self, attempt, ending: Ending, pages=None) -> None:
         """Ends an attempt on this connection; does nothing if it has already ended."""
         with self.lock:
-            if self.open.get(attempt.pending.id) is not attempt:
+            if self.open_attempts.get(attempt.pending.id) is not attempt:
                 return
-            del self.open[attempt.pending.id]
-            self.used = self.link.clock.now()
+            del self.open_attempts[attempt.pending.id]
+            self.last_used_at = self.pool.clock.now()
         elapsed = attempt.answered_at - attempt.started_at if attempt.answered_at else None
-        self.link.exchange.end_attempt(attempt, ending, elapsed, pages)
-        self.link.links.call(self)
+        self.pool.exchange.end_attempt(attempt, ending, elapsed, pages)
+        self.pool.io_loop.request_check(self)
 
-    def idles(self) -> bool:
+    def is_idle(self) -> bool:
         """See lines.Connection; a connection is not idle while a batch is in flight."""
-        return super().idles() and self.state is BatchState.IDLE
+        return super().is_idle() and self.state is BatchState.IDLE
 
-    def overdue(self, now: int) -> tuple[str, str | None] | None:
+    def expired_timeout(self, now: int) -> tuple[str, str | None] | None:
         """See lines.Connection; also returns a reason if an ATTENTION is not acknowledged in time."""
         if self.attention_sent and now > self.attention_deadline:
             return "attention-unanswered", None
-        return super().overdue(now) if self.up else None
+        return super().expired_timeout(now) if self.up else None
 
-    def due(self, now: int) -> int:
+    def next_check_time(self, now: int) -> int:
         """See lines.Connection; checks more often during a login and while an ATTENTION is pending."""
-        return now + lines.LOOK if self.attention_sent or not self.up else super().due(now)
+        return (
+            now + lines.CHECK_PERIOD if self.attention_sent or not self.up else super().next_check_time(now)
+        )
 
     # Connecting and login
 
     def start(self) -> None:
         """Starts the thread that connects, logs in and reads."""
-        if not self.link.links.threads.try_start(self._run, "engine-reader"):
+        if not self.pool.io_loop.threads.try_start(self._run, "engine-reader"):
             self.fail("no-thread")
 
     def release(self) -> None:
         """Does nothing, since the connection's own thread closes the socket."""
 
     def _run(self) -> None:
-        self.guard(self._connect_and_read)
-        self.let_go()
+        self.run_guarded(self._connect_and_read)
+        self.close_socket()
 
     def dial(self) -> socket.socket:
         """Connects to the engine; raises OSError."""
-        sock = socket.create_connection(self.link.address, timeout=self.link.connect_s)
+        sock = socket.create_connection(self.pool.address, timeout=self.pool.connect_timeout_s)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self.accounts is not None:
-            self.account = self.accounts.engine(sock, self.link.queue.name)
+            self.account = self.accounts.engine(sock, self.pool.queue.name)
         return sock
 
     def _connect_and_read(self) -> None:
@@ -196,7 +199,7 @@
         rejection = self._log_in(sock)
         if rejection is not None:
             self.fail("login-refused", rejection)
-        elif self.come_up(sock):
+        elif self.mark_up(sock):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, struct.pack("ll", READ_TIMEOUT_S, 0))
             self._read()
 
@@ -250,7 +253,7 @@
         self.received += len(data)
         attempt = self.attempt
         key = (attempt.pending.resource_group, attempt.pending.tenant) if attempt else lines.NOBODY
-        self.claim(key, len(data))
+        self.count_received(key, len(data))
         self.assembler.feed(data)
         while not self.dead and (packet := self.assembler.next_packet()) is not None:
             self._process_packet(packet)
@@ -294,8 +297,8 @@
         stream.put(list(answer.result), 0)
         answer.result = GatheredTokens()
         with self.lock:
-            is_open = self.open.get(attempt.pending.id) is attempt
-            started = is_open and self.link.exchange.start_streaming(attempt, stream)
+            is_open = self.open_attempts.get(attempt.pending.id) is attempt
+            started = is_open and self.pool.exchange.start_streaming(attempt, stream)
             if started:
                 self.stream = stream
                 self._change_state(BatchEvent.STREAM_STARTED)
@@ -311,7 +314,7 @@
         # The ATTENTION crossed the end of the answer and is acknowledged after it.
         awaits_acknowledgement = self.attention_sent and not acknowledged
         ending = self._ending(attempt, answer, acknowledged)
-        attempt.answered_at = self.link.clock.now()
+        attempt.answered_at = self.pool.clock.now()
         result = answer.result
         with self.lock:
             if awaits_acknowledgement:
@@ -325,7 +328,7 @@
             stream.end(awaits_acknowledgement or ending != Ending.FINISHED)
             ending = Ending.CANCELLED if awaits_acknowledgement else ending
         is_gathered = ending == Ending.FINISHED and stream is None
-        self.drop(attempt, ending, result if is_gathered else None)
+        self.end_attempt(attempt, ending, result if is_gathered else None)
         if answer.error is not None and answer.error.severity >= errors.MIN_FATAL_SEVERITY:
             self.fail("engine-error", attempt.pending.error_text)
 
