--- a/benchmarks/flow_export.py
+++ b/benchmarks/flow_export.py
@@ -25,7 +25,7 @@
 from standins.collector import Collector  # noqa: E402
 
 from benchmarks import conclude  # noqa: E402
-from wickvane.flows import accounts as a  # noqa: E402
+from wickvane.flows import flow_accounts as a  # noqa: E402
 from wickvane.flows import ipfix, netflow9  # noqa: E402
 from wickvane.flows.elements import text  # noqa: E402
 from wickvane.net.service import COLLECT  # noqa: E402
--- a/tests/fuzz_codecs.py
+++ b/tests/fuzz_codecs.py
@@ -61,7 +61,7 @@
     transaction_manager.read_transaction_request,
     lambda data: rpc.statement_of(rpc.read_rpc_request(data), rpc.PreparedStatements()),
     lambda data: list(ipfix.Reader(32_473).feed(data)),
-    lambda data: list(netflow9.Reader9().message(data)),
+    lambda data: list(netflow9.NetFlow9Reader().message(data)),
 )
 
 
--- a/tests/standins/collector.py
+++ b/tests/standins/collector.py
@@ -7,9 +7,9 @@
 from threading import Event, Lock, Thread
 
 from wickvane.errors import ProtocolError
-from wickvane.flows.collected import Collected
+from wickvane.flows.collected_flows import Collected
 from wickvane.flows.ipfix import Reader
-from wickvane.flows.netflow9 import Reader9
+from wickvane.flows.netflow9 import NetFlow9Reader
 
 ENTERPRISE = 32_473
 
@@ -40,7 +40,7 @@
         Thread(target=self.datagrams if udp else self.accept, daemon=True).start()
 
     def reader(self):
-        return Reader9() if self.nine else Reader(ENTERPRISE)
+        return NetFlow9Reader() if self.nine else Reader(ENTERPRISE)
 
     def take(self, events):
         with self.lock:
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from wickvane.events import EngineState
-from wickvane.flows import accounts as a
+from wickvane.flows import flow_accounts as a
 
 LOCAL = bytes([127, 0, 0, 1])
 
--- a/tests/test_flow_codecs.py
+++ b/tests/test_flow_codecs.py
@@ -11,9 +11,9 @@
 from spoilt import inputs
 
 from wickvane.errors import ProtocolError
-from wickvane.flows import accounts as a
+from wickvane.flows import flow_accounts as a
 from wickvane.flows import ipfix, netflow9
-from wickvane.flows.collected import Collected, Sequence
+from wickvane.flows.collected_flows import Collected, Sequence
 from wickvane.flows.elements import FULL_KINDS, PLAIN_KINDS
 
 PEN = 32_473
@@ -52,7 +52,7 @@
     for one in records:
         writer.add(*layout.flow(one, names), 0, one.key[0])
     writer.finish(0)
-    found = [netflow9.packet(len(netflow9.ID_OF), 5, 1_700_000_000, 0, 9, layout.sets)]
+    found = [netflow9.packet(len(netflow9.TEMPLATE_IDS), 5, 1_700_000_000, 0, 9, layout.sets)]
     for n, (data, count, _) in enumerate(writer.take(), 1):
         found.append(netflow9.packet(count, 5, 1_700_000_000, n, 9, data[2:]))
     return found
@@ -101,7 +101,9 @@
         reader = ipfix.Reader(PEN)
         assert [*reader.feed(stream[:cut]), *reader.feed(stream[cut:])] == whole
     reader = ipfix.Reader(PEN)
-    assert [event for byte in stream for event in reader.feed(bytes([byte]))] == whole and not reader.midway()
+    assert [
+        event for byte in stream for event in reader.feed(bytes([byte]))
+    ] == whole and not reader.buffered_octets()
 
 
 def test_a_decoder_that_is_not_ours_reads_templates_and_sums():
@@ -134,7 +136,7 @@
     records = [record(n, engine=long[n % 2], octets=(n, 1), v6=n % 2 == 1) for n in range(60)]
     data = packets(records, width=24)
     assert all(len(packet) <= 1400 and len(packet) % 4 == 0 for packet in data)
-    found = collected(netflow9.Reader9().message, data)
+    found = collected(netflow9.NetFlow9Reader().message, data)
     assert found.records == 60 and found.lost == 0
     assert sum(r["octetDeltaCount"] for r in found.kept) == sum(range(60))
     engines = {r["engine"] for r in found.kept}
@@ -157,17 +159,17 @@
     old, new = ipfix.Generation(1), ipfix.Generation(2)
     told, reader = {}, ipfix.Reader(2)
     parts = [
-        ipfix.change_of(told, ipfix.templates_in(generation.sets), drop)
+        ipfix.template_changes(told, ipfix.parse_templates(generation.sets), drop)
         for generation, drop in ((old, False), (new, False), (new, True))
     ]
-    assert ipfix.change_of(told, ipfix.templates_in(new.sets), True) == b""
+    assert ipfix.template_changes(told, ipfix.parse_templates(new.sets), True) == b""
     events = [
         [e for e in reader.message(ipfix.message(9, 0, 0, part)) if e[0] in ("template", "withdrawn")]
         for part in parts
     ]
     assert [len(FULL_KINDS), 4, 4] == list(map(len, events))  # the checksum's template is the same in both
     assert all(e[0] == "withdrawn" for e in events[2])
-    assert {number for _, number in reader.shapes} == set(new.ids.values())
+    assert {number for _, number in reader.templates} == set(new.ids.values())
 
 
 def test_sets_of_an_unknown_template_are_skipped_and_counted_as_what_cannot_be_counted():
@@ -181,9 +183,9 @@
     reader = ipfix.Reader(PEN)
     other = ipfix.message(10, 0, 0, generation.sets)
     list(reader.feed(template_message(generation) + other))
-    every = b"".join(ipfix.SET_HEAD.pack(n, 8) + ipfix.SET_HEAD.pack(n, 0) for n in (2, 3))
+    every = b"".join(ipfix.SET_HEADER.pack(n, 8) + ipfix.SET_HEADER.pack(n, 0) for n in (2, 3))
     list(reader.feed(ipfix.message(9, 0, 0, every)))
-    assert {domain for domain, _ in reader.shapes} == {10} and len(reader.shapes) == len(FULL_KINDS)
+    assert {domain for domain, _ in reader.templates} == {10} and len(reader.templates) == len(FULL_KINDS)
 
 
 @pytest.mark.parametrize(
@@ -218,7 +220,7 @@
 @settings(max_examples=300, deadline=None)
 @given(inputs(SEEDS, 600, 2000))
 def test_arbitrary_bytes_raise_the_stated_error_or_nothing(data):
-    stream, reader, nine = ipfix.Reader(PEN), ipfix.Reader(PEN), netflow9.Reader9()
+    stream, reader, nine = ipfix.Reader(PEN), ipfix.Reader(PEN), netflow9.NetFlow9Reader()
     list(reader.feed(SEEDS[0]))
     list(nine.message(SEEDS[len(MESSAGES) + 1]))
     for read in (stream.feed, reader.message, nine.message):
@@ -227,7 +229,7 @@
             assert count <= 2 * len(data) + 3
         except ProtocolError:
             pass
-    assert stream.midway() <= 65_535 and len(reader.shapes) <= 1024
+    assert stream.buffered_octets() <= 65_535 and len(reader.templates) <= 1024
 
 
 @settings(max_examples=200, deadline=None)
--- a/tests/test_flow_export.py
+++ b/tests/test_flow_export.py
@@ -34,10 +34,10 @@
 from standins.collector import ENTERPRISE, Collector
 
 from wickvane import parts
-from wickvane.flows import accounts as a
-from wickvane.flows import tool
-from wickvane.flows.collected import Collected
-from wickvane.flows.export import Exporter, Unusable
+from wickvane.flows import command
+from wickvane.flows import flow_accounts as a
+from wickvane.flows.collected_flows import Collected
+from wickvane.flows.export import Exporter, InvalidExportError
 from wickvane.net.clock import Clock
 from wickvane.net.counters import Counters
 from wickvane.net.log import Log
@@ -52,7 +52,7 @@
     return parts.read_text(f"flows {{\n{quick}{more}\n{named}}}")["flows"]
 
 
-class Lines:
+class RecordedLog:
     """A log that keeps its lines."""
 
     def __init__(self):
@@ -68,9 +68,9 @@
 class Exporting:
     """An exporter with accounts that the test moves octets through, and the totals of that."""
 
-    def __init__(self, part):
-        self.log, self.counters = Lines(), Counters()
-        self.exporter = Exporter(part, Clock(), self.log, self.counters, ["lookup", "load"], ["acme"], 1)
+    def __init__(self, settings):
+        self.log, self.counters = RecordedLog(), Counters()
+        self.exporter = Exporter(settings, Clock(), self.log, self.counters, ["lookup", "load"], ["acme"], 1)
         self.accounts, self.octets, self.flows = self.exporter.accounts, 0, 0
         self.exporter.start()
 
@@ -88,9 +88,12 @@
             collected.total("engine", "deltaFlowCount"),
         ) == (self.octets, self.flows)
 
-    def way(self, name="a"):
+    def connection(self, name="a"):
         return next(
-            way for line in self.exporter.lines.values() for way in line.ways if way.collector.name == name
+            connection
+            for message_log in self.exporter.message_logs.values()
+            for connection in message_log.connections
+            if connection.collector.name == name
         )
 
 
@@ -110,7 +113,7 @@
     exporting.move(50)
     collector = Collector(port=port)
     collected = told(collector, exporting)
-    assert collected.lost == 0 and exporting.way().outlet.not_sent == [0, 0, 0]
+    assert collected.lost == 0 and exporting.connection().window.not_sent == [0, 0, 0]
     exporting.exporter.stop()
 
 
@@ -151,7 +154,7 @@
             collector = Collector(port=port, collected=before)
     collected = told(collector, exporting)
     assert collected.repeated > 0 and collected.lost == 0 and collected.arrivals["repeated"] > 0
-    until(lambda: not exporting.way().outlet.behind)
+    until(lambda: not exporting.connection().window.pending_ranges)
     exporting.exporter.stop()
     stats = collected.statistics[1, "a"]
     assert stats["repeatedMessageTotalCount"] > 0 and stats["notSentFlowTotalCount"] == 0
@@ -170,10 +173,14 @@
     for n in range(30):
         exporting.move(100, key=(n % 2, 0))
         time.sleep(0.015)
-    until(lambda: exporting.way().outlet.not_sent[0] > 300)
-    assert exporting.exporter.lines["ipfix"].backlog.size <= 256 << 10
+    until(lambda: exporting.connection().window.not_sent[0] > 300)
+    assert exporting.exporter.message_logs["ipfix"].backlog.size <= 256 << 10
     collector = Collector(port=port)
-    until(lambda: exporting.way().outlet.up and not exporting.way().outlet.behind)
+    until(
+        lambda: (
+            exporting.connection().window.is_connected and not exporting.connection().window.pending_ranges
+        )
+    )
     exporting.move(1)
 
     def adds_up(collected):
@@ -188,13 +195,13 @@
     collected = collector.until(adds_up)
     assert {place[2] for place in collected.not_sent} == {"lookup", "load"}
     # Records let go of leave a gap in the sequence; the collector sees as much itself.
-    assert policy == "oldest" or collected.lost >= exporting.way().outlet.not_sent[0]
+    assert policy == "oldest" or collected.lost >= exporting.connection().window.not_sent[0]
     # What was sent and is only kept to be sent again makes room: nothing more is let go of.
-    let_go = exporting.way().outlet.not_sent[0]
+    let_go = exporting.connection().window.not_sent[0]
     for _ in range(10):
         exporting.move(100)
         collector.until(adds_up)
-    assert exporting.way().outlet.not_sent[0] == let_go
+    assert exporting.connection().window.not_sent[0] == let_go
     exporting.exporter.stop()
 
 
@@ -226,7 +233,7 @@
     exporting.move(10)
     second.until(lambda c: c.total("engine", "deltaFlowCount") >= 10)
     back = Collector(port=port, collected=first.collected)
-    until(lambda: exporting.way().route.at == 0)
+    until(lambda: exporting.connection().address_selector.current == 0)
     exporting.move(5)
     back.until(lambda c: c.total("engine", "deltaFlowCount") >= 15)
     both = Collected()
@@ -314,7 +321,7 @@
     assert collected.lost == 0 and {r["resourceGroup"] for r in collected.kept} == {"lookup"}
     collector.shuffle = lambda data: []
     exporting.move(10)
-    until(lambda: exporting.way().outlet.records >= 110)
+    until(lambda: exporting.connection().window.records >= 110)
     time.sleep(0.05)
     collector.shuffle = None
     exporting.move(10)
@@ -345,15 +352,15 @@
 def test_tls_with_client_certificates_and_renewed_ones_without_a_lost_record(tmp_path):
     old, new, port = trustme.CA(), trustme.CA(), free_port()
     collector = Collector(port=port, context=authority(tmp_path, old))
-    part = document(("a", tls(tmp_path, f"127.0.0.1:{port}")))
-    exporting = Exporting(part)
+    settings = document(("a", tls(tmp_path, f"127.0.0.1:{port}")))
+    exporting = Exporting(settings)
     exporting.move(50)
     told(collector, exporting)
     collector.context = authority(tmp_path, new)
     for _ in range(20):
         exporting.move(10)
         time.sleep(0.005)
-    exporting.exporter.change(part, exporting.exporter.prepare(part))
+    exporting.exporter.change(settings, exporting.exporter.prepare(settings))
     for _ in range(20):
         exporting.move(10)
         time.sleep(0.005)
@@ -361,8 +368,8 @@
     assert collector.connected == 2 and collected.lost == 0
     assert [f["reason"] for f in exporting.log.of("flow-collector-ended")] == ["changed"]
     (tmp_path / "client.pem").write_text("no certificate")
-    with pytest.raises(Unusable, match="collector a > tls"):
-        exporting.exporter.prepare(part)
+    with pytest.raises(InvalidExportError, match="collector a > tls"):
+        exporting.exporter.prepare(settings)
     exporting.move(1)
     told(collector, exporting)
     exporting.exporter.stop()
@@ -404,16 +411,16 @@
     exporting = Exporting(document(("a", f'address "{one.address}"')))
     exporting.move(5)
     told(one, exporting)
-    removed = exporting.way("a")
+    removed = exporting.connection("a")
     both = document(("b", f'address "{two.address}"'))
     exporting.exporter.change(both, exporting.exporter.prepare(both))
     exporting.move(7)
     with exporting.exporter.lock:
-        exporting.exporter.turn(exporting.exporter.clock.now(), False, everything=True)
-    assert not removed.due()  # also while it still flushes, what came after its removal is not for it
+        exporting.exporter.export_due(exporting.exporter.clock.now(), False, everything=True)
+    assert not removed.has_pending()  # also while it still flushes, what came after its removal is not for it
     two.until(lambda c: c.records == 7)
     assert one.collected.records == 5 and exporting.log.of("flow-collector-removed") == [{"collector": "a"}]
-    with pytest.raises(Unusable, match="restart"):
+    with pytest.raises(InvalidExportError, match="restart"):
         exporting.exporter.prepare(document(("b", f'address "{two.address}"'), more=f'spool "{tmp_path}/s"'))
     exporting.exporter.stop()
 
@@ -423,11 +430,11 @@
 
 def test_a_stop_with_no_collector_keeps_all_in_the_spool_and_the_next_start_tells_it(tmp_path):
     port = free_port()
-    part = document(("a", f'address "127.0.0.1:{port}"'), more=f'spool "{tmp_path}/s" segment="16KiB"')
-    before = Exporting(part)
+    settings = document(("a", f'address "127.0.0.1:{port}"'), more=f'spool "{tmp_path}/s" segment="16KiB"')
+    before = Exporting(settings)
     before.move(700)
     before.exporter.stop()
-    after = Exporting(part)
+    after = Exporting(settings)
     after.move(30)
     collector = Collector(port=port)
     after.flows, after.octets = after.flows + before.flows, after.octets + before.octets
@@ -436,7 +443,7 @@
     after.exporter.stop()
     assert after.log.of("flow-spool-found")[0]["messages"] > 1
     # A third start finds nothing that is due, and tells nothing again.
-    third = Exporting(part)
+    third = Exporting(settings)
     third.move(1)
     collector.until(lambda c: c.records == 731)
     third.exporter.stop()
@@ -514,7 +521,7 @@
         "--json": "--json" in words,
         "FILE": list(paths),
     }
-    assert tool.main(asked, out) in (0, 1)
+    assert command.main(asked, out) in (0, 1)
     return json.loads(out.getvalue()) if "--json" in words else out.getvalue()
 
 
@@ -524,11 +531,11 @@
 class Dispatcher:
     """The whole program's threads with export on; `found` as the clients of bench_free want it."""
 
-    def __init__(self, part, *engines, coordinator=None, **limits):
+    def __init__(self, settings, *engines, coordinator=None, **limits):
         self.found = found(engines, coordinator or Events(), **limits)
         self.log = tempfile.TemporaryFile()
         STANDING.append(self.log)
-        self.service = Service(self.found, self.log.fileno(), {"flows": part})
+        self.service = Service(self.found, self.log.fileno(), {"flows": settings})
         self.service.start()
 
     def stop(self):
@@ -539,9 +546,12 @@
 def agrees(collected, counters):
     """The collector's sums beside the dispatcher's own counters, which connections keep by themselves."""
     assert collected.lost == 0
-    for side, ways in (("client", ("in", "out")), ("engine", ("out", "in"))):
-        for way, name in zip(ways, ("octetDeltaCount", "reverseOctetDeltaCount")):
-            assert collected.total(side, name) == counters.get(f"{side}-octets-{way}", 0), (side, way)
+    for side, directions in (("client", ("in", "out")), ("engine", ("out", "in"))):
+        for direction, name in zip(directions, ("octetDeltaCount", "reverseOctetDeltaCount")):
+            assert collected.total(side, name) == counters.get(f"{side}-octets-{direction}", 0), (
+                side,
+                direction,
+            )
     for answer in ("finished", "deferred", "killed", "left"):
         assert collected.total("client", "queries" + answer.title()) == counters.get(answer, 0)
     assert collected.total("engine", "submissionsFirst") + collected.total(
@@ -668,7 +678,7 @@
         stdout=subprocess.PIPE,
     )
     again = Exporting(document(("a", f'address "127.0.0.1:{port}"'), more=f'spool "{tmp_path}/s"'))
-    until(lambda: again.way().outlet.up and not again.way().outlet.behind, 20)
+    until(lambda: again.connection().window.is_connected and not again.connection().window.pending_ranges, 20)
     again.move(5)
     until(lambda: again.accounts.shown()["records"] == 5)
     again.exporter.stop()
--- a/tests/test_flow_spool.py
+++ b/tests/test_flow_spool.py
@@ -11,12 +11,12 @@
 from test_flow_codecs import PEN, collected, record, written
 
 from wickvane.flows import ipfix, spool
-from wickvane.flows.outlet import SPOILT, Backlog, Outlet, Route, Segment
+from wickvane.flows.send_window import CORRUPT, AddressSelector, Backlog, Segment, SendWindow
 
 
 def line_of(*outlets):
     backlog = Backlog(1 << 20, "oldest", 1 << 10)
-    return backlog, list(outlets) or [Outlet(300, 1 << 20, 0, 0)]
+    return backlog, list(outlets) or [SendWindow(300, 1 << 20, 0, 0)]
 
 
 class Collector:
@@ -31,7 +31,7 @@
 def test_whatever_breaks_a_message_is_read_or_due_or_counted_as_let_go(seed, policy):
     """The collector's kernel holds up to the window of what was handed; a break loses any part of that."""
     chance, window = Random(seed), 400
-    backlog, outlet = Backlog(3000, policy, 500), Outlet(window, 1 << 20, 0, 0)
+    backlog, outlet = Backlog(3000, policy, 500), SendWindow(window, 1 << 20, 0, 0)
     read, lost, refused, now, written_, buffer, buffered = set(), set(), 0, 0, 0, [], 0
     sizes = {}
     for _ in range(400):
@@ -41,7 +41,7 @@
             size = chance.randrange(20, 120)
             admitted, gone = backlog.admit(size)
             for segment in gone:
-                lost |= set(outlet.let_go(segment.first, segment.next))
+                lost |= set(outlet.discard(segment.first, segment.next))
             if not admitted:
                 refused += 1
                 continue
@@ -51,13 +51,13 @@
             sizes[index], written_ = size, written_ + 1
             assert backlog.size <= 3000
         elif step < 0.9:
-            if not outlet.up:
+            if not outlet.is_connected:
                 outlet.connected(now, backlog.next)
-            index = outlet.next(now, backlog.next)
+            index = outlet.next_index(now, backlog.next)
             if index is None or index < 0:
                 continue
             assert backlog.find(index) is not None, "handed out what is gone"
-            outlet.handed(index, sizes[index], 1, 1)
+            outlet.record_sent(index, sizes[index], 1, 1)
             buffer.append(index)
             buffered += sizes[index]
             while buffered > window:
@@ -65,17 +65,19 @@
                 buffered -= sizes[done]
                 read.add(done)
         elif step < 0.95:
-            outlet.broke()  # what lay in the buffer was never read
+            outlet.connection_lost()  # what lay in the buffer was never read
             buffer, buffered = [], 0
         elif step < 0.97:
             read |= set(buffer)
             buffer, buffered = [], 0
-            outlet.delivered()
+            outlet.all_delivered()
         else:
-            floor = outlet.floor()
-            for segment in backlog.passed(floor):
+            floor = outlet.lowest_needed_index()
+            for segment in backlog.remove_below(floor):
                 assert segment.next <= floor
-    due = {n for low, high in outlet.behind for n in range(low, high)} | set(range(outlet.live, backlog.next))
+    due = {n for low, high in outlet.pending_ranges for n in range(low, high)} | set(
+        range(outlet.next_live, backlog.next)
+    )
     recent = {index for index, _ in outlet.recent}
     missing = set(range(backlog.next)) - read - due - recent - lost
     # What was pushed out of a full line after it was handed, and broke off before it was read, is the one
@@ -83,57 +85,60 @@
     assert all(backlog.find(n) is None for n in missing)
     assert policy == "oldest" or not missing and not lost
     assert outlet.messages + len(lost & set(range(backlog.next))) >= len(read)
-    assert [low for low, _ in outlet.behind] == sorted(low for low, _ in outlet.behind)
-    assert all(high <= outlet.live for _, high in outlet.behind)
+    assert [low for low, _ in outlet.pending_ranges] == sorted(low for low, _ in outlet.pending_ranges)
+    assert all(high <= outlet.next_live for _, high in outlet.pending_ranges)
 
 
 def test_what_is_new_is_not_delayed_by_what_waited_which_goes_at_its_pace():
-    backlog, (outlet,) = line_of(Outlet(1000, 1000, 0, 0))
+    backlog, (outlet,) = line_of(SendWindow(1000, 1000, 0, 0))
     backlog.open(Segment(0, "g"))
     for _ in range(20):
         backlog.append(100, 1)
     outlet.connected(0, backlog.next)
     first = []
     for now in range(0, 20_000, 10):
-        while (index := outlet.next(now, backlog.next)) is not None and index >= 0:
-            outlet.handed(index, 100, 1, 1)
+        while (index := outlet.next_index(now, backlog.next)) is not None and index >= 0:
+            outlet.record_sent(index, 100, 1, 1)
             first.append((now, index))
         if now == 5000:
             new = backlog.append(100, 1)
-            assert outlet.next(now, backlog.next) == new
+            assert outlet.next_index(now, backlog.next) == new
     assert [index for _, index in first if index != 20] == list(range(20))  # in order among themselves
     assert dict(map(reversed, first))[20] <= 5010
     took = max(at for at, index in first if index < 20)
     assert 15_000 < took < 20_000  # 2,000 octets at 1,000 a second, less what may go at once
-    assert not outlet.behind and outlet.messages == 21 and not outlet.repeated
+    assert not outlet.pending_ranges and outlet.messages == 21 and not outlet.repeated
 
 
 def test_two_ways_out_of_one_line_go_on_by_themselves_and_the_slower_keeps_it():
-    backlog, (fast, slow) = line_of(Outlet(100, 1 << 20, 0, 0), Outlet(100, 1 << 20, 0, 0))
+    backlog, (fast, slow) = line_of(SendWindow(100, 1 << 20, 0, 0), SendWindow(100, 1 << 20, 0, 0))
     for n in range(40):
         if backlog.needs_segment("g"):
             backlog.open(Segment(n, "g"))
         backlog.append(100, 1)
     fast.connected(0, 0)
     for _ in range(40):
-        fast.handed(fast.next(0, backlog.next), 100, 1, 1)
-    assert fast.floor() == 39 and slow.floor() == 0
-    assert not backlog.passed(min(fast.floor(), slow.floor()))
-    assert slow.let_go(0, 40) == list(range(40)) and fast.let_go(0, 39) == []
-    assert backlog.passed(min(fast.floor(), slow.floor())) and backlog.next == 40
+        fast.record_sent(fast.next_index(0, backlog.next), 100, 1, 1)
+    assert fast.lowest_needed_index() == 39 and slow.lowest_needed_index() == 0
+    assert not backlog.remove_below(min(fast.lowest_needed_index(), slow.lowest_needed_index()))
+    assert slow.discard(0, 40) == list(range(40)) and fast.discard(0, 39) == []
+    assert (
+        backlog.remove_below(min(fast.lowest_needed_index(), slow.lowest_needed_index()))
+        and backlog.next == 40
+    )
 
 
 def test_the_first_collector_is_tried_first_a_standby_next_and_home_after_a_time():
-    route = Route(2, 1000, Random(1))
+    route = AddressSelector(2, 1000, Random(1))
     assert route.choose(0) == (0, 0)
     route.failed(0, 0)
     assert route.choose(1) == (1, 0)
-    route.up(1, 1)
-    assert not route.goes_home(900) and not route.goes_home(route.held_until[0] - 1)
-    later = max(route.held_until[0], 1001)
-    assert route.goes_home(later)
-    route.stays(later)
-    assert not route.goes_home(later + 1)
+    route.connected(1, 1)
+    assert not route.is_return_due(900) and not route.is_return_due(route.retry_at[0] - 1)
+    later = max(route.retry_at[0], 1001)
+    assert route.is_return_due(later)
+    route.postpone_return(later)
+    assert not route.is_return_due(later + 1)
     route.failed(1, later)
     for _ in range(12):
         route.failed(0, later)
@@ -156,7 +161,7 @@
     templates, segment = spool.Generation(generation.sets, 9), None
     for n, (data, _, _) in enumerate(found):
         if n % segment_every == 0:
-            at = ipfix.HEAD.unpack_from(data)[3]
+            at = ipfix.HEADER.unpack_from(data)[3]
             segment = made.begin(n, templates, at, SECONDS)
         made.write(segment, data)
         segment.add(len(data), 1)
@@ -172,7 +177,7 @@
             made.read(segment, n)
             for segment in segments
             for n in range(segment.first, segment.next)
-            if segment.counts[n - segment.first] != SPOILT
+            if segment.counts[n - segment.first] != CORRUPT
         ]
         return found, following, sequence, faults
     finally:
@@ -200,7 +205,7 @@
         assert found == messages[:good], cut
         assert bool(faults) == (cut not in (head, *ends))
         if good:
-            _, _, _, at, _ = ipfix.HEAD.unpack_from(messages[good - 1])
+            _, _, _, at, _ = ipfix.HEADER.unpack_from(messages[good - 1])
             count = spool.records_in(whole[:head], messages[good - 1])[0]
             assert following == good and sequence == at + count
         # What was cut off is gone from the file, so that a second start finds it whole.
@@ -261,9 +266,9 @@
 
 def test_a_spool_is_one_process_s_alone_and_a_broken_cursor_tells_nothing(tmp_path):
     made = spool.Spool(str(tmp_path))
-    with pytest.raises(spool.Unusable, match="another process"):
+    with pytest.raises(spool.SpoolError, match="another process"):
         spool.Spool(str(tmp_path))
-    made.keep_cursor("a", 77)
+    made.save_cursor("a", 77)
     assert made.cursor("a") == 77 and made.cursor("b") is None
     whole = (tmp_path / "a.cursor").read_bytes()
     for cut in range(len(whole)):
@@ -273,7 +278,7 @@
         (tmp_path / "a.cursor").write_bytes(whole[:n] + bytes([whole[n] ^ 1]) + whole[n + 1 :])
         assert made.cursor("a") is None
     made.close()
-    with pytest.raises(spool.Unusable, match="cannot be used"):
+    with pytest.raises(spool.SpoolError, match="cannot be used"):
         spool.Spool("/proc/nowhere")
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -33,9 +33,9 @@
         spool "/tmp/x" size="2MiB" segment="64KiB"
         collector "a" { address "[::1]:4739"; transport "udp"; mtu 1280; standby "127.0.0.1:1" }
     }""")["flows"]
-    assert (part.active, part.spool_most, part.segment) == (15_000, 2 << 20, 64 << 10)
+    assert (part.active_timeout, part.max_spool_size, part.segment_size) == (15_000, 2 << 20, 64 << 10)
     assert part.collectors[0].addresses == (("::1", 4739), ("127.0.0.1", 1))
-    assert part.collectors[0].message_most == 1232
+    assert part.collectors[0].max_message_size == 1232
 
 
 @pytest.mark.parametrize(
@@ -79,7 +79,7 @@
         ('flows { collector "a" { address "127.0.0.1:1"; tls { authority "x" } } }', ['transport "tls"']),
         (
             'flows { collector "a" { address "127.0.0.1:1" }\n collector "a" { address "127.0.0.1:2" } }',
-            ["differ"],
+            ["a unique name"],
         ),
         (
             'flows { spool "x" size="1MiB" segment="1MiB"; collector "a" { address "127.0.0.1:1" } }',
--- a/wickvane/__main__.py
+++ b/wickvane/__main__.py
@@ -88,7 +88,7 @@
     "policy": "wickvane.config_log.command",
     "shares": "wickvane.quotas.command",
     "members": "wickvane.endpoints.command",
-    "flows": "wickvane.flows.tool",
+    "flows": "wickvane.flows.command",
     "rehearse": "wickvane.rehearsal.command",
     "demo": "wickvane.rehearsal.command",
 }
--- a/wickvane/flows/tool.py
+++ b/wickvane/flows/command.py
@@ -12,8 +12,8 @@
 
 from wickvane.errors import ProtocolError
 from wickvane.flows import ipfix, netflow9
-from wickvane.flows.collected import SUMMED, Collected, Table
-from wickvane.flows.part import ENTERPRISE
+from wickvane.flows.collected_flows import SUMMED, Collected, Table
+from wickvane.flows.extension import DEFAULT_ENTERPRISE
 from wickvane.parts import DURATION_PATTERN, MILLISECONDS_BY_UNIT, read_address
 
 BY = ("side", "group", "tenant", "engine", "reason")
@@ -33,7 +33,7 @@
 }
 
 
-class Unusable(Exception):
+class UsageError(Exception):
     """Words that the command cannot work with."""
 
 
@@ -44,7 +44,7 @@
 def span(text):
     found = DURATION_PATTERN.match(text)
     if not found or float(found[1]) <= 0:
-        raise Unusable(f'{text}: expected a time such as "10s"')
+        raise UsageError(f'{text}: expected a time such as "10s"')
     return max(1, round(float(found[1]) * MILLISECONDS_BY_UNIT[found[2]]))
 
 
@@ -77,11 +77,13 @@
         reader, at, spoilt = ipfix.Reader(enterprise), 0, 0
         with open(path, "rb") as file:
             while True:
-                head = file.read(ipfix.SET_HEAD.size)
+                head = file.read(ipfix.SET_HEADER.size)
                 if not head:
                     break
-                version, size = ipfix.SET_HEAD.unpack(head) if len(head) == ipfix.SET_HEAD.size else (0, 0)
-                if version != ipfix.VERSION or size < ipfix.HEAD.size:
+                version, size = (
+                    ipfix.SET_HEADER.unpack(head) if len(head) == ipfix.SET_HEADER.size else (0, 0)
+                )
+                if version != ipfix.VERSION or size < ipfix.HEADER.size:
                     self.notes.append(f"{path}: no IPFIX message at octet {at}: the rest is left out")
                     break
                 data = head + file.read(size - len(head))
@@ -169,7 +171,7 @@
         if place not in readers:
             if len(readers) >= CONNECTIONS_MOST:
                 del readers[next(iter(readers))]
-            readers[place] = netflow9.Reader9() if nine else ipfix.Reader(enterprise)
+            readers[place] = netflow9.NetFlow9Reader() if nine else ipfix.Reader(enterprise)
         try:
             self.take(readers[place].message(data))
         except ProtocolError as error:
@@ -197,7 +199,9 @@
         from rich.console import Console
         from rich.table import Table as Drawn
     except ImportError:
-        raise Unusable("tables need the package rich (requirements-parts.txt); --json does without") from None
+        raise UsageError(
+            "tables need the package rich (requirements-parts.txt); --json does without"
+        ) from None
     console = Console(file=out, width=None if out.isatty() else 160)
     for name, rows in shown.items():
         if not name.startswith("by-"):
@@ -236,17 +240,17 @@
         by = asked["--by"].split(",") if asked["--by"] else list(BY)
         for word in by:
             if word not in (*BY, "client"):
-                raise Unusable(f"--by {word}: expected some of {', '.join((*BY, 'client'))}")
+                raise UsageError(f"--by {word}: expected some of {', '.join((*BY, 'client'))}")
         step = span(asked["--step"]) if asked["--step"] else None
-        enterprise = asked["--enterprise"] or str(ENTERPRISE)
+        enterprise = asked["--enterprise"] or str(DEFAULT_ENTERPRISE)
         if not enterprise.isdigit():
-            raise Unusable(f"--enterprise {enterprise}: expected a number")
+            raise UsageError(f"--enterprise {enterprise}: expected a number")
         sums = Sums(by, step)
         if asked["--listen"]:
             try:
                 address = read_address(asked["--listen"])
             except ValueError:
-                raise Unusable(f"--listen {asked['--listen']}: expected an IP address and port") from None
+                raise UsageError(f"--listen {asked['--listen']}: expected an IP address and port") from None
             sums.live(address, asked["--udp"], span(asked["--for"]) / 1000, int(enterprise))
         for path in files_of(asked["FILE"]):
             sums.file(path, int(enterprise))
@@ -256,6 +260,6 @@
         else:
             show(shown, out)
         return 1 if sums.notes else 0
-    except (Unusable, OSError) as error:
+    except (UsageError, OSError) as error:
         print(f"wickvane: {error}", file=sys.stderr)
         return 2
--- a/wickvane/flows/elements.py
+++ b/wickvane/flows/elements.py
@@ -1,9 +1,9 @@
-"""The information elements of a record: IANA's numbers, our own under the enterprise number, and their types.
+"""The information elements of records: IANA's and the project's own, with numbers and types.
 
 Sources: RFC 7012 and the IANA registry "IPFIX Information Elements"; RFC 5103 for the reverse direction,
-whose elements stand under the reverse enterprise number 29305, or with bit 0x4000 of the id set in an
-enterprise's own space (its section 6.2). The own ones are listed in docs/flows.md; ids are never given a
-second meaning.
+whose elements have the reverse enterprise number 29305 or, in an enterprise's own space, bit 0x4000 of the id
+set (its section 6.2). The project's own elements are listed in docs/flows.md; an id is never given a second
+meaning.
 """
 
 import struct
@@ -11,8 +11,8 @@
 from typing import NamedTuple
 
 REVERSE_PEN, REVERSE_BIT = 29_305, 0x4000
-VARIABLE, DIGEST = 0xFFFF, 8
-OWN = -1  # stands for the enterprise number that the parts document names
+VARIABLE, DIGEST_SIZE = 0xFFFF, 8
+OWN = -1  # placeholder for the enterprise number in the extensions document
 
 
 class Element(NamedTuple):
@@ -20,35 +20,35 @@
 
     name: str
     number: int
-    enterprise: int  # 0: IANA's own
-    type: str  # a key of FORMS
+    enterprise: int  # 0: IANA's
+    type: str  # a key of ENCODINGS
     length: int
 
 
-class Form(NamedTuple):
-    """How values of a type stand in a record: a letter of `struct` where the length is fixed."""
+class Encoding(NamedTuple):
+    """The encoding of a type: its length, and its `struct` letter if the length is fixed."""
 
     length: int
     letter: str
 
 
-FORMS = {
-    "unsigned8": Form(1, "B"),
-    "unsigned16": Form(2, "H"),
-    "unsigned32": Form(4, "I"),
-    "unsigned64": Form(8, "Q"),
-    "dateTimeMilliseconds": Form(8, "Q"),
-    "ipv4Address": Form(4, "4s"),
-    "ipv6Address": Form(16, "16s"),
-    "md5": Form(16, "16s"),
-    "string": Form(VARIABLE, ""),
-    "octetArray": Form(VARIABLE, ""),
+ENCODINGS = {
+    "unsigned8": Encoding(1, "B"),
+    "unsigned16": Encoding(2, "H"),
+    "unsigned32": Encoding(4, "I"),
+    "unsigned64": Encoding(8, "Q"),
+    "dateTimeMilliseconds": Encoding(8, "Q"),
+    "ipv4Address": Encoding(4, "4s"),
+    "ipv6Address": Encoding(16, "16s"),
+    "md5": Encoding(16, "16s"),
+    "string": Encoding(VARIABLE, ""),
+    "octetArray": Encoding(VARIABLE, ""),
 }
 
 
 def table(rows):
     return {
-        name: Element(name, number, enterprise, type, FORMS[type].length)
+        name: Element(name, number, enterprise, type, ENCODINGS[type].length)
         for name, number, enterprise, type in rows
     }
 
@@ -86,7 +86,7 @@
         ("messageScope", 263, 0, "unsigned8"),
         ("observationTimeMilliseconds", 323, 0, "dateTimeMilliseconds"),
         ("reverseOctetDeltaCount", 1, REVERSE_PEN, "unsigned64"),
-        # The project's own.
+        # The project's own elements.
         ("flowPart", 1, OWN, "unsigned32"),
         ("flowSide", 2, OWN, "unsigned8"),
         ("resourceGroup", 3, OWN, "string"),
@@ -139,7 +139,6 @@
 )
 NAMES = ("resourceGroup", "tenant", "engine")
 IPV4, IPV6 = ("sourceIPv4Address", "destinationIPv4Address"), ("sourceIPv6Address", "destinationIPv6Address")
-# How many of the fields of an options template are its scope.
 STATISTICS = (
     "observationDomainId",
     "exportingProcessId",
@@ -158,7 +157,7 @@
     "engineOctetTotalCount",
     "collector",
 )
-# Where it is counted what a full backlog let go of: one record a resource group.
+# Counts what a full backlog dropped or rejected: one record per resource group.
 NOT_SENT = (
     "observationDomainId",
     "exportingProcessId",
@@ -169,8 +168,8 @@
 )
 CHECKSUM = ("messageScope", "messageMD5Checksum")
 
-# For collectors that know no elements but IANA's: the names stand under the nearest of those, applicationName
-# for the resource group, userName for the tenant, interfaceName for the engine.
+# For collectors that know IANA's elements only. The names use the closest of those: applicationName for the
+# resource group, userName for the tenant, interfaceName for the engine.
 PLAIN = (
     "flowId",
     "flowEndReason",
@@ -187,7 +186,7 @@
 )
 PLAIN_NAMES = ("applicationName", "userName", "interfaceName")
 
-SHAPES = {  # what: (its elements, how many of them are scope)
+TEMPLATE_FIELDS = {  # kind of record: (its elements, how many of them are the scope)
     "flow4": (FLOW + IPV4 + NAMES, 0),
     "flow6": (FLOW + IPV6 + NAMES, 0),
     "statistics": (STATISTICS, 2),
@@ -197,27 +196,31 @@
     "plain6": (PLAIN + IPV6 + PLAIN_NAMES, 0),
     "plain-statistics": (STATISTICS[:9], 2),
 }
-FULL_KINDS, PLAIN_KINDS = list(SHAPES)[:5], list(SHAPES)[5:]
+FULL_KINDS, PLAIN_KINDS = list(TEMPLATE_FIELDS)[:5], list(TEMPLATE_FIELDS)[5:]
 
 
 def packer(names):
-    """One Struct for the leading elements of fixed length, all of which stand ahead of the strings."""
-    return struct.Struct("!" + "".join(FORMS[ELEMENTS[name].type].letter for name in names))
+    """Returns one Struct for the elements of fixed length, which all precede the strings."""
+    return struct.Struct("!" + "".join(ENCODINGS[ELEMENTS[name].type].letter for name in names))
 
 
 def fixed(value, width):
-    """A string of `width` octets, filled up with zeros. One that is longer ends in a digest of the whole, so
-    that two long ones stay two."""
+    """Encodes a string in `width` octets, padded with zeros.
+
+    A longer string is truncated and ends in a digest of the full string, so that two long strings stay
+    distinct."""
     data = value.encode("utf-8", "replace")
     if len(data) > width:
-        mark = blake2b(data, digest_size=DIGEST // 2).hexdigest().encode()
-        data = data[: width - DIGEST].decode("utf-8", "ignore").encode() + mark
+        digest = blake2b(data, digest_size=DIGEST_SIZE // 2).hexdigest().encode()
+        data = data[: width - DIGEST_SIZE].decode("utf-8", "ignore").encode() + digest
     return data.ljust(width, b"\0")
 
 
-def text(value, most=255):
-    """A string of variable length (RFC 7011 section 7): one octet of length, or 255 and two more."""
+def text(value, max_size=255):
+    """Encodes a string of variable length (RFC 7011 section 7).
+
+    The length takes one octet, or 255 and two octets."""
     data = value.encode("utf-8", "replace")
-    if len(data) > most:
-        data = data[:most].decode("utf-8", "ignore").encode()
+    if len(data) > max_size:
+        data = data[:max_size].decode("utf-8", "ignore").encode()
     return bytes((len(data),)) + data if len(data) < 255 else b"\xff" + struct.pack("!H", len(data)) + data
--- a/wickvane/flows/export.py
+++ b/wickvane/flows/export.py
@@ -1,8 +1,8 @@
-"""The exporter's shell: threads, sockets and files round accounts, codecs and outlets. It decides nothing.
+"""The exporting process: threads around the flow accounts, the codecs and the collectors' connections.
 
-One thread takes the records that are due out of the accounts, and puts them as messages into a Line (one for
-each format). Each collector has a Way, a thread that dials and sends; only that one waits on its collector.
-The path of queries touches the accounts and nothing else here.
+One thread collects the due records from the accounts and adds them as messages to a MessageLog, one per
+format. Each collector has a CollectorConnection with its own thread; only that thread waits for its
+collector. The threads that serve queries use the accounts and nothing else of this package.
 """
 
 import os
@@ -11,56 +11,66 @@
 from threading import Event, Lock
 
 from wickvane.flows import spool
-from wickvane.flows.accounts import Accounts
-from wickvane.flows.line import Line
-from wickvane.flows.outlet import Outlet
-from wickvane.flows.part import IPFIX
-from wickvane.flows.way import CLOSE_S, Way
+from wickvane.flows.collector_connection import CLOSE_TIMEOUT_S, CollectorConnection
+from wickvane.flows.extension import IPFIX
+from wickvane.flows.flow_accounts import Accounts
+from wickvane.flows.message_log import MessageLog
+from wickvane.flows.send_window import SendWindow
 from wickvane.net.threads import Threads
 
-FLUSH_S = 1.5
-SETTLE_S = 0.5
-AT_ONCE = 1024  # records taken out of the accounts under their lock
-KEEP_EVERY = 10_000  # between two notes of where outlets stand
+FLUSH_TIMEOUT_S = 1.5
+SETTLE_TIMEOUT_S = 0.5
+MAX_RECORDS_PER_COLLECT = 1024  # records collected from the accounts under one hold of their lock
+CURSOR_INTERVAL_TICKS = 10_000  # ticks between two saves of the collectors' cursors
 
 
-class Unusable(Exception):
-    """The export cannot be started, or changed, as the document has it."""
+class InvalidExportError(Exception):
+    """The export cannot be started or changed as the extensions document says."""
 
 
 class Exporter:
-    """The threads and queues that bring records to all collectors."""
+    """Exports the records of the flow accounts to all collectors."""
 
-    def __init__(self, part, clock, log, counters, groups, tenants, seed):
-        """groups, tenants: names by index, as the settings give them."""
-        self.part, self.clock, self.log, self.counters = part, clock, log, counters
+    def __init__(self, settings, clock, log, counters, groups, tenants, seed):
+        """groups, tenants: names by index, as in the settings. Raises InvalidExportError."""
+        self.settings, self.clock, self.log, self.counters = settings, clock, log, counters
         self.groups, self.tenants = list(groups), list(tenants)
-        self.chance, self.began = Random(f"{seed}/flows"), clock.now()
-        # Not from the seed, which may be the same at the next start: collectors tell repeats by these bits.
-        self.accounts = Accounts(int.from_bytes(os.urandom(4), "big"), part.table, part.active, part.idle)
-        self.lines, self.stopping, self.faulty, self.lock = {}, Event(), {}, Lock()
+        self.random, self.started_at = Random(f"{seed}/flows"), clock.now()
+        # Not derived from the seed, which may be the same at the next start: collectors detect repeats by
+        # these bits.
+        self.accounts = Accounts(
+            int.from_bytes(os.urandom(4), "big"),
+            settings.max_flows,
+            settings.active_timeout,
+            settings.idle_timeout,
+        )
+        self.message_logs, self.stopping, self.last_fault_at, self.lock = {}, Event(), {}, Lock()
         self.thread, self.threads = None, Threads(log, counters)
-        contexts = self.contexts(part)
+        contexts = self.load_tls_contexts(settings)
         try:
-            for format in {collector.format: 0 for collector in part.collectors}:
-                self.new_line(format, part)
-        except spool.Unusable as error:
-            raise Unusable(str(error)) from None
-        for number, collector in enumerate(part.collectors, 1):
-            line = self.lines[collector.format]
-            line.ways.append(Way(self, line, collector, number, contexts.get(collector.name)))
-
-    def new_line(self, format, part):
-        line = self.lines[format] = Line(self, format)
-        if format == IPFIX and part.spool:
-            line.open_spool(part)
-        line.shape(part)
-        return line
-
-    def contexts(self, part):
-        """{collector: TLS context} with the files as they are now; Unusable names the one that fails."""
-        found = {}
-        for collector in part.collectors:
+            for format in {collector.format: 0 for collector in settings.collectors}:
+                self.new_message_log(format, settings)
+        except spool.SpoolError as error:
+            raise InvalidExportError(str(error)) from None
+        for number, collector in enumerate(settings.collectors, 1):
+            message_log = self.message_logs[collector.format]
+            message_log.connections.append(
+                CollectorConnection(self, message_log, collector, number, contexts.get(collector.name))
+            )
+
+    def new_message_log(self, format, settings):
+        message_log = self.message_logs[format] = MessageLog(self, format)
+        if format == IPFIX and settings.spool:
+            message_log.open_spool(settings)
+        message_log.configure(settings)
+        return message_log
+
+    def load_tls_contexts(self, settings):
+        """Returns {collector: TLS context} from the current files.
+
+        Raises InvalidExportError naming a failing one."""
+        contexts = {}
+        for collector in settings.collectors:
             if collector.tls is None:
                 continue
             import ssl
@@ -71,133 +81,160 @@
                 if tls.certificate:
                     context.load_cert_chain(tls.certificate, tls.key)
             except (OSError, ValueError) as error:
-                why = getattr(error, "strerror", None) or getattr(error, "reason", None) or str(error)
-                raise Unusable(
-                    f"flows > collector {collector.name} > tls: its files cannot be used: {why}"
+                reason = getattr(error, "strerror", None) or getattr(error, "reason", None) or str(error)
+                raise InvalidExportError(
+                    f"flows > collector {collector.name} > tls: its files cannot be used: {reason}"
                 ) from None
-            found[collector.name] = context
-        return found
+            contexts[collector.name] = context
+        return contexts
 
     def fault(self, event, error):
-        """A log line a second at most for each kind: a full disk says it with every message."""
+        """Counts a fault and logs at most one line per second and event.
+
+        Without that limit, a full disk would log a line for every message."""
         self.counters.add(event)
         now = self.clock.now()
-        if now - self.faulty.get(event, -10_000) >= 10_000:
-            self.faulty[event] = now
+        if now - self.last_fault_at.get(event, -10_000) >= 10_000:
+            self.last_fault_at[event] = now
             self.log.line(event, error=f"{type(error).__name__}: {error}")
 
     def start(self):
         self.thread = self.threads.needed(self.run, "flows")
-        for line in self.lines.values():
-            for way in line.ways:
-                way.start()
+        for message_log in self.message_logs.values():
+            for connection in message_log.connections:
+                connection.start()
 
     def run(self):
-        told = kept = self.clock.now()
-        while not self.stopping.wait(self.part.every / 10_000):
+        last_statistics = last_save = self.clock.now()
+        while not self.stopping.wait(self.settings.collect_interval / 10_000):
             try:
                 now = self.clock.now()
                 with self.lock:
-                    self.turn(now, now - told >= self.part.statistics)
-                    if now - told >= self.part.statistics:
-                        told = now
-                    for line in self.lines.values():
-                        line.trim(now - kept >= KEEP_EVERY)
-                    if now - kept >= KEEP_EVERY:
-                        kept = now
-            except Exception as error:  # the queries' path goes on whatever happens here
+                    self.export_due(now, now - last_statistics >= self.settings.statistics_interval)
+                    if now - last_statistics >= self.settings.statistics_interval:
+                        last_statistics = now
+                    for message_log in self.message_logs.values():
+                        message_log.remove_sent(now - last_save >= CURSOR_INTERVAL_TICKS)
+                    if now - last_save >= CURSOR_INTERVAL_TICKS:
+                        last_save = now
+            except Exception as error:  # an export fault must not affect queries
                 self.fault("flow-fault", error)
 
-    def turn(self, now, statistics, everything=False):
-        """All that is due goes from the accounts into the lines."""
+    def export_due(self, now, statistics, everything=False):
+        """Moves all due records from the accounts into the message logs."""
         while True:
-            records = self.accounts.collect(now, AT_ONCE, everything)
-            for line in self.lines.values():
-                line.add(records, now // 10_000)
-            if len(records) < AT_ONCE:
+            records = self.accounts.collect(now, MAX_RECORDS_PER_COLLECT, everything)
+            for message_log in self.message_logs.values():
+                message_log.add(records, now // 10_000)
+            if len(records) < MAX_RECORDS_PER_COLLECT:
                 break
         if statistics:
-            for line in self.lines.values():
-                line.statistics(now, self.part.domain, self.accounts.shown())
-        for line in self.lines.values():
-            line.flush(now // 10_000)
-
-    def prepare(self, part):
-        """What a reload needs, checked before anything is changed; Unusable where it cannot be done."""
-        if part.spool != self.part.spool:
-            raise Unusable("flows > spool: another directory needs a restart")
-        return self.contexts(part)
-
-    def change(self, part, contexts):
-        """Takes another document to work. Collectors are known again by name and format."""
+            for message_log in self.message_logs.values():
+                message_log.statistics(now, self.settings.domain, self.accounts.shown())
+        for message_log in self.message_logs.values():
+            message_log.flush(now // 10_000)
+
+    def prepare(self, settings):
+        """Checks and loads what a reload needs before anything changes; raises InvalidExportError."""
+        if settings.spool != self.settings.spool:
+            raise InvalidExportError("flows > spool: another directory needs a restart")
+        return self.load_tls_contexts(settings)
+
+    def change(self, settings, contexts):
+        """Applies new settings. Collectors are matched by name and format."""
         with self.lock:
             now = self.clock.now()
-            self.turn(now, False)
-            self.part = part
-            self.accounts.limits(part.table, part.active, part.idle)
-            ways = [way for line in self.lines.values() for way in line.ways]
-            old = {(way.collector.name, way.line.format): way for way in ways}
-            for format in {collector.format: 0 for collector in part.collectors}:
-                if format in self.lines:
-                    with self.lines[format].more:
-                        self.lines[format].shape(part)
+            self.export_due(now, False)
+            self.settings = settings
+            self.accounts.limits(settings.max_flows, settings.active_timeout, settings.idle_timeout)
+            connections = [
+                connection
+                for message_log in self.message_logs.values()
+                for connection in message_log.connections
+            ]
+            old = {
+                (connection.collector.name, connection.message_log.format): connection
+                for connection in connections
+            }
+            for format in {collector.format: 0 for collector in settings.collectors}:
+                if format in self.message_logs:
+                    with self.message_logs[format].condition:
+                        self.message_logs[format].configure(settings)
                 else:
-                    self.new_line(format, part)
-            for number, collector in enumerate(part.collectors, 1):
-                way = old.pop((collector.name, collector.format), None)
+                    self.new_message_log(format, settings)
+            for number, collector in enumerate(settings.collectors, 1):
+                connection = old.pop((collector.name, collector.format), None)
                 secure = contexts.get(collector.name)
-                if way:
-                    way.change(collector, number, secure)
-                    way.outlet.pace, way.outlet.window = part.pace, way.window(part)
+                if connection:
+                    connection.change(collector, number, secure)
+                    connection.window.catch_up_rate, connection.window.resend_size = (
+                        settings.catch_up_rate,
+                        connection.resend_size(settings),
+                    )
                     continue
-                line = self.lines[collector.format]
-                way = Way(self, line, collector, number, secure)
-                with line.more:
-                    way.outlet = Outlet(way.outlet.window, part.pace, line.backlog.next, line.backlog.next)
-                    line.ways.append(way)
-                way.start()
-            for way in old.values():
-                way.leave(time.monotonic() + FLUSH_S, removed=True)
-                with way.line.more:
-                    way.line.ways.remove(way)
-                self.log.line("flow-collector-removed", collector=way.collector.name)
+                message_log = self.message_logs[collector.format]
+                connection = CollectorConnection(self, message_log, collector, number, secure)
+                with message_log.condition:
+                    connection.window = SendWindow(
+                        connection.window.resend_size,
+                        settings.catch_up_rate,
+                        message_log.backlog.next,
+                        message_log.backlog.next,
+                    )
+                    message_log.connections.append(connection)
+                connection.start()
+            for connection in old.values():
+                connection.end_after_flush(time.monotonic() + FLUSH_TIMEOUT_S, removed=True)
+                with connection.message_log.condition:
+                    connection.message_log.connections.remove(connection)
+                self.log.line("flow-collector-removed", collector=connection.collector.name)
 
     def stop(self):
-        """Tells what is open as ended by force, and gives the collectors a moment to take the rest."""
-        by = time.monotonic() + SETTLE_S
-        while self.accounts.open > 0 and time.monotonic() < by:
-            time.sleep(0.01)  # threads of connections that were closed just now still have a last word
+        """Exports open flows as ended by force.
+
+        Waits up to FLUSH_TIMEOUT_S for the collectors to take the rest."""
+        deadline = time.monotonic() + SETTLE_TIMEOUT_S
+        while self.accounts.open > 0 and time.monotonic() < deadline:
+            time.sleep(0.01)  # threads of connections closed just now still report their last traffic
         self.stopping.set()
         if self.thread:
             self.thread.join(2.0)
         with self.lock:
             try:
-                self.turn(self.clock.now(), True, everything=True)
+                self.export_due(self.clock.now(), True, everything=True)
             except Exception as error:
                 self.fault("flow-fault", error)
-            ways = [way for line in self.lines.values() for way in line.ways]
-            by = time.monotonic() + FLUSH_S
-            for way in ways:
-                way.leave(by)
-            for way in ways:
-                if way.thread:
-                    way.thread.join(max(0.0, by + CLOSE_S - time.monotonic()))
-            for line in self.lines.values():
-                line.trim(True)
-                for way in line.ways:
-                    out = way.outlet
-                    left = sum(high - low for low, high in out.behind) + line.backlog.next - out.live
+            connections = [
+                connection
+                for message_log in self.message_logs.values()
+                for connection in message_log.connections
+            ]
+            deadline = time.monotonic() + FLUSH_TIMEOUT_S
+            for connection in connections:
+                connection.end_after_flush(deadline)
+            for connection in connections:
+                if connection.thread:
+                    connection.thread.join(max(0.0, deadline + CLOSE_TIMEOUT_S - time.monotonic()))
+            for message_log in self.message_logs.values():
+                message_log.remove_sent(True)
+                for connection in message_log.connections:
+                    window = connection.window
+                    left = (
+                        sum(high - low for low, high in window.pending_ranges)
+                        + message_log.backlog.next
+                        - window.next_live
+                    )
                     self.log.line(
                         "flow-export",
-                        collector=way.collector.name,
-                        messages=out.messages,
-                        records=out.records,
-                        octets=out.octets,
-                        repeated=out.repeated,
-                        not_sent=out.not_sent[0],
+                        collector=connection.collector.name,
+                        messages=window.messages,
+                        records=window.records,
+                        octets=window.octets,
+                        repeated=window.repeated,
+                        not_sent=window.not_sent[0],
                         messages_left=left,
-                        kept=line.spool is not None,
+                        kept=message_log.spool is not None,
                     )
-                if line.spool is not None:
-                    line.spool.close()
+                if message_log.spool is not None:
+                    message_log.spool.close()
             self.log.line("flow-accounts", **self.accounts.shown())
--- a/wickvane/flows/ipfix.py
+++ b/wickvane/flows/ipfix.py
@@ -1,10 +1,11 @@
 """IPFIX messages (RFC 7011), written and read; bytes in and events out, no I/O.
 
-Writer packs records into messages of a bounded length and counts the sequence; Reader takes bytes as they
-come, cut anywhere, and yields events. Both directions of a flow stand in one record (RFC 5103).
+Writer packs records into messages of a bounded length and counts the sequence. Reader takes bytes in chunks
+of any size and yields events. One record holds both directions of a flow (RFC 5103).
 
-A template's id follows from its content. Whoever reads messages of several generations (a reload, a restart,
-a spool read back) can so never take one definition for another's, and none must be withdrawn before its time.
+A template's id is derived from its content. A collecting process that reads messages of several generations
+of templates (after a reload, a restart or from a spool) therefore never confuses two definitions, and no
+template has to be withdrawn early.
 """
 
 import ipaddress
@@ -13,64 +14,75 @@
 from zlib import crc32
 
 from wickvane.errors import ProtocolError
-from wickvane.flows.elements import ELEMENTS, FORMS, FULL_KINDS, OWN, SHAPES, VARIABLE, fixed, packer, text
-
-VERSION, HEAD, SET_HEAD = 10, struct.Struct("!HHIII"), struct.Struct("!HH")
-TEMPLATES, OPTIONS, FIRST_DATA = 2, 3, 256
-MESSAGE_MOST = 65_535
-ENGINES_MOST = 4096  # names held encoded
-CHECKSUM_AT = HEAD.size + SET_HEAD.size + 1  # in a message that bears one: its first record
+from wickvane.flows.elements import (
+    ELEMENTS,
+    ENCODINGS,
+    FULL_KINDS,
+    OWN,
+    TEMPLATE_FIELDS,
+    VARIABLE,
+    fixed,
+    packer,
+    text,
+)
+
+VERSION, HEADER, SET_HEADER = 10, struct.Struct("!HHIII"), struct.Struct("!HH")
+TEMPLATE_SET, OPTIONS_TEMPLATE_SET, MIN_DATA_SET_ID = 2, 3, 256
+MAX_MESSAGE_SIZE = 65_535
+MAX_CACHED_ENGINES = 4096  # encoded engine names kept
+CHECKSUM_OFFSET = HEADER.size + SET_HEADER.size + 1  # in a message with a checksum, which is its first record
 
 FLOW_FIELDS = {
-    kind: packer([name for name in SHAPES[kind][0] if FORMS[ELEMENTS[name].type].letter])
+    kind: packer([name for name in TEMPLATE_FIELDS[kind][0] if ENCODINGS[ELEMENTS[name].type].letter])
     for kind in ("flow4", "flow6", "plain4", "plain6")
 }
-STATISTICS_FIELDS = packer(SHAPES["statistics"][0][:-1])
-PLAIN_STATISTICS_FIELDS = packer(SHAPES["plain-statistics"][0])
+STATISTICS_FIELDS = packer(TEMPLATE_FIELDS["statistics"][0][:-1])
+PLAIN_STATISTICS_FIELDS = packer(TEMPLATE_FIELDS["plain-statistics"][0])
 NOT_SENT_FIELDS = struct.Struct("!II"), struct.Struct("!QQQ")
 
 
 class Generation:
-    """The templates under one enterprise number: ids, and the records that define them. width: names have so
-    many octets, for collectors that know no strings of variable length; 0: they are as long as they are."""
+    """The templates under one enterprise number: their ids and the template sets that define them.
+
+    width: octets of each name, for collectors without strings of variable length; 0: variable length."""
 
     def __init__(self, enterprise, width=0, kinds=FULL_KINDS):
         self.enterprise, self.width, self.ids, records = enterprise, width, {}, {}
         for kind in kinds:
-            names, scope = SHAPES[kind]
+            names, scope = TEMPLATE_FIELDS[kind]
             fields = b"".join(self.field(ELEMENTS[name]) for name in names)
-            number = FIRST_DATA + crc32(fields + bytes((scope,))) % (MESSAGE_MOST - FIRST_DATA)
+            number = MIN_DATA_SET_ID + crc32(fields + bytes((scope,))) % (MAX_MESSAGE_SIZE - MIN_DATA_SET_ID)
             while number in self.ids.values():
-                number = number + 1 if number < MESSAGE_MOST else FIRST_DATA
+                number = number + 1 if number < MAX_MESSAGE_SIZE else MIN_DATA_SET_ID
             self.ids[kind] = number
-            head = SET_HEAD.pack(number, len(names)) + (struct.pack("!H", scope) if scope else b"")
-            records.setdefault(OPTIONS if scope else TEMPLATES, []).append(head + fields)
+            head = SET_HEADER.pack(number, len(names)) + (struct.pack("!H", scope) if scope else b"")
+            records.setdefault(OPTIONS_TEMPLATE_SET if scope else TEMPLATE_SET, []).append(head + fields)
         self.sets = b"".join(
-            SET_HEAD.pack(n, SET_HEAD.size + sum(map(len, found))) + b"".join(found)
+            SET_HEADER.pack(n, SET_HEADER.size + sum(map(len, found))) + b"".join(found)
             for n, found in sorted(records.items())
         )
-        self.mark = crc32(self.sets)
+        self.checksum = crc32(self.sets)
 
     def field(self, element):
         enterprise = self.enterprise if element.enterprise == OWN else element.enterprise
         length = self.width if self.width and element.length == VARIABLE else element.length
         if enterprise:
             return struct.pack("!HHI", element.number | 0x8000, length, enterprise)
-        return SET_HEAD.pack(element.number, length)
+        return SET_HEADER.pack(element.number, length)
 
     def name(self, value):
         return fixed(value, self.width) if self.width else text(value)
 
 
-def templates_in(sets):
-    """{(set id, template id): the record} of sets that define templates, such as Generation.sets."""
+def parse_templates(sets):
+    """Returns {(set id, template id): template record} of template sets such as Generation.sets."""
     found, at = {}, 0
     while at < len(sets):
-        kind, size = SET_HEAD.unpack_from(sets, at)
-        end, n = at + size, at + SET_HEAD.size
-        while end - n >= SET_HEAD.size:
-            number, count = SET_HEAD.unpack_from(sets, n)
-            last = n + SET_HEAD.size + (2 if kind == OPTIONS else 0)
+        kind, size = SET_HEADER.unpack_from(sets, at)
+        end, n = at + size, at + SET_HEADER.size
+        while end - n >= SET_HEADER.size:
+            number, count = SET_HEADER.unpack_from(sets, n)
+            last = n + SET_HEADER.size + (2 if kind == OPTIONS_TEMPLATE_SET else 0)
             for _ in range(count):
                 last += 8 if sets[last] & 0x80 else 4
             found[kind, number] = sets[n:last]
@@ -79,51 +91,53 @@
     return found
 
 
-def change_of(announced, wanted, drop=False):
-    """The sets by which a session that was told `announced` knows `wanted`, both as templates_in() has them:
-    withdrawals first (RFC 7011 section 8.1; never over UDP), of what changes and, with `drop`, of all that is
-    not wanted. Changes `announced`."""
+def template_changes(announced, wanted, drop=False):
+    """Returns the sets that change a session's templates from `announced` to `wanted`.
+
+    `announced` is updated. Both are as parse_templates() returns them. Withdrawals come first (RFC 7011 section 8.1; never over UDP):
+    of templates that change and, with `drop`, of all that are not wanted."""
     parts = {}
-    for place, record in list(announced.items()):
-        if place in wanted and wanted[place] != record or drop and place not in wanted:
-            parts.setdefault((0, place[0]), []).append(SET_HEAD.pack(place[1], 0))
-            del announced[place]
-    for place, record in wanted.items():
-        if place not in announced:
-            parts.setdefault((1, place[0]), []).append(record)
-            announced[place] = record
+    for key, record in list(announced.items()):
+        if key in wanted and wanted[key] != record or drop and key not in wanted:
+            parts.setdefault((0, key[0]), []).append(SET_HEADER.pack(key[1], 0))
+            del announced[key]
+    for key, record in wanted.items():
+        if key not in announced:
+            parts.setdefault((1, key[0]), []).append(record)
+            announced[key] = record
     return b"".join(
-        SET_HEAD.pack(kind, SET_HEAD.size + sum(map(len, found))) + b"".join(found)
+        SET_HEADER.pack(kind, SET_HEADER.size + sum(map(len, found))) + b"".join(found)
         for (_, kind), found in sorted(parts.items())
     )
 
 
 def message(domain, sequence, seconds, sets):
-    length = HEAD.size + len(sets)
-    return HEAD.pack(VERSION, length, seconds & 0xFFFFFFFF, sequence & 0xFFFFFFFF, domain) + sets
+    length = HEADER.size + len(sets)
+    return HEADER.pack(VERSION, length, seconds & 0xFFFFFFFF, sequence & 0xFFFFFFFF, domain) + sets
 
 
 class Packer:
-    """Records in, messages of at most `most` octets out, a set for each run of records of one kind. A format
-    says how a message begins and ends, how a set is put, and by how much one is filled up at the most."""
+    """Packs records into messages of at most `max_size` octets, one set for each run of records of one kind.
+
+    A subclass defines how messages and sets are encoded; PADDING is the maximum padding of a set."""
 
-    HEAD_SIZE, PADDING = HEAD.size, 0
+    HEADER_SIZE, PADDING = HEADER.size, 0
 
-    def __init__(self, most):
-        self.most, self.done = most, []
+    def __init__(self, max_size):
+        self.max_size, self.finished = max_size, []
         self.begin()
 
     def begin(self):
-        self.sets, self.open, self.size, self.count = [], [], self.HEAD_SIZE, 0
+        self.sets, self.open, self.size, self.count = [], [], self.HEADER_SIZE, 0
         self.groups, self.kind = {}, None
 
     def add(self, kind, record, seconds, group=None):
-        """A record by its SHAPES name; `group` counts it as a flow record of that resource group."""
-        head = SET_HEAD.size + self.PADDING
+        """Adds a record of a kind in TEMPLATE_FIELDS; with `group`, counts it as that group's flow record."""
+        head = SET_HEADER.size + self.PADDING
         more = len(record) + (head if kind != self.kind else 0)
-        if self.size + more > self.most:
+        if self.size + more > self.max_size:
             if self.kind is None:
-                raise ValueError("a record is longer than a message may be")
+                raise ValueError("a record exceeds the maximum message size")
             self.finish(seconds)
             more = len(record) + head
         if kind != self.kind:
@@ -141,42 +155,44 @@
             self.open = []
 
     def finish(self, seconds):
-        """Closes the message that is being filled, if there is anything in it."""
+        """Finishes the current message if it holds any record."""
         if self.kind is None:
             return
         self.close_set()
-        self.done.append((self.put_message(b"".join(self.sets), seconds), self.count, self.groups))
+        self.finished.append((self.put_message(b"".join(self.sets), seconds), self.count, self.groups))
         self.begin()
 
     def take(self):
-        done, self.done = self.done, []
+        done, self.finished = self.finished, []
         return done
 
 
 class Writer(Packer):
-    """Records in, whole messages out: (bytes, data records in it, {resource group: flow records in it}).
+    """Packs records into IPFIX messages: (bytes, data records in it, {resource group: flow records in it}).
 
-    most: octets in a message, headers included; checksums: each message begins with a record of its own MD5
-    (RFC 5655 section 8.1), by which a file that was cut or spoilt can be told."""
+    max_size: octets of a message with its header; checksums: each message begins with a record of its own MD5
+    (RFC 5655 section 8.1), which reveals truncated or corrupt files."""
 
-    def __init__(self, domain, generation, most, checksums=False, sequence=0):
+    def __init__(self, domain, generation, max_size, checksums=False, sequence=0):
         self.domain, self.generation = domain, generation
         self.checksums, self.sequence = checksums, sequence & 0xFFFFFFFF
-        super().__init__(min(most, MESSAGE_MOST))
+        super().__init__(min(max_size, MAX_MESSAGE_SIZE))
 
     def begin(self):
         super().begin()
         if self.checksums:
-            self.sets.append(SET_HEAD.pack(self.generation.ids["checksum"], SET_HEAD.size + 17) + bytes(17))
-            self.size, self.count = self.size + SET_HEAD.size + 17, 1
+            self.sets.append(
+                SET_HEADER.pack(self.generation.ids["checksum"], SET_HEADER.size + 17) + bytes(17)
+            )
+            self.size, self.count = self.size + SET_HEADER.size + 17, 1
 
     def put_set(self, kind, body):
-        return SET_HEAD.pack(self.generation.ids[kind], SET_HEAD.size + len(body)) + body
+        return SET_HEADER.pack(self.generation.ids[kind], SET_HEADER.size + len(body)) + body
 
     def put_message(self, sets, seconds):
         data = message(self.domain, self.sequence, seconds, sets)
         if self.checksums:
-            data = data[:CHECKSUM_AT] + md5(data).digest() + data[CHECKSUM_AT + 16 :]
+            data = data[:CHECKSUM_OFFSET] + md5(data).digest() + data[CHECKSUM_OFFSET + 16 :]
         self.sequence = (self.sequence + self.count) & 0xFFFFFFFF
         return data
 
@@ -187,17 +203,20 @@
 
 
 def checksum_holds(data):
-    """Whether a message that begins with a record of its MD5 is as it was written."""
-    zeroed = data[:CHECKSUM_AT] + bytes(16) + data[CHECKSUM_AT + 16 :]
-    return len(data) >= CHECKSUM_AT + 16 and md5(zeroed).digest() == data[CHECKSUM_AT : CHECKSUM_AT + 16]
+    """Returns whether the MD5 in a message's first record matches the message."""
+    zeroed = data[:CHECKSUM_OFFSET] + bytes(16) + data[CHECKSUM_OFFSET + 16 :]
+    return (
+        len(data) >= CHECKSUM_OFFSET + 16
+        and md5(zeroed).digest() == data[CHECKSUM_OFFSET : CHECKSUM_OFFSET + 16]
+    )
 
 
-def names_of(record, names):
-    """A record's resource group, tenant and engine, encoded; names as flow_record() has them."""
+def encoded_names_of(record, names):
+    """Returns a record's resource group, tenant and engine, encoded; names as in flow_record()."""
     groups, tenants, engines, name = names
     engine = engines.get(record.connection.engine)
     if engine is None:
-        if len(engines) > ENGINES_MOST:
+        if len(engines) > MAX_CACHED_ENGINES:
             engines.clear()
         engine = engines[record.connection.engine] = name(record.connection.engine)
     return groups[record.key[0]], tenants[record.key[1]], engine
@@ -206,8 +225,8 @@
 TCP, INITIATOR_TO_RESPONDER = 6, 1  # protocolIdentifier, biflowDirection (RFC 5103)
 
 
-def flow_figures(record):
-    """(kind, figures) of an accounts.Record, in the order of elements.FLOW; names follow them."""
+def flow_values(record):
+    """Returns (kind, values) of a flow_accounts.Record in the order of elements.FLOW, without names."""
     connection = record.connection
     kind = "flow4" if len(connection.source) == 4 else "flow6"
     return kind, (
@@ -231,14 +250,16 @@
 
 
 def flow_record(record, names):
-    """(kind, bytes) of an accounts.Record. names: resource groups, tenants and engines as Generation.name()
-    encodes them, and that, for engines not yet among them."""
-    kind, figures = flow_figures(record)
-    return kind, FLOW_FIELDS[kind].pack(*figures) + b"".join(names_of(record, names))
+    """Returns (kind, bytes) of a flow_accounts.Record.
+
+    names: resource groups, tenants and engines encoded by Generation.name(), and that method, which encodes
+    engines not yet among them."""
+    kind, values = flow_values(record)
+    return kind, FLOW_FIELDS[kind].pack(*values) + b"".join(encoded_names_of(record, names))
 
 
 def plain_record(record, names):
-    """As flow_record(), in IANA's elements alone. Its octetDeltaCount is of both directions."""
+    """As flow_record(), with IANA's elements only. Its octetDeltaCount covers both directions."""
     connection = record.connection
     kind = "plain4" if len(connection.source) == 4 else "plain6"
     forward, reverse = record.counts[:2]
@@ -257,21 +278,21 @@
         reverse,
         connection.source,
         connection.target,
-    ) + b"".join(names_of(record, names))
+    ) + b"".join(encoded_names_of(record, names))
 
 
-class Shape:
-    """A template as it was read: fields are (name or (enterprise, number), type, length)."""
+class Template:
+    """A template that was read. fields: (name or (enterprise, number), type, length)."""
 
-    __slots__ = ("fields", "scope", "least", "fixed")
+    __slots__ = ("fields", "scope", "min_record_size", "is_fixed_size")
 
     def __init__(self, fields, scope):
         self.fields, self.scope = fields, scope
-        self.least = sum(1 if length == VARIABLE else length for _, _, length in fields)
-        self.fixed = all(length != VARIABLE for _, _, length in fields)
+        self.min_record_size = sum(1 if length == VARIABLE else length for _, _, length in fields)
+        self.is_fixed_size = all(length != VARIABLE for _, _, length in fields)
 
 
-def value_of(type, data):
+def decode_value(type, data):
     if type.startswith("unsigned") or type == "dateTimeMilliseconds":
         return int.from_bytes(data, "big")
     if type == "string":
@@ -281,10 +302,10 @@
     return bytes(data)
 
 
-def fields_of(shape, data, at, end):
-    """One record's values by name, and where the next begins."""
+def decode_record(template, data, at, end):
+    """Returns (values by element name, offset of the next record). Raises ProtocolError."""
     found = {}
-    for name, type, length in shape.fields:
+    for name, type, length in template.fields:
         if length == VARIABLE:
             if at >= end:
                 raise ProtocolError("a record ends inside a string's length")
@@ -295,106 +316,107 @@
                 length, at = int.from_bytes(data[at : at + 2], "big"), at + 2
         if at + length > end:
             raise ProtocolError("a record ends inside a field")
-        found[name] = value_of(type, data[at : at + length])
+        found[name] = decode_value(type, data[at : at + length])
         at += length
     return found, at
 
 
 class Reader:
-    """Bytes in, events out:
+    """Reads IPFIX messages and yields events:
 
     ("message", domain, sequence, seconds)   a header
     ("template", domain, id, names), ("withdrawn", domain, id or None for all)
     ("record", domain, id, fields) and ("options", domain, id, fields)   values by element name
-    ("unknown", domain, id, octets)          a set whose template is not known: skipped
-    ("end", domain, sequence, records)       records None where some could not be counted
+    ("unknown", domain, id, octets)          a set of an unknown template, which is skipped
+    ("end", domain, sequence, records)       records is None if some could not be counted
 
-    Raises ProtocolError and nothing else. Holds one message at most, and `templates` templates of `fields`
-    fields."""
+    Raises ProtocolError and nothing else. Holds at most one message and `templates`
+    templates of at most `fields` fields."""
 
     def __init__(self, enterprise, templates=1024, fields=256):
-        self.enterprise, self.templates_most, self.fields_most = enterprise, templates, fields
+        self.enterprise, self.max_templates, self.max_fields = enterprise, templates, fields
         self.names = {
             (enterprise if e.enterprise == OWN else e.enterprise, e.number): (e.name, e.type)
             for e in ELEMENTS.values()
             if enterprise or e.enterprise != OWN
         }
-        self.buffer, self.shapes = bytearray(), {}
+        self.buffer, self.templates = bytearray(), {}
 
     def feed(self, data):
-        """Events of a stream's next bytes (TCP, a file). Take them all: the rest is read as they are
-        taken."""
+        """Yields the events of the next bytes of a stream (TCP, a file).
+
+        Consume all events: the bytes are read as events are taken."""
         view = memoryview(data)
-        while view or len(self.buffer) >= HEAD.size:
-            if len(self.buffer) < HEAD.size:
-                more = min(HEAD.size - len(self.buffer), len(view))
+        while view or len(self.buffer) >= HEADER.size:
+            if len(self.buffer) < HEADER.size:
+                more = min(HEADER.size - len(self.buffer), len(view))
                 self.buffer += view[:more]
                 view = view[more:]
-                if len(self.buffer) < HEAD.size:
+                if len(self.buffer) < HEADER.size:
                     return
-            version, length = SET_HEAD.unpack_from(self.buffer)
-            if version != VERSION or length < HEAD.size:
-                raise ProtocolError("this is no IPFIX message")
+            version, length = SET_HEADER.unpack_from(self.buffer)
+            if version != VERSION or length < HEADER.size:
+                raise ProtocolError("not an IPFIX message")
             more = min(length - len(self.buffer), len(view))
             if more > 0:
                 self.buffer += view[:more]
                 view = view[more:]
             if len(self.buffer) < length:
                 return
-            whole = bytes(self.buffer[:length])
+            message_data = bytes(self.buffer[:length])
             del self.buffer[:length]
-            yield from self.message(whole)
+            yield from self.message(message_data)
 
-    def midway(self):
-        """Octets of a message that has not come whole."""
+    def buffered_octets(self):
+        """Returns the octets held of an incomplete message."""
         return len(self.buffer)
 
     def message(self, data):
-        """Events of one whole message, as a datagram brings it."""
-        if len(data) < HEAD.size:
+        """Yields the events of one complete message, such as a datagram."""
+        if len(data) < HEADER.size:
             raise ProtocolError("a message is shorter than its header")
-        version, length, seconds, sequence, domain = HEAD.unpack_from(data)
+        version, length, seconds, sequence, domain = HEADER.unpack_from(data)
         if version != VERSION or length != len(data):
-            raise ProtocolError("this is no IPFIX message, or its length is wrong")
+            raise ProtocolError("not an IPFIX message, or its length is wrong")
         yield "message", domain, sequence, seconds
-        at, count = HEAD.size, 0
+        at, count = HEADER.size, 0
         while at < length:
-            if length - at < SET_HEAD.size:
+            if length - at < SET_HEADER.size:
                 raise ProtocolError("a set is shorter than its header")
-            number, size = SET_HEAD.unpack_from(data, at)
-            if size < SET_HEAD.size or at + size > length:
+            number, size = SET_HEADER.unpack_from(data, at)
+            if size < SET_HEADER.size or at + size > length:
                 raise ProtocolError("a set's length is wrong")
-            begin, end = at + SET_HEAD.size, at + size
+            begin, end = at + SET_HEADER.size, at + size
             at = end
-            if number in (TEMPLATES, OPTIONS):
-                yield from self.define(domain, data, begin, end, number == OPTIONS)
-            elif number < FIRST_DATA:
+            if number in (TEMPLATE_SET, OPTIONS_TEMPLATE_SET):
+                yield from self.define(domain, data, begin, end, number == OPTIONS_TEMPLATE_SET)
+            elif number < MIN_DATA_SET_ID:
                 raise ProtocolError("a set's id is reserved")
-            elif (shape := self.shapes.get((domain, number))) is None:
+            elif (template := self.templates.get((domain, number))) is None:
                 count = None
                 yield "unknown", domain, number, end - begin
             else:
-                word = "options" if shape.scope else "record"
-                while end - begin >= shape.least:
-                    found, begin = fields_of(shape, data, begin, end)
+                word = "options" if template.scope else "record"
+                while end - begin >= template.min_record_size:
+                    found, begin = decode_record(template, data, begin, end)
                     if count is not None:
                         count += 1
                     yield word, domain, number, found
         yield "end", domain, sequence, count
 
     def define(self, domain, data, at, end, options):
-        while end - at >= SET_HEAD.size:
-            number, count = SET_HEAD.unpack_from(data, at)
-            at += SET_HEAD.size
+        while end - at >= SET_HEADER.size:
+            number, count = SET_HEADER.unpack_from(data, at)
+            at += SET_HEADER.size
             if not count:
                 yield from self.withdraw(domain, number)
                 continue
-            if number < FIRST_DATA or count > self.fields_most:
+            if number < MIN_DATA_SET_ID or count > self.max_fields:
                 raise ProtocolError("a template's id or its number of fields is out of range")
             scope = 0
             if options:
                 if end - at < 2:
-                    raise ProtocolError("a template ends inside its head")
+                    raise ProtocolError("a template ends inside its header")
                 scope, at = int.from_bytes(data[at : at + 2], "big"), at + 2
                 if not 0 < scope <= count:
                     raise ProtocolError("an options template has no scope, or more than there are fields")
@@ -402,7 +424,7 @@
             for _ in range(count):
                 if end - at < 4:
                     raise ProtocolError("a template ends inside a field")
-                element, length = SET_HEAD.unpack_from(data, at)
+                element, length = SET_HEADER.unpack_from(data, at)
                 at, enterprise = at + 4, 0
                 if element & 0x8000:
                     if end - at < 4:
@@ -414,25 +436,25 @@
                     )
                 name, type = self.names.get((enterprise, element), ((enterprise, element), "octetArray"))
                 fields.append((name, type, length))
-            yield self.learn(domain, number, Shape(fields, scope))
+            yield self.store_template(domain, number, Template(fields, scope))
 
-    def learn(self, domain, number, shape):
-        if not shape.least:
+    def store_template(self, domain, number, template):
+        if not template.min_record_size:
             raise ProtocolError("a template's records would have no length")
-        if (domain, number) not in self.shapes and len(self.shapes) >= self.templates_most:
+        if (domain, number) not in self.templates and len(self.templates) >= self.max_templates:
             raise ProtocolError("there are too many templates")
-        self.shapes[domain, number] = shape
-        return "template", domain, number, [name for name, _, _ in shape.fields]
+        self.templates[domain, number] = template
+        return "template", domain, number, [name for name, _, _ in template.fields]
 
     def withdraw(self, domain, number):
-        if number in (TEMPLATES, OPTIONS):
-            options = number == OPTIONS
-            self.shapes = {
-                place: shape
-                for place, shape in self.shapes.items()
-                if place[0] != domain or bool(shape.scope) != options
+        if number in (TEMPLATE_SET, OPTIONS_TEMPLATE_SET):
+            options = number == OPTIONS_TEMPLATE_SET
+            self.templates = {
+                key: template
+                for key, template in self.templates.items()
+                if key[0] != domain or bool(template.scope) != options
             }
             yield "withdrawn", domain, None
         else:
-            self.shapes.pop((domain, number), None)
+            self.templates.pop((domain, number), None)
             yield "withdrawn", domain, number
--- a/wickvane/flows/spool.py
+++ b/wickvane/flows/spool.py
@@ -1,12 +1,11 @@
-"""The backlog's segments as files: IPFIX files (RFC 5655), each a message of templates and then data
-messages.
-
-Each data message begins with a record of its own MD5. A file that was cut at any byte is read up to its last
-whole message, and one that was spoilt in the middle is read but for the spoilt messages, as long as the
-lengths still lead from one to the next. All that is written goes out before a collector is handed any of it,
-so that SIGKILL loses nothing that was taken into the spool. Where each outlet stands is a small file of its
-own; one that is missing or broken means that all is sent again, which collectors can tell by flow id and
-part.
+"""Stores the backlog's segments as IPFIX files (RFC 5655): a message of templates, then data messages.
+
+Each data message begins with a record of its own MD5. A file truncated at any byte is read up to its last
+complete message. A file corrupted in the middle is read except for the corrupt messages, as long as the
+length fields still lead from one message to the next. Messages are written to the file before any of them is
+sent to a collector, so SIGKILL loses nothing that was written to the spool. The cursor of each collector is a
+small file of its own. If it is missing or corrupt, everything is sent again; collectors detect that by flow
+id and part.
 """
 
 import fcntl
@@ -17,35 +16,35 @@
 
 from wickvane.errors import ProtocolError
 from wickvane.flows.elements import ELEMENTS
-from wickvane.flows.ipfix import HEAD, SET_HEAD, VERSION, Reader, checksum_holds, message
-from wickvane.flows.outlet import SPOILT, UNCOUNTED, Segment
+from wickvane.flows.ipfix import HEADER, SET_HEADER, VERSION, Reader, checksum_holds, message
+from wickvane.flows.send_window import CORRUPT, UNCOUNTED, Segment
 
-SEGMENT = re.compile(r"flows-(\d{20})-([0-9a-f]{8})\.ipfix\Z")
+SEGMENT_NAME = re.compile(r"flows-(\d{20})-([0-9a-f]{8})\.ipfix\Z")
 CURSOR = struct.Struct("!4sQI")
-CURSOR_MARK = b"WVC1"
-GROUP = ELEMENTS["resourceGroup"].number
-SEGMENTS_OPEN = 4  # descriptors held for reading
+CURSOR_MAGIC = b"WVC1"
+RESOURCE_GROUP_NUMBER = ELEMENTS["resourceGroup"].number
+MAX_OPEN_SEGMENTS = 4  # descriptors kept open for reading
 
 
-class Unusable(Exception):
-    """The directory cannot be a spool; the text says why."""
+class SpoolError(Exception):
+    """The directory cannot be used as a spool; the text says why."""
 
 
 class Generation:
-    """A segment's templates, as they stand in its file."""
+    """A segment's template sets, as they are written in its file, and its observation domain."""
 
     def __init__(self, sets, domain):
-        self.sets, self.domain, self.mark = sets, domain, crc32(sets)
+        self.sets, self.domain, self.checksum = sets, domain, crc32(sets)
 
     def __eq__(self, other):
-        return self.mark == other.mark and self.domain == other.domain
+        return self.checksum == other.checksum and self.domain == other.domain
 
     def __hash__(self):
-        return hash((self.mark, self.domain))
+        return hash((self.checksum, self.domain))
 
 
 class Spool:
-    """Files in a directory that is this process's alone."""
+    """Spool files in a directory that this process locks for itself. Raises SpoolError."""
 
     def __init__(self, directory):
         self.directory, self.file, self.reading = directory, -1, {}
@@ -53,12 +52,12 @@
             os.makedirs(directory, mode=0o750, exist_ok=True)
             self.lock = os.open(os.path.join(directory, "lock"), os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o640)
         except OSError as error:
-            raise Unusable(f"the spool {directory} cannot be used: {error.strerror}") from None
+            raise SpoolError(f"the spool {directory} cannot be used: {error.strerror}") from None
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self.lock)
-            raise Unusable(f"the spool {directory} is another process's") from None
+            raise SpoolError(f"the spool {directory} is in use by another process") from None
 
     def path(self, name):
         return os.path.join(self.directory, name)
@@ -66,66 +65,69 @@
     # Reading back
 
     def recover(self):
-        """(segments, next index, next sequence, faults): what lies here, in the order of its indices. A tail
-        that was cut off is cut from the file; a file of which nothing can be read is set aside under another
-        name. faults: (file, what, messages spoilt, octets cut)."""
-        segments, following, sequence, faults = [], 0, 0, []
+        """Reads back the spool; returns (segments by index, next index, next sequence number, faults).
+
+        An incomplete tail is truncated from its file; a file that cannot be read at all is renamed.
+        faults: (file, what, corrupt messages, octets truncated)."""
+        segments, next_index, sequence, faults = [], 0, 0, []
         for name in sorted(os.listdir(self.directory)):
-            found = SEGMENT.match(name)
-            if not found:
+            match = SEGMENT_NAME.match(name)
+            if not match:
                 continue
             try:
-                segment, after, spoilt, cut = self.recover_segment(name, int(found[1]), int(found[2], 16))
+                segment, next_sequence, corrupt, truncated = self.recover_segment(
+                    name, int(match[1]), int(match[2], 16)
+                )
             except (OSError, ProtocolError) as error:
                 faults.append((name, str(error), 0, 0))
-                self.set_aside(name)
+                self.rename_unreadable(name)
                 continue
-            if spoilt or cut:
-                faults.append((name, "cut" if cut else "spoilt", spoilt, cut))
-            if segment.first < following:
+            if corrupt or truncated:
+                faults.append((name, "cut" if truncated else "spoilt", corrupt, truncated))
+            if segment.first < next_index:
                 faults.append((name, "it overlaps the file before it", len(segment), 0))
-                self.set_aside(name)
+                self.rename_unreadable(name)
                 continue
-            following, sequence = segment.next, after
+            next_index, sequence = segment.next, next_sequence
             if len(segment):
                 segments.append(segment)
             else:
                 self.remove(name)
-        return segments, following, sequence, faults
+        return segments, next_index, sequence, faults
 
-    def recover_segment(self, name, first, mark):
+    def recover_segment(self, name, first, checksum):
         path = self.path(name)
         with open(path, "rb") as file:
             data = file.read()
-        if len(data) < HEAD.size:
-            raise ProtocolError("its head is cut")
-        version, length, _, sequence, domain = HEAD.unpack_from(data)
-        sets = data[HEAD.size : length]
-        if version != VERSION or not HEAD.size <= length <= len(data) or crc32(sets) != mark:
-            raise ProtocolError("its templates are cut or spoilt")
+        if len(data) < HEADER.size:
+            raise ProtocolError("its header is incomplete")
+        version, length, _, sequence, domain = HEADER.unpack_from(data)
+        sets = data[HEADER.size : length]
+        if version != VERSION or not HEADER.size <= length <= len(data) or crc32(sets) != checksum:
+            raise ProtocolError("its templates are incomplete or corrupt")
         segment = Segment(first, Generation(sets, domain), length, name)
-        at, spoilt, last = length, 0, b""
-        while len(data) - at >= HEAD.size:
-            version, size = SET_HEAD.unpack_from(data, at)
-            if version != VERSION or size < HEAD.size or at + size > len(data):
+        offset, corrupt, last = length, 0, b""
+        while len(data) - offset >= HEADER.size:
+            version, size = SET_HEADER.unpack_from(data, offset)
+            if version != VERSION or size < HEADER.size or offset + size > len(data):
                 break
-            whole = data[at : at + size]
-            good = checksum_holds(whole)
-            if good:
-                last = whole
+            message_data = data[offset : offset + size]
+            is_valid = checksum_holds(message_data)
+            if is_valid:
+                last = message_data
             else:
-                spoilt += 1
-            # One that is spoilt keeps its place, so that the indices behind it stay.
-            segment.add(size, UNCOUNTED if good else SPOILT)
-            at += size
+                corrupt += 1
+            # A corrupt message keeps its index, so that the indices after it do not change.
+            segment.add(size, UNCOUNTED if is_valid else CORRUPT)
+            offset += size
         if last:
-            sequence = HEAD.unpack_from(last)[3] + records_in(data[:length], last)[0]
-        cut = len(data) - at
-        if cut:
-            os.truncate(path, at)
-        return segment, sequence & 0xFFFFFFFF, spoilt, cut
+            sequence = HEADER.unpack_from(last)[3] + records_in(data[:length], last)[0]
+        truncated = len(data) - offset
+        if truncated:
+            os.truncate(path, offset)
+        return segment, sequence & 0xFFFFFFFF, corrupt, truncated
 
-    def set_aside(self, name):
+    def rename_unreadable(self, name):
         try:
             os.replace(self.path(name), self.path(name + ".unreadable"))
         except OSError:
@@ -134,22 +136,22 @@
     # Writing
 
     def begin(self, first, generation, sequence, seconds):
-        """A new file, with its templates written."""
+        """Starts a new segment file with its templates and returns the segment. Raises OSError."""
         self.end()
-        name = f"flows-{first:020}-{generation.mark:08x}.ipfix"
-        head = message(generation.domain, sequence, seconds, generation.sets)
+        name = f"flows-{first:020}-{generation.checksum:08x}.ipfix"
+        header = message(generation.domain, sequence, seconds, generation.sets)
         file = os.open(self.path(name), os.O_CREAT | os.O_TRUNC | os.O_WRONLY | os.O_CLOEXEC, 0o640)
         try:
-            write(file, head)
+            write(file, header)
         except OSError:
             os.close(file)
             self.remove(name)
             raise
         self.file = file
-        return Segment(first, generation, len(head), name)
+        return Segment(first, generation, len(header), name)
 
     def write(self, segment, data):
-        """The whole message or none of it: what was half written is cut off again."""
+        """Writes the whole message, or truncates what was partly written and raises OSError."""
         try:
             write(self.file, data)
         except OSError:
@@ -161,7 +163,7 @@
             raise
 
     def end(self):
-        """Ends the file that is being written; it is made to last against a machine's end too."""
+        """Closes the file being written, after fsync, so that it survives a crash of the machine."""
         if self.file >= 0:
             file, self.file = self.file, -1
             try:
@@ -170,18 +172,20 @@
                 pass
             os.close(file)
 
-    # For outlets
+    # Reading by connections
 
     def read(self, segment, index):
-        file = self.reading.get(segment.place)
+        file = self.reading.get(segment.file_name)
         if file is None:
-            while len(self.reading) >= SEGMENTS_OPEN:
+            while len(self.reading) >= MAX_OPEN_SEGMENTS:
                 os.close(self.reading.pop(next(iter(self.reading))))
-            file = self.reading[segment.place] = os.open(self.path(segment.place), os.O_RDONLY | os.O_CLOEXEC)
+            file = self.reading[segment.file_name] = os.open(
+                self.path(segment.file_name), os.O_RDONLY | os.O_CLOEXEC
+            )
         offset, size = segment.span(index)
         data = os.pread(file, size, offset)
         if len(data) != size:
-            raise OSError(5, "a spool file is shorter than it was")
+            raise OSError(5, "a spool file was truncated")
         return data
 
     def remove(self, name):
@@ -192,21 +196,21 @@
         except OSError:
             pass
 
-    def cursor(self, outlet):
-        """Where an outlet stood, or None."""
+    def cursor(self, collector):
+        """Returns the saved index of a collector, or None if there is no valid cursor file."""
         try:
-            with open(self.path(f"{outlet}.cursor"), "rb") as file:
+            with open(self.path(f"{collector}.cursor"), "rb") as file:
                 data = file.read(CURSOR.size + 1)
-            mark, index, check = CURSOR.unpack(data)
-            return index if mark == CURSOR_MARK and check == crc32(data[:-4]) else None
+            magic, index, checksum = CURSOR.unpack(data)
+            return index if magic == CURSOR_MAGIC and checksum == crc32(data[:-4]) else None
         except (OSError, struct.error):
             return None
 
-    def keep_cursor(self, outlet, index):
-        head = CURSOR_MARK + struct.pack("!Q", index)
-        path = self.path(f"{outlet}.cursor")
+    def save_cursor(self, collector, index):
+        header = CURSOR_MAGIC + struct.pack("!Q", index)
+        path = self.path(f"{collector}.cursor")
         with open(path + ".new", "wb") as file:
-            file.write(head + struct.pack("!I", crc32(head)))
+            file.write(header + struct.pack("!I", crc32(header)))
         os.replace(path + ".new", path)
 
     def close(self):
@@ -217,14 +221,19 @@
         os.close(self.lock)
 
 
-def records_in(head, data):
-    """(data records, {resource group: flow records}) of a message, read with the templates of `head`."""
+def records_in(header, data):
+    """Returns (data records, {resource group: flow records}) of a message.
+
+    header: the message with its templates."""
     reader, groups, count = Reader(0), {}, 0
     group = None
-    for event in reader.message(head):
+    for event in reader.message(header):
         if event[0] == "template" and group is None:
-            # The name's own place: whatever the enterprise number, it is our element 3.
-            group = next((name for name in event[3] if isinstance(name, tuple) and name[1] == GROUP), None)
+            # The resource group is our element 3 under any enterprise number.
+            group = next(
+                (name for name in event[3] if isinstance(name, tuple) and name[1] == RESOURCE_GROUP_NUMBER),
+                None,
+            )
     for event in reader.message(data):
         if event[0] == "record":
             name = event[3].get(group, b"").decode("utf-8", "replace")
--- a/wickvane/parts.py
+++ b/wickvane/parts.py
@@ -12,7 +12,7 @@
 MAX_DOCUMENT_SIZE = 1 << 20  # bytes; a longer document is a mistake
 # By node: the module whose read() reads it, in the order in which a dispatcher starts the extensions.
 EXTENSION_MODULES = {
-    "flows": "wickvane.flows.part",
+    "flows": "wickvane.flows.extension",
     "tds": "wickvane.net.tds.extension",
     "storms": "wickvane.net.storms",
     "control": "wickvane.xds.extension",
