--- a/tests/standins/collector.py
+++ b/tests/standins/collector.py
@@ -1,4 +1,4 @@
-"""An IPFIX and NetFlow v9 collector on loopback: TCP, TLS and UDP, with the troubles that collectors have."""
+"""An IPFIX and NetFlow v9 collector on loopback by TCP, TLS or UDP, with faults that collectors have."""
 
 import socket
 import ssl
@@ -15,7 +15,7 @@
 
 
 class Collector:
-    """reading: cleared, it stops reading; raw: all octets as they came, by connection or datagram."""
+    """A collecting process. reading: it stops reading if cleared; raw: all octets received, in chunks."""
 
     def __init__(self, udp=False, nine=False, port=0, context=None, collected=None, buffer=None):
         self.udp, self.nine, self.context = udp, nine, context
@@ -23,7 +23,7 @@
         self.lock, self.reading, self.closed = Lock(), Event(), False
         self.reading.set()
         self.raw, self.connections, self.events, self.connected = [], [], [], 0
-        self.shuffle = None  # a test's way with datagrams: a list in, a list out
+        self.shuffle = None  # a test's function: takes a datagram, returns the list to handle instead
         if udp:
             self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4 << 20)
@@ -94,7 +94,7 @@
             conn.close()
 
     def reset(self):
-        """All connections at once, whatever of them was not read."""
+        """Resets all connections at once, with data still unread."""
         for conn in self.connections:
             try:
                 conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -114,7 +114,7 @@
         self.reset()
 
     def until(self, holds, seconds=10):
-        """Waits for what must come; fails with what there is."""
+        """Waits until `holds` is true of the received flows; fails with what was received."""
         by = time.monotonic() + seconds
         while time.monotonic() < by:
             with self.lock:
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -1,5 +1,6 @@
-"""The accounts of flows beside a plain model: nothing moved is lost or told twice, whatever is cut or
-folded."""
+"""Compares the flow accounts with a reference model: no traffic is lost or counted twice.
+
+Flows are split into parts and folded into aggregates in the course of the tests."""
 
 from random import Random
 
@@ -18,30 +19,30 @@
     return accounts.opened(side, (LOCAL, 1000 + n), (LOCAL, 5432), engine)
 
 
-def drained(accounts, now, **how):
+def collect_all(accounts, now, **options):
     found = []
     while True:
-        records = accounts.collect(now, 7, **how)
+        records = accounts.collect(now, 7, **options)
         found.extend(records)
         if len(records) < 7:
             return found
 
 
-def test_a_flow_that_spans_a_drain_keeps_its_id_and_tells_the_state_at_both_ends():
+def test_a_flow_that_spans_a_drain_keeps_its_id_and_records_the_state_at_both_ends():
     accounts = a.Accounts(1, 100, 1000, 100_000)
     accounts.engine_state("e0", EngineState.READY)
     connection = opened(accounts, engine="e0")
     accounts.count(connection, (0, 0), 100, a.FORWARD, 50, 1, a.FIRST)
-    first = drained(accounts, 1100)
+    first = collect_all(accounts, 1100)
     accounts.engine_state("e0", EngineState.DRAINING)
     accounts.count(connection, (0, 0), 1200, a.REVERSE, 70, 1)
-    second = drained(accounts, 2300)
+    second = collect_all(accounts, 2300)
     accounts.engine_state("e0", EngineState.GONE)
     accounts.closed(connection, 2400)
-    last = drained(accounts, 2500)
+    last = collect_all(accounts, 2500)
     (one,), (two,), (three,) = first, second, last
     assert one.id == two.id == three.id and (one.part, two.part, three.part) == (0, 1, 2)
-    assert (one.state, one.state_last, two.state_last, three.state_last) == (
+    assert (one.state, one.state_at_end, two.state_at_end, three.state_at_end) == (
         a.READY,
         a.READY,
         a.DRAINING,
@@ -50,12 +51,12 @@
     assert two.state == three.state == a.READY
     assert [r.counts[:2] for r in (one, two, three)] == [[50, 0], [0, 70], [0, 0]]
     assert [r.reason for r in (one, two, three)] == [a.ACTIVE, a.ACTIVE, a.ENDED]
-    assert one.ended <= two.began <= two.ended <= three.began <= three.ended
+    assert one.ended_at <= two.started_at <= two.ended_at <= three.started_at <= three.ended_at
     assert [r.flows for r in (one, two, three)] == [1, 0, 0]
-    assert not accounts.engines  # what has gone is forgotten with its last connection
+    assert not accounts.engines  # an engine that is gone is removed with its last connection
 
 
-def test_an_address_taken_over_by_a_new_engine_is_no_matter_of_the_old_ones_flow():
+def test_an_address_taken_over_by_a_new_engine_does_not_affect_the_old_engines_flow():
     accounts = a.Accounts(1, 100, 100_000, 100_000)
     accounts.engine_state("old", EngineState.READY)
     old = opened(accounts, engine="old")
@@ -67,13 +68,13 @@
     accounts.count(old, (0, 0), 3, a.REVERSE, 5, 1)
     for connection in (old, new):
         accounts.closed(connection, 4)
-    told = {record.connection.engine: record for record in drained(accounts, 5)}
-    assert told["old"].counts[:2] == [10, 5] and told["new"].counts[:2] == [20, 0]
-    assert (told["old"].state_last, told["new"].state_last) == (a.GONE, a.READY)
-    assert told["old"].id != told["new"].id
+    records_by_engine = {record.connection.engine: record for record in collect_all(accounts, 5)}
+    assert records_by_engine["old"].counts[:2] == [10, 5] and records_by_engine["new"].counts[:2] == [20, 0]
+    assert (records_by_engine["old"].state_at_end, records_by_engine["new"].state_at_end) == (a.GONE, a.READY)
+    assert records_by_engine["old"].id != records_by_engine["new"].id
 
 
-def test_three_hundred_reconnections_from_reused_ports_with_a_table_below_that():
+def test_three_hundred_reconnections_from_reused_ports_with_a_smaller_table():
     accounts = a.Accounts(1, 64, 100_000, 100_000)
     records = []
     for n in range(300):
@@ -83,11 +84,11 @@
         accounts.count(connection, (0, 0), n * 33, a.REVERSE, 500, 3, a.FINISHED)
         accounts.closed(connection, n * 33 + 1)
         if n % 100 == 99:
-            assert accounts.held <= 64
-            records += drained(accounts, n * 33 + 2)
-    records += drained(accounts, 50_000, everything=True)
-    assert sum(record.flows for record in records) == 600 == accounts.begun
-    assert accounts.folded == 600 - 3 * 64
+            assert accounts.held_flows <= 64
+            records += collect_all(accounts, n * 33 + 2)
+    records += collect_all(accounts, 50_000, is_final=True)
+    assert sum(record.flows for record in records) == 600 == accounts.flows_begun
+    assert accounts.flows_folded == 600 - 3 * 64
     assert sum(record.counts[0] for record in records) == sum(130 + n for n in range(300))
     assert sum(record.counts[1] for record in records) == 150_000
     assert sum(record.counts[a.FINISHED] for record in records) == 300
@@ -96,70 +97,72 @@
     assert len({(record.id, record.part) for record in records}) == len(records)
 
 
-def test_a_clock_that_steps_back_neither_ends_a_flow_before_it_began_nor_stops_the_time_outs():
+def test_a_clock_that_steps_back_neither_ends_a_flow_before_its_start_nor_stops_the_time_outs():
     accounts = a.Accounts(1, 10, 1000, 2000)
     connection = opened(accounts)
     accounts.count(connection, (0, 0), 50_000, a.FORWARD, 1, 1)
     accounts.count(connection, (0, 0), 10_000, a.FORWARD, 1, 1)
     late = opened(accounts, 1)
     accounts.count(late, (0, 0), 20_000, a.FORWARD, 1, 1)
-    found = drained(accounts, 53_000)
-    assert sum(r.counts[0] for r in found) == 3 and all(r.began <= r.ended for r in found)
+    found = collect_all(accounts, 53_000)
+    assert sum(r.counts[0] for r in found) == 3 and all(r.started_at <= r.ended_at for r in found)
 
 
-def test_an_idle_flow_is_told_once_and_what_follows_is_a_new_one():
+def test_an_idle_flow_is_recorded_once_and_later_traffic_is_a_new_flow():
     accounts = a.Accounts(1, 10, 100_000, 1000)
     connection = opened(accounts)
     accounts.count(connection, (0, 0), 10, a.FORWARD, 5, 1)
-    (first,) = drained(accounts, 1010)
-    assert first.reason == a.IDLE and not drained(accounts, 5000)
+    (first,) = collect_all(accounts, 1010)
+    assert first.reason == a.IDLE and not collect_all(accounts, 5000)
     accounts.count(connection, (0, 0), 6000, a.FORWARD, 6, 1)
     accounts.closed(connection, 6001)
-    (second,) = drained(accounts, 6001)
+    (second,) = collect_all(accounts, 6001)
     assert second.id != first.id and second.counts[0] == 6
 
 
-def test_engines_past_the_most_aggregates_are_folded_together():
+def test_engines_above_the_maximum_of_aggregates_are_folded_together():
     accounts = a.Accounts(1, 0, 100_000, 100_000)
-    for n in range(a.AGGREGATES_MOST + 50):
+    for n in range(a.MAX_AGGREGATES + 50):
         connection = opened(accounts, engine=f"e{n}")
         accounts.count(connection, (0, 0), n, a.FORWARD, 1, 1)
         accounts.closed(connection, n)
-    assert len(accounts.aggregates) <= a.AGGREGATES_MOST + 1 and not accounts.engines
-    records = drained(accounts, 99, everything=True)
-    assert sum(r.counts[0] for r in records) == a.AGGREGATES_MOST + 50 == sum(r.flows for r in records)
+    assert len(accounts.aggregates) <= a.MAX_AGGREGATES + 1 and not accounts.engines
+    records = collect_all(accounts, 99, is_final=True)
+    assert sum(r.counts[0] for r in records) == a.MAX_AGGREGATES + 50 == sum(r.flows for r in records)
 
 
-class Plain:
-    """The same rules without a table, a heap or an aggregate: a list of what was moved."""
+class ReferenceModel:
+    """Applies the same rules without a table, a heap or an aggregate: a list of all traffic."""
 
     def __init__(self):
         self.moved, self.begun, self.open = [], 0, {}
 
-    def count(self, connection, key, way, octets, messages, what):
-        self.moved.append((connection.side, key, connection.engine, way, octets, messages, what))
+    def count(self, connection, key, direction, octets, messages, what):
+        self.moved.append((connection.side, key, connection.engine, direction, octets, messages, what))
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 1 << 32), st.integers(0, 12), st.integers(50, 400), st.integers(20, 400))
-def test_whatever_comes_all_that_was_moved_is_told_once_by_group_and_side(seed, most, active, idle):
-    chance, accounts, plain = Random(seed), a.Accounts(7, most, active, idle), Plain()
-    now, open_ones, records = 1000, [], []
+def test_all_traffic_is_recorded_once_by_group_and_side(seed, max_flows, active, idle):
+    chance, accounts, model = Random(seed), a.Accounts(7, max_flows, active, idle), ReferenceModel()
+    now, connections, records = 1000, [], []
     engines = ["", "e0", "e1"]
     for n in range(200):
         now += chance.choice((0, 1, 5, 40, 300, -20))
         step = chance.random()
-        if step < 0.2 or not open_ones:
-            open_ones.append(opened(accounts, n, chance.choice(engines)))
+        if step < 0.2 or not connections:
+            connections.append(opened(accounts, n, chance.choice(engines)))
         elif step < 0.3:
-            accounts.closed(open_ones.pop(chance.randrange(len(open_ones))), now, chance.random() < 0.5)
+            accounts.closed(connections.pop(chance.randrange(len(connections))), now, chance.random() < 0.5)
         elif step < 0.4:
             accounts.engine_state(chance.choice(engines[1:]), chance.randrange(3))
         elif step < 0.6:
             records += accounts.collect(now, chance.randrange(1, 9))
-            assert accounts.held <= max(most, 0) and accounts.held == len(accounts.live) + len(accounts.ended)
+            assert accounts.held_flows <= max(max_flows, 0) and accounts.held_flows == len(
+                accounts.open_flows
+            ) + len(accounts.ended)
         else:
-            connection = chance.choice(open_ones)
+            connection = chance.choice(connections)
             moved = (
                 chance.choice((a.NOBODY, (0, 0), (0, 1), (1, 0))),
                 chance.randrange(2),
@@ -167,36 +170,40 @@
                 1,
                 chance.choice((0, a.FINISHED, a.LEFT, a.FIRST)),
             )
-            plain.count(connection, *moved)
+            model.count(connection, *moved)
             accounts.count(connection, moved[0], now, *moved[1:])
-    records += drained(accounts, now, everything=True)
+    records += collect_all(accounts, now, is_final=True)
     for side in (a.CLIENT, a.ENGINE):
         for group in (-1, 0, 1):
-            told = [r for r in records if r.connection.side == side and r.key[0] == group]
-            moved = [m for m in plain.moved if m[0] == side and m[1][0] == group]
-            for way in (a.FORWARD, a.REVERSE):
-                assert sum(r.counts[way] for r in told) == sum(m[4] for m in moved if m[3] == way)
-                assert sum(r.counts[2 + way] for r in told) == sum(m[5] for m in moved if m[3] == way)
+            matching = [r for r in records if r.connection.side == side and r.key[0] == group]
+            moved = [m for m in model.moved if m[0] == side and m[1][0] == group]
+            for direction in (a.FORWARD, a.REVERSE):
+                assert sum(r.counts[direction] for r in matching) == sum(
+                    m[4] for m in moved if m[3] == direction
+                )
+                assert sum(r.counts[2 + direction] for r in matching) == sum(
+                    m[5] for m in moved if m[3] == direction
+                )
             for what in (a.FINISHED, a.LEFT, a.FIRST):
-                assert sum(r.counts[what] for r in told) == sum(1 for m in moved if m[6] == what)
-    assert sum(r.flows for r in records) == accounts.begun
+                assert sum(r.counts[what] for r in matching) == sum(1 for m in moved if m[6] == what)
+    assert sum(r.flows for r in records) == accounts.flows_begun
     assert len({(r.id, r.part) for r in records}) == len(records)
     spans = {}
     for record in sorted(records, key=lambda r: (r.id, r.part)):
-        assert record.began <= record.ended
-        assert record.began >= spans.get(record.id, 0), "parts of one flow overlap"
-        spans[record.id] = record.ended
-    if not most:
+        assert record.started_at <= record.ended_at
+        assert record.started_at >= spans.get(record.id, 0), "parts of one flow overlap"
+        spans[record.id] = record.ended_at
+    if not max_flows:
         assert all(r.reason == a.RESOURCES for r in records)
 
 
-@pytest.mark.parametrize("most", [1, 50])
-def test_the_line_of_time_outs_stays_within_the_table(most):
-    accounts = a.Accounts(1, most, 1_000_000, 1_000_000)
+@pytest.mark.parametrize("max_flows", [1, 50])
+def test_the_heap_of_time_outs_is_bounded_by_the_table(max_flows):
+    accounts = a.Accounts(1, max_flows, 1_000_000, 1_000_000)
     for n in range(5000):
         connection = opened(accounts, n)
         accounts.count(connection, (0, 0), n, a.FORWARD, 1, 1)
         accounts.closed(connection, n)
         if n % 10 == 9:
             accounts.collect(n)
-    assert len(accounts.due) <= 2 * most + 1026
+    assert len(accounts.timeouts) <= 2 * max_flows + 1026
--- a/tests/test_flow_codecs.py
+++ b/tests/test_flow_codecs.py
@@ -1,5 +1,4 @@
-"""IPFIX and NetFlow v9: what is written is read back, also by a decoder that is not ours; bytes never
-harm."""
+"""IPFIX and NetFlow v9: messages are read back, also by an independent decoder; no bytes crash a reader."""
 
 import struct
 from random import Random
@@ -40,8 +39,8 @@
     generation = ipfix.Generation(0, 24, PLAIN_KINDS) if plain else ipfix.Generation(enterprise)
     encode = ipfix.plain_record if plain else ipfix.flow_record
     writer, names = ipfix.Writer(9, generation, most, checksums, sequence), encoded_names(generation.name)
-    for one in records:
-        writer.add(*encode(one, names), 1_700_000_000, one.key[0])
+    for entry in records:
+        writer.add(*encode(entry, names), 1_700_000_000, entry.key[0])
     writer.finish(1_700_000_000)
     return generation, writer.take()
 
@@ -49,8 +48,8 @@
 def packets(records, most=1400, width=32):
     layout = netflow9.Layout(width)
     writer, names = netflow9.Writer(layout, most), encoded_names(layout.name)
-    for one in records:
-        writer.add(*layout.flow(one, names), 0, one.key[0])
+    for entry in records:
+        writer.add(*layout.flow(entry, names), 0, entry.key[0])
     writer.finish(0)
     found = [netflow9.packet(len(netflow9.TEMPLATE_IDS), 5, 1_700_000_000, 0, 9, layout.sets)]
     for n, (data, count, _) in enumerate(writer.take(), 1):
@@ -71,7 +70,7 @@
 
 
 @pytest.mark.parametrize("checksums", [False, True])
-def test_what_is_written_is_read_back_field_by_field(checksums):
+def test_records_are_read_back_field_by_field(checksums):
     records = [record(n, octets=(n * n, n), key=(n % 2, 0), v6=n % 3 == 0) for n in range(300)]
     generation, messages = written(records, checksums=checksums)
     assert all(len(data) <= 1400 for data, _, _ in messages) and len(messages) > 10
@@ -79,21 +78,27 @@
     found = collected(ipfix.Reader(PEN).feed, [stream])
     assert found.records == 300 and found.lost == 0 and found.arrivals["repeated"] == 0
     assert sum(sum(groups.values()) for _, _, groups in messages) == 300
-    for one, read in zip(sorted(records, key=lambda r: r.id), sorted(found.kept, key=lambda r: r["flowId"])):
-        assert read["octetDeltaCount"] == one.counts[0] and read["reverseOctetDeltaCount"] == one.counts[1]
-        assert read["resourceGroup"] == NAMES[0][one.key[0]] and read["engine"] == "e0"
-        assert read["flowStartMilliseconds"] == one.began // 10 and read["engineStateEnd"] == a.DRAINING
-        assert read["submissionsFirst"] == one.counts[a.FIRST]
-        kind = "IPv6" if len(one.connection.source) == 16 else "IPv4"
+    for entry, read in zip(
+        sorted(records, key=lambda r: r.id), sorted(found.kept, key=lambda r: r["flowId"])
+    ):
+        assert (
+            read["octetDeltaCount"] == entry.counts[0] and read["reverseOctetDeltaCount"] == entry.counts[1]
+        )
+        assert read["resourceGroup"] == NAMES[0][entry.key[0]] and read["engine"] == "e0"
+        assert (
+            read["flowStartMilliseconds"] == entry.started_at // 10 and read["engineStateEnd"] == a.DRAINING
+        )
+        assert read["submissionsFirst"] == entry.counts[a.FIRST]
+        kind = "IPv6" if len(entry.connection.source) == 16 else "IPv4"
         assert read[f"source{kind}Address"] == ("::1" if kind == "IPv6" else "127.0.0.1")
     if checksums:
         assert all(ipfix.checksum_holds(data) for data, _, _ in messages)
-        spoilt = bytearray(messages[0][0])
-        spoilt[-1] ^= 1
-        assert not ipfix.checksum_holds(bytes(spoilt))
+        corrupt = bytearray(messages[0][0])
+        corrupt[-1] ^= 1
+        assert not ipfix.checksum_holds(bytes(corrupt))
 
 
-def test_a_stream_cut_at_every_byte_is_read_the_same():
+def test_a_stream_split_at_every_byte_is_read_the_same():
     generation, messages = written([record(n) for n in range(3)])
     stream = template_message(generation) + b"".join(data for data, _, _ in messages)
     whole = list(ipfix.Reader(PEN).feed(stream))
@@ -106,8 +111,8 @@
     ] == whole and not reader.buffered_octets()
 
 
-def test_a_decoder_that_is_not_ours_reads_templates_and_sums():
-    # It knows neither enterprise elements nor strings of variable length, as other simple collectors.
+def test_an_independent_decoder_reads_templates_and_sums():
+    # Like other simple collectors, it knows neither enterprise elements nor strings of variable length.
     records = [record(n, octets=(n, 2 * n)) for n in range(100)]
     generation, messages = written(records, plain=True)
     templates, sums = {"netflow": {}, "ipfix": {}}, [0, 0]
@@ -131,7 +136,7 @@
     assert sums == [sum(range(100)), 2 * sum(range(100))]
 
 
-def test_packets_of_version_9_are_read_back_and_long_names_stay_apart():
+def test_packets_of_version_9_are_read_back_and_long_names_stay_distinct():
     long = ["engine-" + "x" * 60 + tail for tail in "ab"]
     records = [record(n, engine=long[n % 2], octets=(n, 1), v6=n % 2 == 1) for n in range(60)]
     data = packets(records, width=24)
@@ -145,7 +150,7 @@
     assert sum(r["reverseOctetDeltaCount"] for r in found.kept) == 60
 
 
-def test_template_ids_follow_from_content_so_that_two_enterprise_numbers_stand_side_by_side():
+def test_template_ids_derive_from_content_so_that_two_enterprise_numbers_can_coexist():
     old, first = written([record(1)], enterprise=1)
     new, second = written([record(2)], enterprise=2, sequence=1)
     assert old.ids["flow4"] != new.ids["flow4"] and ipfix.Generation(1).sets == old.sets
@@ -155,24 +160,24 @@
     assert found.records == 2 and found.unknown == 0
 
 
-def test_a_change_of_templates_withdraws_what_is_not_wanted_and_tells_only_what_is_new():
+def test_a_change_of_templates_withdraws_unwanted_ones_and_announces_only_new_ones():
     old, new = ipfix.Generation(1), ipfix.Generation(2)
-    told, reader = {}, ipfix.Reader(2)
-    parts = [
-        ipfix.template_changes(told, ipfix.parse_templates(generation.sets), drop)
+    announced, reader = {}, ipfix.Reader(2)
+    changes = [
+        ipfix.template_changes(announced, ipfix.parse_templates(generation.sets), drop)
         for generation, drop in ((old, False), (new, False), (new, True))
     ]
-    assert ipfix.template_changes(told, ipfix.parse_templates(new.sets), True) == b""
+    assert ipfix.template_changes(announced, ipfix.parse_templates(new.sets), True) == b""
     events = [
-        [e for e in reader.message(ipfix.message(9, 0, 0, part)) if e[0] in ("template", "withdrawn")]
-        for part in parts
+        [e for e in reader.message(ipfix.message(9, 0, 0, change)) if e[0] in ("template", "withdrawn")]
+        for change in changes
     ]
-    assert [len(FULL_KINDS), 4, 4] == list(map(len, events))  # the checksum's template is the same in both
+    assert [len(FULL_KINDS), 4, 4] == list(map(len, events))  # both have the same checksum template
     assert all(e[0] == "withdrawn" for e in events[2])
     assert {number for _, number in reader.templates} == set(new.ids.values())
 
 
-def test_sets_of_an_unknown_template_are_skipped_and_counted_as_what_cannot_be_counted():
+def test_sets_of_an_unknown_template_are_skipped_and_leave_the_sequence_uncounted():
     _, messages = written([record(1)])
     found = collected(ipfix.Reader(PEN).feed, [messages[0][0]])
     assert found.unknown == 1 and not found.records and not found.sequences
@@ -200,12 +205,12 @@
         (b"\0", "shorter"),
     ],
 )
-def test_spoilt_sets_are_refused_with_a_reason(sets, why):
+def test_malformed_sets_are_rejected_with_a_reason(sets, why):
     with pytest.raises(ProtocolError, match=why):
         list(ipfix.Reader(PEN).message(ipfix.message(1, 0, 0, sets)))
 
 
-def test_more_templates_than_are_held_are_refused():
+def test_templates_above_the_maximum_are_rejected():
     reader = ipfix.Reader(PEN, templates=5)
     with pytest.raises(ProtocolError, match="too many"):
         for n in range(9):
@@ -234,7 +239,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.integers(0, 1 << 32), st.integers(0, (1 << 32) - 1))
-def test_the_sequence_tells_new_late_and_repeated_as_a_plain_set_does(seed, start):
+def test_the_sequence_classifies_new_late_and_repeated_as_a_plain_set_does(seed, start):
     chance = Random(seed)
     sent, at = [], 0
     for _ in range(60):
@@ -247,12 +252,12 @@
             order.insert(max(1, len(order) - chance.randrange(3)), message)
         if chance.random() < 0.1:
             order.append(chance.choice(order))
-    sequence, plain, told = Sequence(), set(), {"new": 0, "late": 0, "repeated": 0}
+    sequence, plain, counted = Sequence(), set(), {"new": 0, "late": 0, "repeated": 0}
     for begin, count in order:
         numbers = set(range(begin, begin + count))
         expected = "repeated" if numbers <= plain else "late" if plain and begin < max(plain) else "new"
-        got = sequence.came((start + begin) % (1 << 32), count)
-        told[got] += 1
+        got = sequence.add((start + begin) % (1 << 32), count)
+        counted[got] += 1
         assert got == expected
         plain |= numbers
         assert sequence.lost == max(plain) + 1 - min(plain) - len(plain)
--- a/tests/test_flow_export.py
+++ b/tests/test_flow_export.py
@@ -1,4 +1,4 @@
-"""The export on loopback, against a collector with troubles: nothing lost silently, nothing counted twice."""
+"""The export on loopback to a collector with faults: no record is lost unnoticed or counted twice."""
 
 import io
 import json
@@ -53,7 +53,7 @@
 
 
 class RecordedLog:
-    """A log that keeps its lines."""
+    """A log that keeps its lines in memory."""
 
     def __init__(self):
         self.lines = []
@@ -66,7 +66,7 @@
 
 
 class Exporting:
-    """An exporter with accounts that the test moves octets through, and the totals of that."""
+    """An exporter with accounts, and the totals of the traffic that the test added to them."""
 
     def __init__(self, settings):
         self.log, self.counters = RecordedLog(), Counters()
@@ -82,7 +82,7 @@
             self.accounts.closed(connection, now)
         self.flows, self.octets = self.flows + flows, self.octets + flows * octets
 
-    def whole(self, collected):
+    def has_all(self, collected):
         return (
             collected.total("engine", "octetDeltaCount"),
             collected.total("engine", "deltaFlowCount"),
@@ -97,14 +97,14 @@
         )
 
 
-def told(collector, exporting, seconds=30):
-    collected = collector.until(lambda c: exporting.whole(c) and not c.lost, seconds)
+def received_all(collector, exporting, seconds=30):
+    collected = collector.until(lambda c: exporting.has_all(c) and not c.lost, seconds)
     assert collected.malformed == 0 and collected.unknown == 0
     return collected
 
 
 @pytest.mark.parametrize("spooled", [False, True])
-def test_a_collector_that_was_never_there_and_then_comes_gets_all(tmp_path, spooled):
+def test_a_collector_that_starts_late_receives_all_records(tmp_path, spooled):
     port = free_port()
     more = f'spool "{tmp_path}/s"' if spooled else ""
     exporting = Exporting(document(("a", f'address "127.0.0.1:{port}"'), more=more))
@@ -112,18 +112,18 @@
     until(lambda: exporting.counters.shown().get("flow-connections-ended-connect-refused", 0) >= 2)
     exporting.move(50)
     collector = Collector(port=port)
-    collected = told(collector, exporting)
+    collected = received_all(collector, exporting)
     assert collected.lost == 0 and exporting.connection().window.not_sent == [0, 0, 0]
     exporting.exporter.stop()
 
 
-def test_a_collector_that_stops_reading_costs_the_accounts_nothing_and_misses_nothing():
+def test_a_collector_that_stops_reading_does_not_delay_the_accounts_and_misses_nothing():
     collector = Collector(buffer=4096)
     exporting = Exporting(
         document(("a", f'address "{collector.address}"; stall "200ms"'), more='queue "4MiB"\nagain "4MiB"')
     )
     exporting.move(1)
-    told(collector, exporting)
+    received_all(collector, exporting)
     collector.reading.clear()
     longest = 0.0
     for _ in range(40):
@@ -134,12 +134,12 @@
     until(lambda: exporting.counters.shown().get("flow-connections-ended-stalled"))
     assert longest < 1.0
     collector.reading.set()
-    collected = told(collector, exporting, 20)
+    collected = received_all(collector, exporting, 20)
     assert collected.lost == 0
     exporting.exporter.stop()
 
 
-def test_a_reset_midway_and_a_collector_back_without_templates_lose_nothing_and_count_nothing_twice():
+def test_resets_and_a_restarted_collector_without_templates_lose_nothing_and_count_nothing_twice():
     chance, port = random.Random(3), free_port()
     collector = Collector(port=port)
     exporting = Exporting(document(("a", f'address "127.0.0.1:{port}"'), more='again "1MiB"'))
@@ -149,10 +149,11 @@
         if n % 2:
             collector.reset()
         elif n == 4:
-            before = collector.collected  # a new process: it knows no template, and keeps its sums elsewhere
+            # A new collecting process knows no templates; the sums are carried over.
+            before = collector.collected
             collector.end()
             collector = Collector(port=port, collected=before)
-    collected = told(collector, exporting)
+    collected = received_all(collector, exporting)
     assert collected.repeated > 0 and collected.lost == 0 and collected.arrivals["repeated"] > 0
     until(lambda: not exporting.connection().window.pending_ranges)
     exporting.exporter.stop()
@@ -162,7 +163,7 @@
 
 
 @pytest.mark.parametrize("policy", ["oldest", "newest"])
-def test_what_a_full_backlog_lets_go_is_counted_by_group_in_the_next_statistics(tmp_path, policy):
+def test_records_dropped_from_a_full_backlog_are_counted_by_group_in_the_next_statistics(tmp_path, policy):
     port = free_port()
     exporting = Exporting(
         document(
@@ -194,18 +195,18 @@
 
     collected = collector.until(adds_up)
     assert {place[2] for place in collected.not_sent} == {"lookup", "load"}
-    # Records let go of leave a gap in the sequence; the collector sees as much itself.
+    # Records that were dropped leave a gap in the sequence, which the collector detects.
     assert policy == "oldest" or collected.lost >= exporting.connection().window.not_sent[0]
-    # What was sent and is only kept to be sent again makes room: nothing more is let go of.
-    let_go = exporting.connection().window.not_sent[0]
+    # Messages already sent and kept only to be sent again make room, so nothing more is dropped.
+    dropped = exporting.connection().window.not_sent[0]
     for _ in range(10):
         exporting.move(100)
         collector.until(adds_up)
-    assert exporting.connection().window.not_sent[0] == let_go
+    assert exporting.connection().window.not_sent[0] == dropped
     exporting.exporter.stop()
 
 
-def test_descriptors_past_a_thousand_stop_no_export():
+def test_export_works_with_more_than_a_thousand_descriptors():
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, min(hard, 4096)), hard))
     held = [os.open("/dev/null", os.O_RDONLY) for _ in range(1100)]
@@ -213,7 +214,7 @@
         collector = Collector()
         exporting = Exporting(document(("a", f'address "{collector.address}"')))
         exporting.move(10)
-        told(collector, exporting)
+        received_all(collector, exporting)
         assert not exporting.log.of("flow-collector-fault")
         exporting.exporter.stop()
     finally:
@@ -221,14 +222,14 @@
             os.close(descriptor)
 
 
-def test_a_standby_takes_over_and_the_first_comes_back():
+def test_a_standby_takes_over_until_the_primary_is_back():
     first, second = Collector(), Collector()
     port = first.port
     exporting = Exporting(
         document(("a", f'address "{first.address}"; standby "{second.address}"; home-after "300ms"'))
     )
     exporting.move(10)
-    told(first, exporting)
+    received_all(first, exporting)
     first.end()
     exporting.move(10)
     second.until(lambda c: c.total("engine", "deltaFlowCount") >= 10)
@@ -239,38 +240,38 @@
     both = Collected()
     for record in [*first.collected.kept, *second.collected.kept]:
         both.take(("record", 1, 0, record))
-    assert exporting.whole(both) and both.records == exporting.flows
-    # The standby was left in order: it had read to the end, so nothing of it came again.
+    assert exporting.has_all(both) and both.records == exporting.flows
+    # The connection to the standby was closed in order after it read to the end, so nothing was repeated.
     assert [f["clean"] for f in exporting.log.of("flow-collector-ended") if f["reason"] == "home"] == [True]
     exporting.exporter.stop()
 
 
-def test_each_of_two_collectors_gets_a_copy_and_a_dead_one_does_not_hold_up_the_other():
+def test_each_of_two_collectors_gets_a_copy_and_an_unreachable_one_does_not_delay_the_other():
     one, port = Collector(), free_port()
     exporting = Exporting(document(("a", f'address "{one.address}"'), ("b", f'address "127.0.0.1:{port}"')))
     exporting.move(100)
-    told(one, exporting)
+    received_all(one, exporting)
     two = Collector(port=port)
-    told(two, exporting)
+    received_all(two, exporting)
     exporting.exporter.stop()
 
 
-@pytest.mark.parametrize("trouble", ["lost", "repeated", "reordered"])
-def test_over_udp_the_collector_tells_what_was_lost_repeated_or_reordered(trouble):
-    collector, held, hit_ = Collector(udp=True), [], []
+@pytest.mark.parametrize("fault", ["lost", "repeated", "reordered"])
+def test_over_udp_the_collector_detects_lost_repeated_and_reordered_datagrams(fault):
+    collector, held, changed = Collector(udp=True), [], []
 
     def shuffle(data):
-        if len(data) < 200 or hit_ and not held:
+        if len(data) < 200 or changed and not held:
             return [data]
-        if trouble == "lost":
-            hit_.append(data)
+        if fault == "lost":
+            changed.append(data)
             return []
-        if trouble == "repeated":
-            hit_.append(data)
+        if fault == "repeated":
+            changed.append(data)
             return [data, data]
         if held:
             return [data, held.pop()]
-        hit_.append(data)
+        changed.append(data)
         held.append(data)
         return []
 
@@ -279,21 +280,21 @@
     until(lambda: collector.collected.records)
     collector.shuffle = shuffle
     exporting.move(60)
-    until(lambda: hit_)
+    until(lambda: changed)
     exporting.move(60)
-    if trouble == "lost":
+    if fault == "lost":
         collected = collector.until(lambda c: c.lost and c.records > 60)
         until(lambda: collected.lost + collected.records >= exporting.flows)
     else:
-        collected = told(collector, exporting)
+        collected = received_all(collector, exporting)
         assert collected.lost == 0
-        assert collected.arrivals["late" if trouble == "reordered" else "repeated"] >= 1
-        assert collected.repeated == 0 or trouble == "repeated"
+        assert collected.arrivals["late" if fault == "reordered" else "repeated"] >= 1
+        assert collected.repeated == 0 or fault == "repeated"
     assert all(len(data) <= 1452 for data in collector.raw)
     exporting.exporter.stop()
 
 
-def test_udp_templates_come_again_and_a_refused_datagram_is_sent_again():
+def test_udp_templates_are_repeated_and_a_refused_datagram_is_sent_again():
     port = free_port()
     exporting = Exporting(
         document(("a", f'address "127.0.0.1:{port}"; transport "udp"'), more='template-refresh "1s"')
@@ -301,7 +302,7 @@
     exporting.move(20)
     until(lambda: exporting.counters.shown().get("flow-connections-ended-reset"))
     collector = Collector(udp=True, port=port)
-    told(collector, exporting)
+    received_all(collector, exporting)
 
     def templates():
         return sum(1 for kind, *_ in collector.events if kind == "template")
@@ -311,13 +312,13 @@
     exporting.exporter.stop()
 
 
-def test_netflow_9_tells_the_same_sums_and_a_gap_by_its_own_sequence():
+def test_netflow_9_gives_the_same_sums_and_its_sequence_reveals_a_gap():
     collector = Collector(udp=True, nine=True)
     exporting = Exporting(
         document(("a", f'address "{collector.address}"; transport "udp"; format "netflow9"'))
     )
     exporting.move(100)
-    collected = told(collector, exporting)
+    collected = received_all(collector, exporting)
     assert collected.lost == 0 and {r["resourceGroup"] for r in collected.kept} == {"lookup"}
     collector.shuffle = lambda data: []
     exporting.move(10)
@@ -333,7 +334,9 @@
 
 
 def authority(tmp_path, ca, name="127.0.0.1"):
-    """Files of a client's certificate, and of the authority; the server's context, which asks for one."""
+    """Writes a client's certificate and the authority.
+
+    Returns a server context that requires a certificate."""
     client, server = ca.issue_cert("exporter.example"), ca.issue_cert(name)
     client.private_key_and_cert_chain_pem.write_to_path(str(tmp_path / "client.pem"))
     ca.cert_pem.write_to_path(str(tmp_path / "ca.pem"))
@@ -355,7 +358,7 @@
     settings = document(("a", tls(tmp_path, f"127.0.0.1:{port}")))
     exporting = Exporting(settings)
     exporting.move(50)
-    told(collector, exporting)
+    received_all(collector, exporting)
     collector.context = authority(tmp_path, new)
     for _ in range(20):
         exporting.move(10)
@@ -364,20 +367,20 @@
     for _ in range(20):
         exporting.move(10)
         time.sleep(0.005)
-    collected = told(collector, exporting)
+    collected = received_all(collector, exporting)
     assert collector.connected == 2 and collected.lost == 0
     assert [f["reason"] for f in exporting.log.of("flow-collector-ended")] == ["changed"]
     (tmp_path / "client.pem").write_text("no certificate")
     with pytest.raises(InvalidExportError, match="collector a > tls"):
         exporting.exporter.prepare(settings)
     exporting.move(1)
-    told(collector, exporting)
+    received_all(collector, exporting)
     exporting.exporter.stop()
 
 
-def test_a_collector_whose_certificate_is_not_trusted_is_told_nothing(tmp_path):
+def test_a_collector_whose_certificate_is_not_trusted_receives_nothing(tmp_path):
     stranger = Collector(context=authority(tmp_path, trustme.CA()))
-    authority(tmp_path, trustme.CA())  # the exporter trusts this one
+    authority(tmp_path, trustme.CA())  # the exporter trusts this authority
     exporting = Exporting(document(("a", tls(tmp_path, stranger.address))))
     exporting.move(5)
     until(lambda: exporting.counters.shown().get("flow-connections-ended-connect-refused", 0) >= 2)
@@ -385,39 +388,39 @@
     exporting.exporter.stop()
 
 
-# A new document
+# Reloads
 
 
-def test_another_enterprise_number_withdraws_the_old_templates_behind_the_last_record_that_needs_them():
+def test_another_enterprise_number_withdraws_the_old_templates_after_the_last_record_that_needs_them():
     collector = Collector()
     first = document(("a", f'address "{collector.address}"'))
     exporting = Exporting(first)
     exporting.move(20)
-    told(collector, exporting)
+    received_all(collector, exporting)
     second = document(("a", f'address "{collector.address}"'), more="enterprise 4711")
     exporting.exporter.change(second, exporting.exporter.prepare(second))
     exporting.move(30)
     collector.until(lambda c: any(e[0] == "withdrawn" for e in collector.events))
     collected = collector.until(lambda c: c.records == 50)
-    # The stand-in reads under the first number: fields of the second are unknown to it, and none is misread.
+    # The stand-in reads under the first number: it must not misread fields of the second, unknown to it.
     assert sum(r.get("octetDeltaCount", 0) for r in collected.kept) == 5000
     assert sum("resourceGroup" in r for r in collected.kept) == 20
     assert sum((4711, 3) in r for r in collected.kept) == 30 and collected.unknown == collected.lost == 0
     exporting.exporter.stop()
 
 
-def test_collectors_come_and_go_with_a_new_document_and_a_new_spool_is_refused(tmp_path):
+def test_a_reload_adds_and_removes_collectors_and_rejects_another_spool(tmp_path):
     one, two = Collector(), Collector()
     exporting = Exporting(document(("a", f'address "{one.address}"')))
     exporting.move(5)
-    told(one, exporting)
+    received_all(one, exporting)
     removed = exporting.connection("a")
     both = document(("b", f'address "{two.address}"'))
     exporting.exporter.change(both, exporting.exporter.prepare(both))
     exporting.move(7)
     with exporting.exporter.lock:
-        exporting.exporter.export_due(exporting.exporter.clock.now(), False, everything=True)
-    assert not removed.has_pending()  # also while it still flushes, what came after its removal is not for it
+        exporting.exporter.export_due(exporting.exporter.clock.now(), False, is_final=True)
+    assert not removed.has_pending()  # messages after its removal are not sent to it, even while it flushes
     two.until(lambda c: c.records == 7)
     assert one.collected.records == 5 and exporting.log.of("flow-collector-removed") == [{"collector": "a"}]
     with pytest.raises(InvalidExportError, match="restart"):
@@ -428,7 +431,7 @@
 # Recovery
 
 
-def test_a_stop_with_no_collector_keeps_all_in_the_spool_and_the_next_start_tells_it(tmp_path):
+def test_records_spooled_without_a_collector_are_sent_after_the_next_start(tmp_path):
     port = free_port()
     settings = document(("a", f'address "127.0.0.1:{port}"'), more=f'spool "{tmp_path}/s" segment="16KiB"')
     before = Exporting(settings)
@@ -438,11 +441,11 @@
     after.move(30)
     collector = Collector(port=port)
     after.flows, after.octets = after.flows + before.flows, after.octets + before.octets
-    collected = told(collector, after)
+    collected = received_all(collector, after)
     assert collected.lost == 0 and collected.records == 730
     after.exporter.stop()
     assert after.log.of("flow-spool-found")[0]["messages"] > 1
-    # A third start finds nothing that is due, and tells nothing again.
+    # A third start finds nothing pending and sends nothing again.
     third = Exporting(settings)
     third.move(1)
     collector.until(lambda c: c.records == 731)
@@ -450,11 +453,11 @@
     assert collected.repeated == 0
 
 
-def test_a_spool_on_a_full_disk_gives_way_to_memory(tmp_path, monkeypatch):
+def test_messages_are_kept_in_memory_if_the_spools_disk_is_full(tmp_path, monkeypatch):
     collector = Collector()
     exporting = Exporting(document(("a", f'address "{collector.address}"'), more=f'spool "{tmp_path}/s"'))
     exporting.move(5)
-    told(collector, exporting)
+    received_all(collector, exporting)
 
     def full(file, data):
         raise OSError(28, "No space left on device")
@@ -462,7 +465,7 @@
     with monkeypatch.context() as patch:
         patch.setattr("wickvane.flows.spool.write", full)
         exporting.move(50)
-        told(collector, exporting)
+        received_all(collector, exporting)
     assert exporting.counters.shown()["flow-spool-unwritable"] >= 1
     exporting.exporter.stop()
 
@@ -481,7 +484,7 @@
 """
 
 
-def test_sigkill_with_the_spool_half_written_loses_nothing_that_was_taken_into_it(tmp_path):
+def test_sigkill_with_a_partly_written_spool_loses_nothing_that_was_written(tmp_path):
     root = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
     port, directory = free_port(), str(tmp_path / "s")
     child = subprocess.Popen(
@@ -492,9 +495,9 @@
         line = child.stdout.readline()
     child.kill()
     moved, taken = map(int, (child.communicate()[0].splitlines() or [line])[-1].split())
-    in_spool = sum_of(directory)
+    in_spool = run_command(directory)
     assert in_spool["records"] == in_spool["by-side"][0]["deltaFlowCount"] >= 50 and moved >= taken
-    # What was collected but not yet in the file when the kill came is one turn's at the most.
+    # At the kill, at most the records of one collection are not yet in the file.
     assert in_spool["records"] >= taken - 200
     with open(
         max(os.path.join(directory, n) for n in os.listdir(directory) if n.endswith(".ipfix")), "ab"
@@ -509,9 +512,9 @@
     after.exporter.stop()
 
 
-def sum_of(*paths, words=("--json",)):
+def run_command(*paths, words=("--json",)):
     out = io.StringIO()
-    asked = {
+    arguments = {
         "--by": None,
         "--step": None,
         "--enterprise": None,
@@ -521,15 +524,15 @@
         "--json": "--json" in words,
         "FILE": list(paths),
     }
-    assert command.main(asked, out) in (0, 1)
+    assert command.main(arguments, out) in (0, 1)
     return json.loads(out.getvalue()) if "--json" in words else out.getvalue()
 
 
-# With the whole dispatcher
+# With a complete dispatcher
 
 
 class Dispatcher:
-    """The whole program's threads with export on; `found` as the clients of bench_free want it."""
+    """All threads of a dispatcher with export on; `found` is the form that the clients of bench_free take."""
 
     def __init__(self, settings, *engines, coordinator=None, **limits):
         self.found = found(engines, coordinator or Events(), **limits)
@@ -544,7 +547,7 @@
 
 
 def agrees(collected, counters):
-    """The collector's sums beside the dispatcher's own counters, which connections keep by themselves."""
+    """Compares the collector's sums with the dispatcher's counters, which connections keep separately."""
     assert collected.lost == 0
     for side, directions in (("client", ("in", "out")), ("engine", ("out", "in"))):
         for direction, name in zip(directions, ("octetDeltaCount", "reverseOctetDeltaCount")):
@@ -559,7 +562,7 @@
     ) <= counters.get("submissions", 0)
 
 
-def test_the_collector_agrees_with_the_dispatcher_to_the_octet_over_drain_and_takeover_of_an_address():
+def test_the_collector_agrees_with_the_dispatcher_to_the_octet_through_drain_and_address_takeover():
     collector, coordinator = Collector(), Events()
     answer = {"on": True}
     engine = Engine(lambda txn, words: hit(txn) if words[0] == b"ASK" and answer["on"] else b"")
@@ -582,7 +585,7 @@
     until(lambda: dispatcher.service.accounts.engines.get("e1"))
     assert rows(clients[2].ask(statement(n=3)))
     time.sleep(0.3)
-    conn.sendall(hit(words[0]))  # the last answer of the drained engine
+    conn.sendall(hit(words[0]))  # the last answer of the draining engine
     assert rows(clients[1].until_ready())
     # Its address is taken over while its connection is still open.
     coordinator.send.put(
@@ -628,30 +631,31 @@
         Engine(),
     )
     host, _, port = dispatcher.found["listen"].rpartition(":")
-    began, again, tries = time.monotonic(), 0, 0
-    while again < 300:
-        tries += 1
+    began, reconnections, attempts = time.monotonic(), 0, 0
+    while reconnections < 300:
+        attempts += 1
         with socket.socket() as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             try:
-                sock.bind(("127.0.0.1", 20_000 + tries % 20))  # below those that are given out
+                sock.bind(("127.0.0.1", 20_000 + attempts % 20))  # below the ephemeral ports
                 sock.connect((host, int(port)))
             except OSError:
-                time.sleep(0.001)  # the port's last connection is not quite over
+                time.sleep(0.001)  # the port's previous connection has not ended yet
                 if time.monotonic() - began > 20:
                     raise
                 continue
             sock.sendall(b"\0\0\0\x08\x04\xd2\x16\x2f")  # SSLRequest
             assert sock.recv(1) == b"N"
-        again += 1
+        reconnections += 1
     client = Client(dispatcher)
     assert rows(client.ask(statement(n=1)))
     counters = dispatcher.stop()
     assert counters["client-connections"] == 301
     collected = collector.until(lambda c: c.total("client", "queriesFinished") == 1)
     agrees(collected, counters)
-    assert collected.total("client", "deltaFlowCount") == 302  # one of the last client's is a group's
+    # The last client has one more flow, of a resource group.
+    assert collected.total("client", "deltaFlowCount") == 302
     stats = collected.statistics[1, "a"]
     assert stats["foldedFlowTotalCount"] > 0 and any(r["flowEndReason"] == 5 for r in collected.kept)
 
@@ -663,13 +667,13 @@
     exporting.move(10, key=(1, 0), engine="e1", octets=7)
     until(lambda: exporting.accounts.shown()["records"] == 30)
     exporting.exporter.stop()
-    shown = sum_of(str(tmp_path / "s"))
+    shown = run_command(str(tmp_path / "s"))
     assert {r["group"]: (r["deltaFlowCount"], r["octetDeltaCount"]) for r in shown["by-group"]} == {
         "load": (10, 70),
         "lookup": (20, 2000),
     }
     assert [r["engine"] for r in shown["by-engine"]] == ["e0", "e1"]
-    drawn = sum_of(str(tmp_path / "s"), words=())
+    drawn = run_command(str(tmp_path / "s"), words=())
     assert "lookup" in drawn and "2,000" in drawn and "collector a" in drawn
     root = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
     live = subprocess.Popen(
@@ -687,8 +691,8 @@
     assert shown["records"] == 35 and {r["group"] for r in shown["by-group"]} == {"load", "lookup"}
 
 
-def test_the_log_and_the_exporter_live_beside_each_other_in_a_service(tmp_path):
-    """What the exporter logs is what operators read: reason codes, and totals at the end."""
+def test_the_service_logs_reason_codes_and_totals_of_the_export(tmp_path):
+    """Operators read the exporter's log lines: reason codes, and totals at the end."""
     collector, log = Collector(), tempfile.TemporaryFile()
     dispatcher = Dispatcher(document(("a", f'address "{collector.address}"')), Engine())
     assert rows(Client(dispatcher).ask(statement(n=1)))
--- a/wickvane/flows/__init__.py
+++ b/wickvane/flows/__init__.py
@@ -1,1 +1,1 @@
-"""Flow export: what went over which connection, for which resource group, by IPFIX and NetFlow v9."""
+"""Flow export by IPFIX and NetFlow v9: the traffic of each connection by resource group and tenant."""
--- a/wickvane/flows/command.py
+++ b/wickvane/flows/command.py
@@ -1,4 +1,4 @@
-"""`wickvane flows`: sums of what spool files hold, or of what comes in on a port, as tables or JSON."""
+"""The command `wickvane flows`: sums of spool files or of records received on a port, as tables or JSON."""
 
 import os
 import selectors
@@ -16,9 +16,9 @@
 from wickvane.flows.extension import DEFAULT_ENTERPRISE
 from wickvane.parts import DURATION_PATTERN, MILLISECONDS_BY_UNIT, read_address
 
-BY = ("side", "group", "tenant", "engine", "reason")
-CONNECTIONS_MOST, CHUNK = 64, 65_536
-HEADS = {
+GROUPINGS = ("side", "group", "tenant", "engine", "reason")
+MAX_CONNECTIONS, CHUNK_SIZE = 64, 65_536
+COLUMN_TITLES = {
     "deltaFlowCount": "flows",
     "octetDeltaCount": "octets",
     "reverseOctetDeltaCount": "back",
@@ -34,14 +34,14 @@
 
 
 class UsageError(Exception):
-    """Words that the command cannot work with."""
+    """The arguments of the command are invalid."""
 
 
 def main_thread():
     return threading.current_thread() is threading.main_thread()
 
 
-def span(text):
+def parse_milliseconds(text):
     found = DURATION_PATTERN.match(text)
     if not found or float(found[1]) <= 0:
         raise UsageError(f'{text}: expected a time such as "10s"')
@@ -57,8 +57,8 @@
             yield path
 
 
-class Sums:
-    """All tables at once, from events of any number of readers."""
+class FlowSums:
+    """All tables of sums, fed with the events of any number of readers."""
 
     def __init__(self, by, step):
         self.collected, self.notes = Collected(), []
@@ -66,15 +66,15 @@
 
     def take(self, events):
         for event in events:
-            self.collected.take(event, self.fresh)
+            self.collected.take(event, self.add_record)
 
-    def fresh(self, record):
+    def add_record(self, record):
         for table in self.tables:
             table.add(record)
 
-    def file(self, path, enterprise):
-        """A spool's file: what is cut or spoilt is left out, and said."""
-        reader, at, spoilt = ipfix.Reader(enterprise), 0, 0
+    def read_file(self, path, enterprise):
+        """Adds a spool file; truncated or corrupt messages are left out and noted."""
+        reader, at, corrupt = ipfix.Reader(enterprise), 0, 0
         with open(path, "rb") as file:
             while True:
                 head = file.read(ipfix.SET_HEADER.size)
@@ -90,20 +90,20 @@
                 if len(data) < size:
                     self.notes.append(f"{path}: cut at octet {at + len(data)}, inside a message")
                     break
-                # The first message has the templates, and no checksum of its own.
+                # The first message holds the templates and has no checksum.
                 if at and not ipfix.checksum_holds(data):
-                    spoilt += 1
+                    corrupt += 1
                 else:
                     try:
                         self.take(list(reader.message(data)))
                     except ProtocolError as error:
                         self.notes.append(f"{path}: octet {at}: {error}")
                 at += size
-        if spoilt:
-            self.notes.append(f"{path}: {spoilt} messages are spoilt, and left out")
+        if corrupt:
+            self.notes.append(f"{path}: {corrupt} messages are spoilt, and left out")
 
-    def live(self, address, udp, seconds, enterprise):
-        """Takes in what comes on a port, for so many seconds or until interrupted."""
+    def listen(self, address, udp, seconds, enterprise):
+        """Receives records on a port for `seconds` or until interrupted."""
         selector, until = selectors.DefaultSelector(), time.monotonic() + seconds
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         listening = socket.socket(family, socket.SOCK_DGRAM if udp else socket.SOCK_STREAM)
@@ -114,10 +114,10 @@
         listening.setblocking(False)
         readers = {}
         selector.register(listening, selectors.EVENT_READ)
-        # A flag, not an exception: one raised in the middle of a message would lose it, and a shell that
-        # starts this in the background has interrupts ignored.
+        # The signal sets a flag, because an exception raised within a message would lose it. The handler is
+        # set explicitly because a shell starts background commands with interrupts ignored.
         ended = []
-        before = (
+        handlers = (
             [
                 (number, signal.signal(number, lambda *_: ended.append(1)))
                 for number in (signal.SIGINT, signal.SIGTERM)
@@ -133,7 +133,7 @@
                     elif key.fileobj is listening:
                         conn, _ = listening.accept()
                         conn.setblocking(False)
-                        if len(readers) >= CONNECTIONS_MOST:
+                        if len(readers) >= MAX_CONNECTIONS:
                             conn.close()
                             continue
                         readers[conn] = ipfix.Reader(enterprise)
@@ -141,7 +141,7 @@
                     else:
                         self.stream(key.fileobj, readers, selector)
         finally:
-            for number, handler in before:
+            for number, handler in handlers:
                 signal.signal(number, handler)
             for conn in readers if not udp else ():
                 conn.close()
@@ -149,7 +149,7 @@
 
     def stream(self, conn, readers, selector):
         try:
-            data = conn.recv(CHUNK)
+            data = conn.recv(CHUNK_SIZE)
             if data:
                 self.take(readers[conn].feed(data))
                 return
@@ -163,17 +163,17 @@
 
     def datagram(self, sock, readers, enterprise):
         try:
-            data, peer = sock.recvfrom(CHUNK)
+            data, peer = sock.recvfrom(CHUNK_SIZE)
         except OSError:
             return
-        nine = data[:2] == b"\0\x09"
-        place = peer, nine
-        if place not in readers:
-            if len(readers) >= CONNECTIONS_MOST:
+        is_netflow9 = data[:2] == b"\0\x09"
+        key = peer, is_netflow9
+        if key not in readers:
+            if len(readers) >= MAX_CONNECTIONS:
                 del readers[next(iter(readers))]
-            readers[place] = netflow9.NetFlow9Reader() if nine else ipfix.Reader(enterprise)
+            readers[key] = netflow9.NetFlow9Reader() if is_netflow9 else ipfix.Reader(enterprise)
         try:
-            self.take(readers[place].message(data))
+            self.take(readers[key].message(data))
         except ProtocolError as error:
             self.collected.malformed += 1
             if len(self.notes) < 100:
@@ -197,25 +197,23 @@
 def show(shown, out):
     try:
         from rich.console import Console
-        from rich.table import Table as Drawn
+        from rich.table import Table as RichTable
     except ImportError:
-        raise UsageError(
-            "tables need the package rich (requirements-parts.txt); --json does without"
-        ) from None
+        raise UsageError("tables need the package rich (requirements-parts.txt); --json does not") from None
     console = Console(file=out, width=None if out.isatty() else 160)
     for name, rows in shown.items():
         if not name.startswith("by-"):
             continue
         by = name.removeprefix("by-")
-        drawn = Drawn(by, *(HEADS[field] for field in SUMMED), title=f"by {by}")
-        for column in drawn.columns[1:]:
+        table = RichTable(by, *(COLUMN_TITLES[field] for field in SUMMED), title=f"by {by}")
+        for column in table.columns[1:]:
             column.justify = "right"
         for row in rows:
-            place = row[by]
+            key = row[by]
             if name == "by-time":
-                place = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(place / 1000)) + f".{place % 1000:03}"
-            drawn.add_row(str(place), *(f"{row[field]:,}" for field in SUMMED))
-        console.print(drawn)
+                key = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(key / 1000)) + f".{key % 1000:03}"
+            table.add_row(str(key), *(f"{row[field]:,}" for field in SUMMED))
+        console.print(table)
     console.print(
         ", ".join(
             f"{name} {shown[name]:,}"
@@ -234,28 +232,32 @@
         console.print(note, style="bold", highlight=False)
 
 
-def main(asked, out=sys.stdout):
-    """The command; asked: docopt's words. 0, or 1 where anything could not be read."""
+def main(arguments, out=sys.stdout):
+    """Runs the command with docopt's arguments. Returns 0, 1 if anything was unreadable, or 2 on an error."""
     try:
-        by = asked["--by"].split(",") if asked["--by"] else list(BY)
+        by = arguments["--by"].split(",") if arguments["--by"] else list(GROUPINGS)
         for word in by:
-            if word not in (*BY, "client"):
-                raise UsageError(f"--by {word}: expected some of {', '.join((*BY, 'client'))}")
-        step = span(asked["--step"]) if asked["--step"] else None
-        enterprise = asked["--enterprise"] or str(DEFAULT_ENTERPRISE)
+            if word not in (*GROUPINGS, "client"):
+                raise UsageError(f"--by {word}: expected some of {', '.join((*GROUPINGS, 'client'))}")
+        step = parse_milliseconds(arguments["--step"]) if arguments["--step"] else None
+        enterprise = arguments["--enterprise"] or str(DEFAULT_ENTERPRISE)
         if not enterprise.isdigit():
             raise UsageError(f"--enterprise {enterprise}: expected a number")
-        sums = Sums(by, step)
-        if asked["--listen"]:
+        sums = FlowSums(by, step)
+        if arguments["--listen"]:
             try:
-                address = read_address(asked["--listen"])
+                address = read_address(arguments["--listen"])
             except ValueError:
-                raise UsageError(f"--listen {asked['--listen']}: expected an IP address and port") from None
-            sums.live(address, asked["--udp"], span(asked["--for"]) / 1000, int(enterprise))
-        for path in files_of(asked["FILE"]):
-            sums.file(path, int(enterprise))
+                raise UsageError(
+                    f"--listen {arguments['--listen']}: expected an IP address and port"
+                ) from None
+            sums.listen(
+                address, arguments["--udp"], parse_milliseconds(arguments["--for"]) / 1000, int(enterprise)
+            )
+        for path in files_of(arguments["FILE"]):
+            sums.read_file(path, int(enterprise))
         shown = sums.shown()
-        if asked["--json"]:
+        if arguments["--json"]:
             out.write(orjson.dumps(shown, default=str).decode() + "\n")
         else:
             show(shown, out)
--- a/wickvane/flows/export.py
+++ b/wickvane/flows/export.py
@@ -120,10 +120,10 @@
             except Exception as error:  # an export fault must not affect queries
                 self.fault("flow-fault", error)
 
-    def export_due(self, now, statistics, everything=False):
+    def export_due(self, now, statistics, is_final=False):
         """Moves all due records from the accounts into the message logs."""
         while True:
-            records = self.accounts.collect(now, MAX_RECORDS_PER_COLLECT, everything)
+            records = self.accounts.collect(now, MAX_RECORDS_PER_COLLECT, is_final)
             for message_log in self.message_logs.values():
                 message_log.add(records, now // 10_000)
             if len(records) < MAX_RECORDS_PER_COLLECT:
@@ -146,7 +146,7 @@
             now = self.clock.now()
             self.export_due(now, False)
             self.settings = settings
-            self.accounts.limits(settings.max_flows, settings.active_timeout, settings.idle_timeout)
+            self.accounts.set_limits(settings.max_flows, settings.active_timeout, settings.idle_timeout)
             connections = [
                 connection
                 for message_log in self.message_logs.values()
@@ -194,14 +194,14 @@
 
         Waits up to FLUSH_TIMEOUT_S for the collectors to take the rest."""
         deadline = time.monotonic() + SETTLE_TIMEOUT_S
-        while self.accounts.open > 0 and time.monotonic() < deadline:
+        while self.accounts.open_connections > 0 and time.monotonic() < deadline:
             time.sleep(0.01)  # threads of connections closed just now still report their last traffic
         self.stopping.set()
         if self.thread:
             self.thread.join(2.0)
         with self.lock:
             try:
-                self.export_due(self.clock.now(), True, everything=True)
+                self.export_due(self.clock.now(), True, is_final=True)
             except Exception as error:
                 self.fault("flow-fault", error)
             connections = [
--- a/wickvane/flows/ipfix.py
+++ b/wickvane/flows/ipfix.py
@@ -94,8 +94,8 @@
 def template_changes(announced, wanted, drop=False):
     """Returns the sets that change a session's templates from `announced` to `wanted`.
 
-    `announced` is updated. Both are as parse_templates() returns them. Withdrawals come first (RFC 7011 section 8.1; never over UDP):
-    of templates that change and, with `drop`, of all that are not wanted."""
+    Both are as parse_templates() returns them, and `announced` is updated. Withdrawals come first (RFC 7011
+    section 8.1; never over UDP): of templates that change and, with `drop`, of all that are not wanted."""
     parts = {}
     for key, record in list(announced.items()):
         if key in wanted and wanted[key] != record or drop and key not in wanted:
@@ -234,8 +234,8 @@
         record.part,
         connection.side,
         record.reason,
-        record.began // 10,
-        record.ended // 10,
+        record.started_at // 10,
+        record.ended_at // 10,
         record.flows,
         TCP,
         INITIATOR_TO_RESPONDER,
@@ -243,7 +243,7 @@
         connection.target_port,
         *record.counts,
         record.state,
-        record.state_last,
+        record.state_at_end,
         connection.source,
         connection.target,
     )
@@ -266,8 +266,8 @@
     return kind, FLOW_FIELDS[kind].pack(
         record.id,
         record.reason,
-        record.began // 10,
-        record.ended // 10,
+        record.started_at // 10,
+        record.ended_at // 10,
         record.flows,
         TCP,
         INITIATOR_TO_RESPONDER,
