--- a/tests/test_flow_codecs.py
+++ b/tests/test_flow_codecs.py
@@ -35,19 +35,19 @@
     return [name(g) for g in groups] + [name("")], [name(t) for t in tenants] + [name("")], {}, name
 
 
-def written(records, most=1400, checksums=False, sequence=0, enterprise=PEN, plain=False):
+def written(records, max_size=1400, checksums=False, sequence=0, enterprise=PEN, plain=False):
     generation = ipfix.Generation(0, 24, PLAIN_KINDS) if plain else ipfix.Generation(enterprise)
     encode = ipfix.plain_record if plain else ipfix.flow_record
-    writer, names = ipfix.Writer(9, generation, most, checksums, sequence), encoded_names(generation.name)
+    writer, names = ipfix.Writer(9, generation, max_size, checksums, sequence), encoded_names(generation.name)
     for entry in records:
         writer.add(*encode(entry, names), 1_700_000_000, entry.key[0])
     writer.finish(1_700_000_000)
     return generation, writer.take()
 
 
-def packets(records, most=1400, width=32):
+def packets(records, max_size=1400, width=32):
     layout = netflow9.Layout(width)
-    writer, names = netflow9.Writer(layout, most), encoded_names(layout.name)
+    writer, names = netflow9.Writer(layout, max_size), encoded_names(layout.name)
     for entry in records:
         writer.add(*layout.flow(entry, names), 0, entry.key[0])
     writer.finish(0)
@@ -101,14 +101,14 @@
 def test_a_stream_split_at_every_byte_is_read_the_same():
     generation, messages = written([record(n) for n in range(3)])
     stream = template_message(generation) + b"".join(data for data, _, _ in messages)
-    whole = list(ipfix.Reader(PEN).feed(stream))
+    events = list(ipfix.Reader(PEN).feed(stream))
     for cut in range(len(stream) + 1):
         reader = ipfix.Reader(PEN)
-        assert [*reader.feed(stream[:cut]), *reader.feed(stream[cut:])] == whole
+        assert [*reader.feed(stream[:cut]), *reader.feed(stream[cut:])] == events
     reader = ipfix.Reader(PEN)
     assert [
         event for byte in stream for event in reader.feed(bytes([byte]))
-    ] == whole and not reader.buffered_octets()
+    ] == events and not reader.buffered_octets()
 
 
 def test_an_independent_decoder_reads_templates_and_sums():
--- a/tests/test_flow_export.py
+++ b/tests/test_flow_export.py
@@ -194,7 +194,7 @@
         )
 
     collected = collector.until(adds_up)
-    assert {place[2] for place in collected.not_sent} == {"lookup", "load"}
+    assert {key[2] for key in collected.not_sent} == {"lookup", "load"}
     # Records that were dropped leave a gap in the sequence, which the collector detects.
     assert policy == "oldest" or collected.lost >= exporting.connection().window.not_sent[0]
     # Messages already sent and kept only to be sent again make room, so nothing more is dropped.
--- a/tests/test_flow_spool.py
+++ b/tests/test_flow_spool.py
@@ -41,8 +41,8 @@
         step = chance.random()
         if step < 0.45:
             size = chance.randrange(20, 120)
-            admitted, gone = backlog.admit(size)
-            for segment in gone:
+            admitted, dropped = backlog.admit(size)
+            for segment in dropped:
                 lost |= set(send_window.discard(segment.first, segment.next))
             if not admitted:
                 refused += 1
@@ -77,11 +77,11 @@
             floor = send_window.lowest_needed_index()
             for segment in backlog.remove_below(floor):
                 assert segment.next <= floor
-    due = {n for low, high in send_window.pending_ranges for n in range(low, high)} | set(
+    pending = {n for low, high in send_window.pending_ranges for n in range(low, high)} | set(
         range(send_window.next_live, backlog.next)
     )
     recent = {index for index, _ in send_window.recent}
-    missing = set(range(backlog.next)) - read - due - recent - lost
+    missing = set(range(backlog.next)) - read - pending - recent - lost
     # The only messages that can be missing were sent, dropped from the full backlog, and lost with the
     # connection before they were read.
     assert all(backlog.find(n) is None for n in missing)
@@ -133,22 +133,22 @@
 
 
 def test_the_primary_is_dialled_first_then_a_standby_and_the_primary_again_after_a_time():
-    route = AddressSelector(2, 1000, Random(1))
-    assert route.choose(0) == (0, 0)
-    route.failed(0, 0)
-    assert route.choose(1) == (1, 0)
-    route.connected(1, 1)
-    assert not route.is_return_due(900) and not route.is_return_due(route.retry_at[0] - 1)
-    later = max(route.retry_at[0], 1001)
-    assert route.is_return_due(later)
-    route.postpone_return(later)
-    assert not route.is_return_due(later + 1)
-    route.failed(1, later)
+    selector = AddressSelector(2, 1000, Random(1))
+    assert selector.choose(0) == (0, 0)
+    selector.failed(0, 0)
+    assert selector.choose(1) == (1, 0)
+    selector.connected(1, 1)
+    assert not selector.is_return_due(900) and not selector.is_return_due(selector.retry_at[0] - 1)
+    later = max(selector.retry_at[0], 1001)
+    assert selector.is_return_due(later)
+    selector.postpone_return(later)
+    assert not selector.is_return_due(later + 1)
+    selector.failed(1, later)
     for _ in range(12):
-        route.failed(0, later)
-    at, wait = route.choose(later)
+        selector.failed(0, later)
+    at, wait = selector.choose(later)
     assert at == -1 and 0 < wait <= 100_000
-    assert route.choose(later + wait)[0] >= 0
+    assert selector.choose(later + wait)[0] >= 0
 
 
 # The spool
@@ -160,7 +160,10 @@
     """Writes a spool of `messages` messages of two records each; returns the messages."""
     opened = spool.Spool(directory)
     generation, found = written(
-        [record(n, octets=(n, 1)) for n in range(2 * messages)], most=420, checksums=True, sequence=sequence
+        [record(n, octets=(n, 1)) for n in range(2 * messages)],
+        max_size=420,
+        checksums=True,
+        sequence=sequence,
     )
     templates, segment = spool.Generation(generation.sets, 9), None
     for n, (data, _, _) in enumerate(found):
@@ -192,25 +195,25 @@
     origin = str(tmp_path / "origin")
     messages = write_spool(origin, 4)
     (name,) = (name for name in os.listdir(origin) if name.endswith(".ipfix"))
-    whole = open(os.path.join(origin, name), "rb").read()
-    ends, at = [], len(whole) - sum(map(len, messages))
+    complete = open(os.path.join(origin, name), "rb").read()
+    ends, at = [], len(complete) - sum(map(len, messages))
     head = at
     for data in messages:
         at += len(data)
         ends.append(at)
-    for cut in range(len(whole) + 1):
+    for cut in range(len(complete) + 1):
         directory = str(tmp_path / "cut")
         shutil.rmtree(directory, ignore_errors=True)
         os.makedirs(directory)
         with open(os.path.join(directory, name), "wb") as file:
-            file.write(whole[:cut])
+            file.write(complete[:cut])
         found, following, sequence, faults = read_back(directory)
         good = sum(end <= cut for end in ends)
         assert found == messages[:good], cut
         assert bool(faults) == (cut not in (head, *ends))
         if good:
             _, _, _, at, _ = ipfix.HEADER.unpack_from(messages[good - 1])
-            count = spool.records_in(whole[:head], messages[good - 1])[0]
+            count = spool.records_in(complete[:head], messages[good - 1])[0]
             assert following == good and sequence == at + count
         # The incomplete tail was truncated from the file, so a second start finds no fault.
         assert read_back(directory)[0] == found and not read_back(directory)[3]
@@ -274,12 +277,12 @@
         spool.Spool(str(tmp_path))
     opened.save_cursor("a", 77)
     assert opened.cursor("a") == 77 and opened.cursor("b") is None
-    whole = (tmp_path / "a.cursor").read_bytes()
-    for cut in range(len(whole)):
-        (tmp_path / "a.cursor").write_bytes(whole[:cut])
+    complete = (tmp_path / "a.cursor").read_bytes()
+    for cut in range(len(complete)):
+        (tmp_path / "a.cursor").write_bytes(complete[:cut])
         assert opened.cursor("a") is None
-    for n in range(len(whole)):
-        (tmp_path / "a.cursor").write_bytes(whole[:n] + bytes([whole[n] ^ 1]) + whole[n + 1 :])
+    for n in range(len(complete)):
+        (tmp_path / "a.cursor").write_bytes(complete[:n] + bytes([complete[n] ^ 1]) + complete[n + 1 :])
         assert opened.cursor("a") is None
     opened.close()
     with pytest.raises(spool.SpoolError, match="cannot be used"):
@@ -288,7 +291,7 @@
 
 def test_a_failed_write_leaves_no_partial_message(tmp_path, monkeypatch):
     opened = spool.Spool(str(tmp_path))
-    generation, found = written([record(n) for n in range(9)], most=420, checksums=True)
+    generation, found = written([record(n) for n in range(9)], max_size=420, checksums=True)
     segment = opened.begin(0, spool.Generation(generation.sets, 9), 0, SECONDS)
     opened.write(segment, found[0][0])
     segment.add(len(found[0][0]), 1)
--- a/wickvane/flows/collected_flows.py
+++ b/wickvane/flows/collected_flows.py
@@ -114,6 +114,7 @@
             self.sums[key] = self.sums.get(key, 0) + record.get(name, 0)
 
     def total(self, side, name):
+        """Returns the sum of an element over the records of a side."""
         return self.sums.get((side, name), 0)
 
     @property
--- a/wickvane/flows/collector_connection.py
+++ b/wickvane/flows/collector_connection.py
@@ -93,6 +93,7 @@
         return time.monotonic() >= self.flush_deadline
 
     def run(self):
+        """Connects and sends until the connection is to end; the body of the thread."""
         clock = self.exporter.clock
         while not self.ending.is_set() or not self.is_flush_over() and self.has_pending():
             try:
@@ -113,6 +114,7 @@
             return self.window.next_index(self.exporter.clock.now(), self.end_index()) is not None
 
     def pause(self, ticks):
+        """Waits for up to `ticks`, at most a second, or until a change."""
         with self.message_log.condition:
             if not (self.changed or self.ending.is_set()):
                 self.message_log.condition.wait(min(ticks, 10_000) / 10_000)
@@ -163,6 +165,7 @@
             )
 
     def connect(self, collector, address):
+        """Returns a connected socket. Raises OSError."""
         if collector.transport == UDP:
             sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_DGRAM)
             sock.connect(address)
@@ -282,6 +285,7 @@
         return batch, wait
 
     def send_stream(self, sock, batch, announced):
+        """Sends messages by TCP, preceded by template changes that they need. Raises OSError."""
         parts, seconds = [], self.exporter.clock.now() // 10_000
         for data, generation in batch:
             # Old templates are withdrawn only when no pending message can need them.
@@ -300,6 +304,7 @@
         sock.sendall(b"".join(parts))
 
     def send_datagram(self, sock, data, generation):
+        """Sends a message by UDP, preceded by the templates if they are due. Raises OSError."""
         now = self.exporter.clock.now()
         is_netflow9 = self.collector.format == NETFLOW9
         if (
@@ -321,6 +326,7 @@
             sock.send(data)
 
     def send_netflow9(self, sock, generation, count, sets):
+        """Sends a NetFlow v9 packet and counts it in the sequence."""
         now = self.exporter.clock.now()
         sock.send(
             netflow9.packet(
--- a/wickvane/flows/command.py
+++ b/wickvane/flows/command.py
@@ -42,6 +42,7 @@
 
 
 def parse_milliseconds(text):
+    """Returns the milliseconds of a duration such as "10s". Raises UsageError."""
     found = DURATION_PATTERN.match(text)
     if not found or float(found[1]) <= 0:
         raise UsageError(f'{text}: expected a time such as "10s"')
@@ -49,6 +50,7 @@
 
 
 def files_of(paths):
+    """Yields all files, with those of directories in order."""
     for path in paths:
         if os.path.isdir(path):
             names = sorted(name for name in os.listdir(path) if name.endswith(".ipfix"))
@@ -65,6 +67,7 @@
         self.tables = [Table(word) for word in by] + ([Table("time", step)] if step else [])
 
     def take(self, events):
+        """Adds a reader's events to all tables."""
         for event in events:
             self.collected.take(event, self.add_record)
 
@@ -148,6 +151,7 @@
             listening.close()
 
     def stream(self, conn, readers, selector):
+        """Reads a TCP connection; closes it at its end or on an error."""
         try:
             data = conn.recv(CHUNK_SIZE)
             if data:
@@ -162,6 +166,7 @@
         conn.close()
 
     def datagram(self, sock, readers, enterprise):
+        """Reads one datagram with the reader of its sender and format."""
         try:
             data, peer = sock.recvfrom(CHUNK_SIZE)
         except OSError:
@@ -195,11 +200,14 @@
 
 
 def show(shown, out):
+    """Prints the sums as tables. Raises UsageError without the package rich."""
     try:
         from rich.console import Console
         from rich.table import Table as RichTable
     except ImportError:
-        raise UsageError("tables need the package rich (requirements-parts.txt); --json does not") from None
+        raise UsageError(
+            "tables need the package rich (requirements-parts.txt); --json works without it"
+        ) from None
     console = Console(file=out, width=None if out.isatty() else 160)
     for name, rows in shown.items():
         if not name.startswith("by-"):
--- a/wickvane/flows/elements.py
+++ b/wickvane/flows/elements.py
@@ -46,14 +46,14 @@
 }
 
 
-def table(rows):
+def elements_by_name(rows):
     return {
         name: Element(name, number, enterprise, type, ENCODINGS[type].length)
         for name, number, enterprise, type in rows
     }
 
 
-ELEMENTS = table(
+ELEMENTS = elements_by_name(
     (
         ("octetDeltaCount", 1, 0, "unsigned64"),
         ("deltaFlowCount", 3, 0, "unsigned64"),
--- a/wickvane/flows/export.py
+++ b/wickvane/flows/export.py
@@ -59,6 +59,7 @@
             )
 
     def new_message_log(self, format, settings):
+        """Creates the message log of a format. Raises spool.SpoolError."""
         message_log = self.message_logs[format] = MessageLog(self, format)
         if format == IPFIX and settings.spool:
             message_log.open_spool(settings)
@@ -99,12 +100,14 @@
             self.log.line(event, error=f"{type(error).__name__}: {error}")
 
     def start(self):
+        """Starts the exporter's thread and those of the connections."""
         self.thread = self.threads.needed(self.run, "flows")
         for message_log in self.message_logs.values():
             for connection in message_log.connections:
                 connection.start()
 
     def run(self):
+        """Exports due records at each collect interval until the exporter stops."""
         last_statistics = last_save = self.clock.now()
         while not self.stopping.wait(self.settings.collect_interval / 10_000):
             try:
@@ -164,16 +167,16 @@
                     self.new_message_log(format, settings)
             for number, collector in enumerate(settings.collectors, 1):
                 connection = old.pop((collector.name, collector.format), None)
-                secure = contexts.get(collector.name)
+                tls_context = contexts.get(collector.name)
                 if connection:
-                    connection.change(collector, number, secure)
+                    connection.change(collector, number, tls_context)
                     connection.window.catch_up_rate, connection.window.resend_size = (
                         settings.catch_up_rate,
                         connection.resend_size(settings),
                     )
                     continue
                 message_log = self.message_logs[collector.format]
-                connection = CollectorConnection(self, message_log, collector, number, secure)
+                connection = CollectorConnection(self, message_log, collector, number, tls_context)
                 with message_log.condition:
                     connection.window = SendWindow(
                         connection.window.resend_size,
--- a/wickvane/flows/flow_accounts.py
+++ b/wickvane/flows/flow_accounts.py
@@ -128,6 +128,7 @@
         )
 
     def set_limits(self, max_flows, active, idle):
+        """Changes the maximum of flows and the time-outs (ticks)."""
         with self.lock:
             self.max_flows, self.active, self.idle = max_flows, active, idle
 
@@ -202,6 +203,7 @@
     # Called with the lock held
 
     def begin(self, connection, key, now):
+        """Opens a flow, or folds it into an aggregate if the table is full."""
         self.now = now = max(now, self.now)
         self.flows_begun += 1
         state = self.state_of(connection)
@@ -307,6 +309,7 @@
         return records
 
     def next_part(self, flow):
+        """Resets a flow's counts for its next part."""
         flow.part, flow.flows = flow.part + 1, 0
         flow.counts, flow.started_at = [0] * COUNTS, flow.last_seen
 
--- a/wickvane/flows/ipfix.py
+++ b/wickvane/flows/ipfix.py
@@ -71,6 +71,7 @@
         return SET_HEADER.pack(element.number, length)
 
     def name(self, value):
+        """Returns a name as it is encoded under these templates."""
         return fixed(value, self.width) if self.width else text(value)
 
 
@@ -112,6 +113,7 @@
 
 
 def message(domain, sequence, seconds, sets):
+    """Returns a message with its header."""
     length = HEADER.size + len(sets)
     return HEADER.pack(VERSION, length, seconds & 0xFFFFFFFF, sequence & 0xFFFFFFFF, domain) + sets
 
@@ -163,6 +165,7 @@
         self.begin()
 
     def take(self):
+        """Returns and removes the finished messages."""
         done, self.finished = self.finished, []
         return done
 
@@ -187,9 +190,11 @@
             self.size, self.count = self.size + SET_HEADER.size + 17, 1
 
     def put_set(self, kind, body):
+        """Returns an encoded data set."""
         return SET_HEADER.pack(self.generation.ids[kind], SET_HEADER.size + len(body)) + body
 
     def put_message(self, sets, seconds):
+        """Returns an encoded message and advances the sequence number."""
         data = message(self.domain, self.sequence, seconds, sets)
         if self.checksums:
             data = data[:CHECKSUM_OFFSET] + md5(data).digest() + data[CHECKSUM_OFFSET + 16 :]
@@ -197,6 +202,7 @@
         return data
 
     def change(self, generation, seconds):
+        """Finishes the current message and continues with other templates."""
         self.finish(seconds)
         self.generation = generation
         self.begin()
@@ -293,6 +299,7 @@
 
 
 def decode_value(type, data):
+    """Returns the value of a field; unknown types as bytes."""
     if type.startswith("unsigned") or type == "dateTimeMilliseconds":
         return int.from_bytes(data, "big")
     if type == "string":
@@ -330,8 +337,8 @@
     ("unknown", domain, id, octets)          a set of an unknown template, which is skipped
     ("end", domain, sequence, records)       records is None if some could not be counted
 
-    Raises ProtocolError and nothing else. Holds at most one message and `templates`
-    templates of at most `fields` fields."""
+    Raises ProtocolError and nothing else. Holds at most one message, and `templates` templates
+    of at most `fields` fields."""
 
     def __init__(self, enterprise, templates=1024, fields=256):
         self.enterprise, self.max_templates, self.max_fields = enterprise, templates, fields
@@ -405,6 +412,7 @@
         yield "end", domain, sequence, count
 
     def define(self, domain, data, at, end, options):
+        """Yields the events of a template set and stores its templates."""
         while end - at >= SET_HEADER.size:
             number, count = SET_HEADER.unpack_from(data, at)
             at += SET_HEADER.size
@@ -447,6 +455,7 @@
         return "template", domain, number, [name for name, _, _ in template.fields]
 
     def withdraw(self, domain, number):
+        """Removes one template, or all of a kind if `number` is that kind's set id."""
         if number in (TEMPLATE_SET, OPTIONS_TEMPLATE_SET):
             options = number == OPTIONS_TEMPLATE_SET
             self.templates = {
--- a/wickvane/flows/message_log.py
+++ b/wickvane/flows/message_log.py
@@ -96,6 +96,7 @@
                 self.condition.notify_all()
 
     def append(self, data, groups, seconds):
+        """Adds a message to the backlog, which may drop segments or reject the message."""
         admitted, dropped = self.backlog.admit(len(data))
         for segment in dropped:
             self.drop_segment(segment)
@@ -137,7 +138,7 @@
         return self.spool.read(segment, index)
 
     def flow_records_by_group(self, segment, data):
-        """Returns {index of resource group: flow records} of a message; -1 stands for an unknown group."""
+        """Returns {index of resource group: flow records} of a message; -1 is an unknown group."""
         if self.format == IPFIX:
             header = ipfix.message(segment.generation.domain, 0, 0, segment.generation.sets)
             count_by_name = spool.records_in(header, data)[1]
@@ -176,6 +177,7 @@
         self.remove_file(segment)
 
     def remove_file(self, segment):
+        """Removes the segment's spool file, if it has one."""
         if segment.file_name is not None:
             self.spool.remove(segment.file_name)
 
--- a/wickvane/flows/netflow9.py
+++ b/wickvane/flows/netflow9.py
@@ -88,15 +88,18 @@
         return kind, self.fields[kind].pack(*values, *encoded_names_of(record, names))
 
     def options(self, kind, *values):
+        """Returns an options record; its scope, the system, is 0."""
         return struct.pack("!I", 0) + self.fields[kind].pack(*values)
 
 
 def padded(number, body):
+    """Returns a flow set padded to a multiple of 4 octets."""
     padding = -len(body) % 4
     return SET_HEADER.pack(number, SET_HEADER.size + len(body) + padding) + body + bytes(padding)
 
 
 def packet(count, uptime_ms, seconds, sequence, source, sets):
+    """Returns a packet with its header."""
     return (
         HEADER.pack(
             VERSION, count, uptime_ms & 0xFFFFFFFF, seconds & 0xFFFFFFFF, sequence & 0xFFFFFFFF, source
--- a/wickvane/flows/send_window.py
+++ b/wickvane/flows/send_window.py
@@ -72,6 +72,7 @@
 
     @property
     def first(self):
+        """Index of the first message."""
         return self.segments[0].first if self.segments else self.next
 
     def set_limits(self, max_size, policy, max_segment_size):
@@ -99,21 +100,25 @@
         return self.size + size <= self.max_size, removed
 
     def needs_segment(self, generation):
+        """Returns whether the next message needs a new segment: the last is full or has other templates."""
         if not self.segments:
             return True
         last = self.segments[-1]
         return last.size >= self.max_segment_size or last.generation != generation
 
     def open(self, segment):
+        """Adds an empty segment for the next messages."""
         self.segments.append(segment)
 
     def append(self, size, count):
+        """Adds a message of `size` octets and `count` flow records; returns its index."""
         self.segments[-1].add(size, count)
         self.size += size
         self.next += 1
         return self.next - 1
 
     def pop(self):
+        """Removes and returns the oldest segment."""
         segment = self.segments.popleft()
         self.size -= segment.size
         return segment
@@ -126,6 +131,7 @@
         return removed
 
     def find(self, index):
+        """Returns the segment that holds a message, or None."""
         # Nearly all searches are for the first or the last segment.
         if self.segments and index >= self.segments[-1].first:
             return self.segments[-1] if index < self.next else None
@@ -292,9 +298,11 @@
         return -1, max(1, min(self.retry_at) - now)
 
     def connected(self, n, now):
+        """Notes a connection to address `n` and resets its back-off."""
         self.current, self.current_since, self.back_off[n] = n, now, 0
 
     def failed(self, n, now):
+        """Notes a failure of address `n` and doubles its back-off."""
         # Random jitter keeps dispatchers that lost a collector together from reconnecting together.
         self.current = -1
         self.back_off[n] = min(MAX_BACK_OFF_TICKS, 2 * self.back_off[n] or MIN_BACK_OFF_TICKS)
@@ -305,6 +313,7 @@
         self.back_off[n] = 0
 
     def is_return_due(self, now):
+        """Returns whether the primary should be tried again."""
         return self.current > 0 and now - self.current_since >= self.return_after and now >= self.retry_at[0]
 
     def postpone_return(self, now):
--- a/wickvane/flows/spool.py
+++ b/wickvane/flows/spool.py
@@ -128,6 +128,7 @@
         return segment, sequence & 0xFFFFFFFF, corrupt, truncated
 
     def rename_unreadable(self, name):
+        """Renames a file that cannot be read, so that it is not read again."""
         try:
             os.replace(self.path(name), self.path(name + ".unreadable"))
         except OSError:
@@ -175,6 +176,7 @@
     # Reading by connections
 
     def read(self, segment, index):
+        """Returns a message's octets. Raises OSError."""
         file = self.reading.get(segment.file_name)
         if file is None:
             while len(self.reading) >= MAX_OPEN_SEGMENTS:
@@ -189,6 +191,7 @@
         return data
 
     def remove(self, name):
+        """Removes a segment file."""
         if name in self.reading:
             os.close(self.reading.pop(name))
         try:
@@ -207,6 +210,7 @@
             return None
 
     def save_cursor(self, collector, index):
+        """Saves a collector's index atomically. Raises OSError."""
         header = CURSOR_MAGIC + struct.pack("!Q", index)
         path = self.path(f"{collector}.cursor")
         with open(path + ".new", "wb") as file:
@@ -214,6 +218,7 @@
         os.replace(path + ".new", path)
 
     def close(self):
+        """Closes all files and releases the directory."""
         self.end()
         for file in self.reading.values():
             os.close(file)
