--- a/wickvane/flows/command.py
+++ b/wickvane/flows/command.py
@@ -103,7 +103,7 @@
                         self.notes.append(f"{path}: octet {at}: {error}")
                 at += size
         if corrupt:
-            self.notes.append(f"{path}: {corrupt} messages are spoilt, and left out")
+            self.notes.append(f"{path}: {corrupt} corrupt messages were skipped")
 
     def listen(self, address, udp, seconds, enterprise):
         """Receives records on a port for `seconds` or until interrupted."""
--- a/wickvane/net/lines/links.py
+++ b/wickvane/net/lines/links.py
@@ -47,7 +47,7 @@
         now = self.clock.now()
         if attempt.has_ended:
             return
-        # After a standstill of the process, other dispatchers may have used the capacity that the decision
+        # After a stall of the process, other dispatchers may have used the capacity that the decision
         # counted on: see IoLoop.stale.
         if (
             now >= attempt.deadline
--- a/wickvane/quotas/command.py
+++ b/wickvane/quotas/command.py
@@ -28,7 +28,7 @@
         return 0
     age = time.time() - state["at"]
     if age > STALE_AFTER_S:
-        print(f"this is {age:.0f} s old: the dispatcher stands still or has ended")
+        print(f"this status is {age:.0f} s old: the dispatcher has stalled or ended")
     for line in status_lines(state["name"], quotas):
         print(line)
     return 0
--- a/wickvane/xds/placement.py
+++ b/wickvane/xds/placement.py
@@ -381,7 +381,7 @@
 
 
 def _differs(before: Endpoint, after: Endpoint) -> bool:
-    """Whether two states of an endpoint differ in more than the index and time at which they were learnt."""
+    """Whether two states of an endpoint differ in more than their index and the start of their drain."""
     if before is after:
         return False
     return before._replace(index=0, draining_since=0) != after._replace(index=0, draining_since=0)
